--- a/crates/heronbend-daemon/src/duties/weights.rs
+++ b/crates/heronbend-daemon/src/duties/weights.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heronbend::external::engine::{Order, OrderAction, OrderDone, CODE_FENCED};
+use heronbend::external::engine::{CommandAction, CommandResponse, EngineCommand, CODE_FENCED};
 use heronbend::lifecycle::{Backend, Phase};
 use heronbend::record::{fence_key, RecordChange, RecordResponse};
 use heronbend::settings::policy::ModelPolicy;
-use heronbend::weights::{FenceChange, LoadOrder, OrderResult, VersionRollout};
+use heronbend::weights::{FenceChange, LoadCommand, LoadResult, VersionRollout};
 use heronbend_http::http_types::{Method, Request, StatusCode, Url};
 use heronbend_http::{Client, ErrorBody};
 use smol::Timer;
@@ -117,7 +117,7 @@
     pacings: &Pacings,
     model: &ModelPolicy,
     floor: f64,
-) -> Vec<(LoadOrder, Backend, u64)> {
+) -> Vec<(LoadCommand, Backend, u64)> {
     let table = shared.backends.load_full();
     let engines: BTreeMap<_, _> = table
         .backends
@@ -133,7 +133,7 @@
             if known.in_subset {
                 pacing.rollout.observe(name, incarnation, known.report.version);
             } else {
-                pacing.rollout.note_present(name, incarnation);
+                pacing.rollout.observe_presence(name, incarnation);
             }
         }
         pacing.rollout.retain(|name| engines.contains_key(name));
@@ -150,7 +150,7 @@
     client: Client,
     (pacings, refused): (Pacings, RefusedTokens),
     model: String,
-    order: LoadOrder,
+    order: LoadCommand,
     backend: Backend,
     fence: u64,
 ) {
@@ -158,7 +158,7 @@
     let result = order_engine(&client, &backend, &order, fence).await;
     let engine = &order.engine;
     log::info!("event=order_ended engine={engine} version={} result={result:?}", order.version);
-    if result == OrderResult::Fenced {
+    if result == LoadResult::Fenced {
         // Another daemon paces this model, or the register has forgotten its tokens; a higher one is
         // asked for if this daemon still should.
         refused.borrow_mut().insert(model.clone(), fence);
@@ -171,26 +171,27 @@
 async fn order_engine(
     client: &Client,
     backend: &Backend,
-    order: &LoadOrder,
+    order: &LoadCommand,
     fence: u64,
-) -> OrderResult {
-    let body = Order { fence, action: OrderAction::LoadVersion { version: order.version } };
+) -> LoadResult {
+    let body =
+        EngineCommand { fence, action: CommandAction::LoadVersion { version: order.version } };
     let url = Url::parse(&format!("http://{}/orders", backend.address));
     let (Ok(url), Ok(body)) = (url, serde_json::to_vec(&body)) else {
-        return OrderResult::Failed;
+        return LoadResult::Failed;
     };
     let mut request = Request::new(Method::Post, url);
     request.set_body(body);
     let answer = client.fetch(backend.address, request, ORDER_TIMEOUT, MAX_ANSWER_BYTES).await;
     match answer {
-        Ok((StatusCode::Ok, bytes)) => match serde_json::from_slice::<OrderDone>(&bytes) {
-            Ok(done) if done.version == Some(order.version) => OrderResult::Loaded,
-            _ => OrderResult::Failed,
+        Ok((StatusCode::Ok, bytes)) => match serde_json::from_slice::<CommandResponse>(&bytes) {
+            Ok(done) if done.version == Some(order.version) => LoadResult::Loaded,
+            _ => LoadResult::Failed,
         },
         Ok((StatusCode::Conflict, bytes)) => match serde_json::from_slice::<ErrorBody>(&bytes) {
-            Ok(body) if body.error.code == CODE_FENCED => OrderResult::Fenced,
-            _ => OrderResult::Failed,
+            Ok(body) if body.error.code == CODE_FENCED => LoadResult::Fenced,
+            _ => LoadResult::Failed,
         },
-        _ => OrderResult::Failed,
+        _ => LoadResult::Failed,
     }
 }
--- a/crates/heronbend-emulator/src/engine/mod.rs
+++ b/crates/heronbend-emulator/src/engine/mod.rs
@@ -15,8 +15,8 @@
 
 use clap::Args;
 use heronbend::external::engine::{
-    EngineStatus, ExportRequest, GenerateRequest, Order, OrderAction, OrderDone, ATTEMPT_HEADER,
-    CALLER_REQUEST_HEADER, CODE_FENCED, CODE_FULL, CODE_LEAVING,
+    CommandAction, CommandResponse, EngineCommand, EngineStatus, ExportRequest, GenerateRequest,
+    ATTEMPT_HEADER, CALLER_REQUEST_HEADER, CODE_FENCED, CODE_FULL, CODE_LEAVING,
 };
 use heronbend::external::platform::{Machine, MachineKind};
 use heronbend::identity::Incarnation;
@@ -286,14 +286,16 @@
         None
     }
 
-    async fn obey(&self, order: Order) -> Response {
+    async fn obey(&self, order: EngineCommand) -> Response {
         if order.fence < self.fence.get() {
             return refuse(StatusCode::Conflict, CODE_FENCED);
         }
         self.fence.set(order.fence);
         match order.action {
-            OrderAction::LoadVersion { version } => self.load(order.fence, version).await,
-            OrderAction::LoadAdapter { .. } | OrderAction::ChangeRole { .. } => self.order_done(),
+            CommandAction::LoadVersion { version } => self.load(order.fence, version).await,
+            CommandAction::LoadAdapter { .. } | CommandAction::ChangeRole { .. } => {
+                self.order_done()
+            }
         }
     }
 
@@ -330,7 +332,7 @@
 
     fn order_done(&self) -> Response {
         let version = self.version.get();
-        json_response(StatusCode::Ok, &OrderDone { version })
+        json_response(StatusCode::Ok, &CommandResponse { version })
     }
 }
 
--- a/crates/heronbend-emulator/src/experiment/weights.rs
+++ b/crates/heronbend-emulator/src/experiment/weights.rs
@@ -5,7 +5,7 @@
 
 use heronbend::identity::Incarnation;
 use heronbend::lifecycle::BackendName;
-use heronbend::weights::{OrderResult, VersionRollout};
+use heronbend::weights::{LoadResult, VersionRollout};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -77,9 +77,9 @@
             let Some((_, engine, version)) = loading.pop() else {
                 break;
             };
-            let order = heronbend::weights::LoadOrder { engine: BackendName(engine), version };
+            let order = heronbend::weights::LoadCommand { engine: BackendName(engine), version };
             let failed = random.random_bool(FAILURES);
-            let result = if failed { OrderResult::Failed } else { OrderResult::Loaded };
+            let result = if failed { LoadResult::Failed } else { LoadResult::Loaded };
             rollout.on_result(Duration::from_secs_f64(now), &order, result);
         }
     }
--- a/crates/heronbend/src/external/engine.rs
+++ b/crates/heronbend/src/external/engine.rs
@@ -97,17 +97,17 @@
 
 /// An order to an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Order {
+pub struct EngineCommand {
     /// Fencing token: an engine refuses one lower than it has seen.
     pub fence: u64,
     /// What to do.
-    pub action: OrderAction,
+    pub action: CommandAction,
 }
 
 /// What an engine can be ordered to do.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
-pub enum OrderAction {
+pub enum CommandAction {
     /// Load a weight version of its model.
     LoadVersion {
         /// The version.
@@ -127,7 +127,7 @@
 
 /// The answer to an order that was carried out.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct OrderDone {
+pub struct CommandResponse {
     /// The version loaded now.
     pub version: Option<u64>,
 }
--- a/crates/heronbend/src/weights/mod.rs
+++ b/crates/heronbend/src/weights/mod.rs
@@ -12,4 +12,4 @@
 mod tests;
 
 pub use fence::{Fence, FenceChange};
-pub use rollout::{LoadOrder, OrderResult, VersionRollout};
+pub use rollout::{LoadCommand, LoadResult, VersionRollout};
--- a/crates/heronbend/src/weights/rollout.rs
+++ b/crates/heronbend/src/weights/rollout.rs
@@ -16,7 +16,7 @@
 
 /// An order to one engine to load a weight version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct LoadOrder {
+pub struct LoadCommand {
     /// The engine.
     pub engine: BackendName,
     /// The version.
@@ -25,7 +25,7 @@
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderResult {
+pub enum LoadResult {
     /// The engine states that it has loaded the version.
     Loaded,
     /// The engine failed, or could not be reached.
@@ -99,7 +99,7 @@
     }
 
     /// An engine is there, and nothing new is known of what it has loaded.
-    pub fn note_present(&mut self, name: &BackendName, incarnation: Incarnation) {
+    pub fn observe_presence(&mut self, name: &BackendName, incarnation: Incarnation) {
         let known = self.engines.get(name);
         if known.is_none_or(|engine| engine.incarnation != incarnation) {
             self.observe(name, incarnation, None);
@@ -112,27 +112,27 @@
     }
 
     /// An order has ended.
-    pub fn on_result(&mut self, now: Moment, order: &LoadOrder, result: OrderResult) {
+    pub fn on_result(&mut self, now: Moment, order: &LoadCommand, result: LoadResult) {
         let Some(engine) = self.engines.get_mut(&order.engine) else {
             return;
         };
         match result {
-            OrderResult::Loaded => {
+            LoadResult::Loaded => {
                 engine.version = Some(order.version);
                 engine.activity = Activity::Idle;
             }
-            OrderResult::Failed => {
+            LoadResult::Failed => {
                 engine.version = None;
                 engine.activity = Activity::Resting { until: now + RETRY_DELAY };
             }
-            OrderResult::Fenced => {
+            LoadResult::Fenced => {
                 engine.activity = Activity::Resting { until: now + RETRY_DELAY };
             }
         }
     }
 
     /// Orders to send now.
-    pub fn tick(&mut self, now: Moment) -> Vec<LoadOrder> {
+    pub fn tick(&mut self, now: Moment) -> Vec<LoadCommand> {
         for engine in self.engines.values_mut() {
             match engine.activity {
                 Activity::Ordered { since } if now >= since + ORDER_TIMEOUT => {
@@ -153,7 +153,7 @@
             .take(room)
             .map(|(name, engine)| {
                 engine.activity = Activity::Ordered { since: now };
-                LoadOrder { engine: name.clone(), version: target }
+                LoadCommand { engine: name.clone(), version: target }
             })
             .collect()
     }
--- a/crates/heronbend/src/weights/tests.rs
+++ b/crates/heronbend/src/weights/tests.rs
@@ -25,7 +25,7 @@
     let wave = rollout.tick(Moment::ZERO);
     assert_eq!(wave.len(), 2);
     assert!(rollout.tick(Moment::ZERO).is_empty());
-    rollout.on_result(Moment::ZERO, &wave[0], OrderResult::Loaded);
+    rollout.on_result(Moment::ZERO, &wave[0], LoadResult::Loaded);
     assert_eq!(rollout.tick(Moment::ZERO).len(), 1);
 }
 
@@ -34,7 +34,7 @@
     let mut rollout = rollout(1);
     rollout.publish(2);
     let wave = rollout.tick(Moment::ZERO);
-    rollout.on_result(Moment::ZERO, &wave[0], OrderResult::Failed);
+    rollout.on_result(Moment::ZERO, &wave[0], LoadResult::Failed);
     assert_eq!(rollout.up_to_date(), 0);
     assert!(rollout.tick(Moment::ZERO).is_empty());
     assert_eq!(rollout.tick(Duration::from_secs(1)), wave);
