--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use heronbend::lifecycle::{BackendName, Phase, Signal, SignalSource, StatedPhase};
+use heronbend::lifecycle::{BackendName, BackendPhase, Phase, Signal, SignalSource};
 use heronbend::membership::Member;
 use heronbend::register::ShardMap;
 use heronbend_http::http_types::{Method, Request, Response, StatusCode};
@@ -213,7 +213,7 @@
     let Some(known) = known else {
         return refuse(StatusCode::NotFound, "unknown_node");
     };
-    let stated = StatedPhase {
+    let stated = BackendPhase {
         name: BackendName(order.node.clone()),
         incarnation: known.backend.incarnation,
         phase: Phase::Leaving,
--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -10,7 +10,7 @@
 
 use heronbend::admission::{backoff, RetryBudget};
 use heronbend::external::engine::{ATTEMPT_HEADER, CALLER_REQUEST_HEADER, CODE_LEAVING};
-use heronbend::lifecycle::{Backend, BackendName, Phase, Signal, SignalSource, StatedPhase};
+use heronbend::lifecycle::{Backend, BackendName, BackendPhase, Phase, Signal, SignalSource};
 use heronbend::quarantine::fingerprint::Traits;
 use heronbend::quarantine::Fingerprint;
 use heronbend::routing::{Query, RouteRefusal, Router, Verdict};
@@ -400,7 +400,7 @@
     /// The back end itself says that it leaves: the earliest sign there is.
     fn note_leaving(&self, backend: &Backend) {
         self.inner.router.borrow_mut().mark_leaving(&backend.name);
-        let stated = StatedPhase {
+        let stated = BackendPhase {
             name: backend.name.clone(),
             incarnation: backend.incarnation,
             phase: Phase::Leaving,
--- a/crates/heronbend-daemon/src/duties/backends.rs
+++ b/crates/heronbend-daemon/src/duties/backends.rs
@@ -8,7 +8,7 @@
 use heronbend::external::platform::{Machine, MachineKind};
 use heronbend::identity::NodeId;
 use heronbend::lifecycle::{
-    Backend, BackendName, Lifecycle, Phase, Signal, SignalSource, StatedPhase,
+    Backend, BackendName, BackendPhase, Lifecycle, Phase, Signal, SignalSource,
 };
 use heronbend::membership::{Liveness, Member};
 use heronbend::routing::{choose_subset, LoadReport};
@@ -93,7 +93,7 @@
                 self.observe(shared, source, stated)
             }
             Event::Report(name, status) => {
-                let stated = StatedPhase {
+                let stated = BackendPhase {
                     name: name.clone(),
                     incarnation: status.incarnation,
                     phase: status.phase,
@@ -140,7 +140,7 @@
         !dropped.is_empty()
     }
 
-    fn observe(&mut self, shared: &Shared, source: SignalSource, stated: StatedPhase) -> bool {
+    fn observe(&mut self, shared: &Shared, source: SignalSource, stated: BackendPhase) -> bool {
         let Some(change) = self.lifecycle.observe(shared.now(), Signal { source, stated }) else {
             return false;
         };
@@ -234,7 +234,7 @@
             continue;
         }
         let name = BackendName(machine.name);
-        phases.push(StatedPhase {
+        phases.push(BackendPhase {
             name: name.clone(),
             incarnation: machine.incarnation,
             phase: machine.phase,
--- a/crates/heronbend-daemon/src/shared.rs
+++ b/crates/heronbend-daemon/src/shared.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use heronbend::identity::{epoch_millis, NodeId, NodeName};
-use heronbend::lifecycle::{Backend, Phase, Signal, StatedPhase};
+use heronbend::lifecycle::{Backend, BackendPhase, Phase, Signal};
 use heronbend::membership::{may_be_alive, Head, Liveness, Member};
 use heronbend::register::ShardMap;
 use heronbend::routing::LoadReport;
@@ -118,7 +118,7 @@
     /// The platform lists this daemon.
     Learn(Member),
     /// Spread a back end's phase.
-    SpreadBackend(StatedPhase),
+    SpreadBackend(BackendPhase),
     /// This daemon stops.
     Leave,
 }
@@ -127,7 +127,7 @@
 #[derive(Debug)]
 pub enum BackendsInput {
     /// The platform's list of back ends.
-    Listed(Vec<Backend>, Vec<StatedPhase>),
+    Listed(Vec<Backend>, Vec<BackendPhase>),
     /// Somebody states a phase.
     Signal(Signal),
 }
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -16,7 +16,7 @@
 use hdrhistogram::Histogram;
 use heronbend::identity::{Incarnation, NodeId};
 use heronbend::lifecycle::{
-    Backend, BackendName, Lifecycle, Phase, Signal, SignalSource, StatedPhase,
+    Backend, BackendName, BackendPhase, Lifecycle, Phase, Signal, SignalSource,
 };
 use heronbend::membership::{Detector, DetectorConfig, Effect, Gossip, Head, Liveness, Member};
 use heronbend::record::{claim_key, Record, RecordChange};
@@ -293,7 +293,7 @@
         }
         let mut lifecycle = Lifecycle::default();
         for server in 0..servers {
-            let stated = StatedPhase {
+            let stated = BackendPhase {
                 name: server_name(server),
                 incarnation: Incarnation(1),
                 phase: Phase::Live,
@@ -549,7 +549,7 @@
         let first = up[self.random.random_range(0..up.len())];
         self.left_at.insert(server, self.now);
         self.leaving_unknown_to.insert(server, up.into_iter().collect());
-        let stated = StatedPhase {
+        let stated = BackendPhase {
             name: server_name(server),
             incarnation: Incarnation(1),
             phase: Phase::Leaving,
@@ -557,7 +557,7 @@
         self.hear_of_server(first, stated);
     }
 
-    fn hear_of_server(&mut self, daemon: usize, stated: StatedPhase) {
+    fn hear_of_server(&mut self, daemon: usize, stated: BackendPhase) {
         let digits = stated.name.0.trim_start_matches("server-");
         let server: usize = digits.parse().expect("names are made by this module");
         let signal = Signal { source: SignalSource::Peer, stated: stated.clone() };
--- a/crates/heronbend/src/lifecycle/mod.rs
+++ b/crates/heronbend/src/lifecycle/mod.rs
@@ -9,5 +9,5 @@
 mod tests;
 
 pub use state::{
-    Backend, BackendName, Lifecycle, LifecycleChange, Phase, Signal, SignalSource, StatedPhase,
+    Backend, BackendName, BackendPhase, Lifecycle, LifecycleChange, Phase, Signal, SignalSource,
 };
--- a/crates/heronbend/src/lifecycle/state.rs
+++ b/crates/heronbend/src/lifecycle/state.rs
@@ -69,7 +69,7 @@
 
 /// A phase as some source states it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
-pub struct StatedPhase {
+pub struct BackendPhase {
     /// The back end.
     pub name: BackendName,
     /// The run that is meant.
@@ -84,14 +84,14 @@
     /// Who says so.
     pub source: SignalSource,
     /// What it says.
-    pub stated: StatedPhase,
+    pub stated: BackendPhase,
 }
 
 /// A change of a back end's phase, to be acted upon in the same step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LifecycleChange {
     /// The phase from now on.
-    pub stated: StatedPhase,
+    pub stated: BackendPhase,
     /// Whose word it was.
     pub source: SignalSource,
 }
--- a/crates/heronbend/src/lifecycle/tests.rs
+++ b/crates/heronbend/src/lifecycle/tests.rs
@@ -7,7 +7,7 @@
 fn signal(source: SignalSource, incarnation: u64, phase: Phase) -> Signal {
     Signal {
         source,
-        stated: StatedPhase {
+        stated: BackendPhase {
             name: BackendName("engine-1".into()),
             incarnation: Incarnation(incarnation),
             phase,
--- a/crates/heronbend/src/membership/detector.rs
+++ b/crates/heronbend/src/membership/detector.rs
@@ -11,7 +11,7 @@
 use super::messages::{Gossip, Head, Liveness, Member, Probe, Rumour};
 use super::rumours::RumourQueue;
 use crate::identity::{Incarnation, NodeName};
-use crate::lifecycle::StatedPhase;
+use crate::lifecycle::BackendPhase;
 use crate::Moment;
 
 /// Periods between two pings of dead members, on average.
@@ -70,7 +70,7 @@
     /// Others took this daemon for lost, or for an earlier run, which it now refutes.
     Refuted,
     /// A back end's phase was heard of.
-    Backend(StatedPhase),
+    Backend(BackendPhase),
     /// A peer holds newer control data.
     Behind {
         /// The peer.
@@ -163,7 +163,7 @@
     }
 
     /// Spreads a back end's phase.
-    pub fn spread_backend(&mut self, stated: StatedPhase) {
+    pub fn spread_backend(&mut self, stated: BackendPhase) {
         self.rumours.push(Rumour::Backend(stated));
     }
 
--- a/crates/heronbend/src/membership/messages.rs
+++ b/crates/heronbend/src/membership/messages.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{NodeId, NodeName};
-use crate::lifecycle::StatedPhase;
+use crate::lifecycle::BackendPhase;
 
 /// Whether a daemon is believed to be alive; later ones outweigh earlier ones.
 #[derive(
@@ -101,7 +101,7 @@
     /// A daemon's state.
     Member(Member),
     /// A back end's phase.
-    Backend(StatedPhase),
+    Backend(BackendPhase),
 }
 
 /// The purpose of a datagram.
--- a/crates/heronbend/src/membership/tests.rs
+++ b/crates/heronbend/src/membership/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::identity::{Incarnation, NodeId};
-use crate::lifecycle::{BackendName, Phase, StatedPhase};
+use crate::lifecycle::{BackendName, BackendPhase, Phase};
 use crate::Moment;
 
 const TICK: Duration = Duration::from_millis(50);
@@ -224,7 +224,7 @@
 fn rumours_of_back_ends_and_newer_settings_reach_everybody() {
     let mut network = Network::new(20);
     network.run(Duration::from_secs(30));
-    let stated = StatedPhase {
+    let stated = BackendPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
@@ -242,7 +242,7 @@
 fn what_is_announced_is_known_before_the_next_probe() {
     let mut network = Network::new(30);
     network.run(Duration::from_secs(30));
-    let stated = StatedPhase {
+    let stated = BackendPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
