--- a/crates/heronbend-daemon/src/duties/register.rs
+++ b/crates/heronbend-daemon/src/duties/register.rs
@@ -386,7 +386,7 @@
             Timer::after(COLLECT_INTERVAL).await;
             let now = epoch_seconds();
             for replica in self.replicas.borrow_mut().values_mut() {
-                replica.collect(|_, record| record.is_past_use(now));
+                replica.collect(|_, record| record.is_expired(now));
             }
         }
     }
--- a/crates/heronbend-gateway/src/duties/book.rs
+++ b/crates/heronbend-gateway/src/duties/book.rs
@@ -73,7 +73,7 @@
 
     /// Takes over the time of a daemon that has run for longer.
     pub fn hear_time(&self, now: Moment, theirs: Duration) {
-        if self.clock.borrow_mut().hear(now, theirs) {
+        if self.clock.borrow_mut().adopt_peer_time(now, theirs) {
             log::warn!("event=wall_clock_differs theirs_ms={}", theirs.as_millis());
         }
     }
@@ -94,13 +94,13 @@
         self.time(now);
         let window = self.window(at);
         self.note_late(window, &self.me);
-        self.ledger.borrow_mut().add_one(&self.me, window, tenant);
+        self.ledger.borrow_mut().increment(&self.me, window, tenant);
         self.counted.notify(usize::MAX);
     }
 
     /// Takes in what another daemon has counted; a daemon's counts only grow.
     pub fn learn(&self, daemon: &NodeId, window: Window, counts: &Counts) {
-        if self.ledger.borrow_mut().raise(daemon, window, counts) {
+        if self.ledger.borrow_mut().merge(daemon, window, counts) {
             self.note_late(window, daemon);
         }
     }
@@ -115,7 +115,7 @@
     /// The counts of this daemon, by window.
     pub fn own(&self) -> Vec<(Window, Counts)> {
         let ledger = self.ledger.borrow();
-        ledger.of(&self.me).map(|(window, counts)| (window, counts.clone())).collect()
+        ledger.counts_of(&self.me).map(|(window, counts)| (window, counts.clone())).collect()
     }
 
     /// What all daemons together have counted in a window.
@@ -125,7 +125,7 @@
 
     /// Notes that a report of a window was accepted.
     pub fn note_reported(&self, window: Window) {
-        self.settlement.borrow_mut().reported(window);
+        self.settlement.borrow_mut().mark_reported(window);
         self.ledger.borrow_mut().forget_before(window.before(KEPT_WINDOWS));
         self.reported.notify(usize::MAX);
     }
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use heronbend::usage::Report;
-use heronbend::usage::Settled;
+use heronbend::usage::SettledWindows;
 use heronbend::usage::Window;
 use heronbend::Moment;
 use smol::Timer;
@@ -91,7 +91,7 @@
 
     /// When the next window can be settled.
     fn ready_at(&self) -> Moment {
-        let due = self.book.settlement.borrow().next_due();
+        let due = self.book.settlement.borrow().next_unreported();
         self.book.end(due) + self.settle_delay()
     }
 
@@ -179,7 +179,7 @@
         };
         match written {
             Ok(object) => {
-                let through = proposal.settled.through().unwrap_or_default();
+                let through = proposal.settled.last_window().unwrap_or_default();
                 log::info!(
                     "event=usage_settled through={} requests={} revision={}",
                     through.0,
@@ -193,7 +193,7 @@
             Err(error) => {
                 log::warn!("event=usage_not_settled error=\"{error}\"");
                 if !error.is_not_done() {
-                    self.book.settlement.borrow_mut().lost_track();
+                    self.book.settlement.borrow_mut().invalidate();
                 }
                 false
             }
@@ -201,9 +201,9 @@
     }
 
     fn learn(&self, object: &Object) -> bool {
-        match serde_json::from_value::<Settled>(object.content.clone()) {
+        match serde_json::from_value::<SettledWindows>(object.content.clone()) {
             Ok(settled) => {
-                self.book.settlement.borrow_mut().learned(object.revision, settled);
+                self.book.settlement.borrow_mut().update_record(object.revision, settled);
                 true
             }
             Err(error) => {
--- a/crates/heronbend/src/record.rs
+++ b/crates/heronbend/src/record.rs
@@ -73,7 +73,7 @@
     /// Whether the register may be collected at this time, in seconds since the Unix epoch.
     ///
     /// Only what has ended expires. Fences are kept: there is one a model.
-    pub fn is_past_use(&self, now_epoch_seconds: u64) -> bool {
+    pub fn is_expired(&self, now_epoch_seconds: u64) -> bool {
         match self {
             Self::Claim(Claim::Settled { expires, .. })
             | Self::Step(StepRecord::Complete { expires }) => *expires <= now_epoch_seconds,
--- a/crates/heronbend/src/usage/clock.rs
+++ b/crates/heronbend/src/usage/clock.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes over the time of a daemon that has run for longer; whether it differed.
-    pub fn hear(&mut self, now: Moment, theirs: Duration) -> bool {
+    pub fn adopt_peer_time(&mut self, now: Moment, theirs: Duration) -> bool {
         let origin = theirs.saturating_sub(now);
         let differs = origin.abs_diff(self.origin) > JUMP;
         if differs {
--- a/crates/heronbend/src/usage/counts.rs
+++ b/crates/heronbend/src/usage/counts.rs
@@ -12,7 +12,7 @@
 
 impl Counts {
     /// Counts one request.
-    pub fn add_one(&mut self, tenant: &str) {
+    pub fn increment(&mut self, tenant: &str) {
         match self.0.get_mut(tenant) {
             Some(count) => *count += 1,
             None => {
@@ -22,7 +22,7 @@
     }
 
     /// Raises each tenant's count to that of `other`; whether any grew.
-    pub fn raise(&mut self, other: &Self) -> bool {
+    pub fn merge(&mut self, other: &Self) -> bool {
         let mut grew = false;
         for (tenant, count) in &other.0 {
             let known = self.0.entry(tenant.clone()).or_default();
--- a/crates/heronbend/src/usage/ledger.rs
+++ b/crates/heronbend/src/usage/ledger.rs
@@ -14,19 +14,19 @@
 
 impl Ledger {
     /// Counts one request of this daemon.
-    pub fn add_one(&mut self, me: &NodeId, window: Window, tenant: &str) {
+    pub fn increment(&mut self, me: &NodeId, window: Window, tenant: &str) {
         let daemons = self.windows.entry(window).or_default();
-        daemons.entry(me.clone()).or_default().add_one(tenant);
+        daemons.entry(me.clone()).or_default().increment(tenant);
     }
 
     /// Takes in what a daemon told of a window; whether it was news.
-    pub fn raise(&mut self, daemon: &NodeId, window: Window, counts: &Counts) -> bool {
+    pub fn merge(&mut self, daemon: &NodeId, window: Window, counts: &Counts) -> bool {
         let daemons = self.windows.entry(window).or_default();
-        daemons.entry(daemon.clone()).or_default().raise(counts)
+        daemons.entry(daemon.clone()).or_default().merge(counts)
     }
 
     /// The counts of a daemon, by window.
-    pub fn of(&self, daemon: &NodeId) -> impl Iterator<Item = (Window, &Counts)> {
+    pub fn counts_of(&self, daemon: &NodeId) -> impl Iterator<Item = (Window, &Counts)> {
         let daemon = daemon.clone();
         self.windows.iter().filter_map(move |(window, daemons)| {
             daemons.get(&daemon).map(|counts| (*window, counts))
--- a/crates/heronbend/src/usage/mod.rs
+++ b/crates/heronbend/src/usage/mod.rs
@@ -21,7 +21,7 @@
 pub use counts::Counts;
 pub use ledger::Ledger;
 pub use settlement::Report;
-pub use settlement::Settled;
+pub use settlement::SettledWindows;
 pub use settlement::Settlement;
 
 use musli::Decode;
--- a/crates/heronbend/src/usage/settlement.rs
+++ b/crates/heronbend/src/usage/settlement.rs
@@ -28,13 +28,13 @@
 
 /// The record of settled windows, in ascending order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Settled {
+pub struct SettledWindows {
     reports: Vec<Report>,
 }
 
-impl Settled {
+impl SettledWindows {
     /// The last settled window.
-    pub fn through(&self) -> Option<Window> {
+    pub fn last_window(&self) -> Option<Window> {
         self.reports.last().map(|report| report.window)
     }
 
@@ -58,7 +58,7 @@
     /// The revision that it replaces.
     pub replaces: Option<u64>,
     /// The record.
-    pub settled: Settled,
+    pub settled: SettledWindows,
 }
 
 /// One daemon's view of what is settled and reported.
@@ -66,7 +66,7 @@
 pub struct Settlement {
     /// The first window that this daemon could settle if nobody has settled any.
     first: Window,
-    known: Option<(u64, Settled)>,
+    known: Option<(u64, SettledWindows)>,
     /// The last window of which a report was accepted, as far as is known.
     reported: Option<Window>,
 }
@@ -78,7 +78,7 @@
     }
 
     /// The record as the store has it.
-    pub fn learned(&mut self, revision: u64, settled: Settled) {
+    pub fn update_record(&mut self, revision: u64, settled: SettledWindows) {
         if self.known.as_ref().is_none_or(|(known, _)| *known < revision) {
             self.known = Some((revision, settled));
         }
@@ -86,12 +86,12 @@
 
     /// Notes that a report of a window was accepted, by whomever it was sent. Windows are reported in
     /// order.
-    pub fn reported(&mut self, window: Window) {
+    pub fn mark_reported(&mut self, window: Window) {
         self.reported = self.reported.max(Some(window));
     }
 
     /// Forgets a record whose replacement has an unknown outcome: it has to be read again.
-    pub fn lost_track(&mut self) {
+    pub fn invalidate(&mut self) {
         self.known = None;
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// The first window that is not known to be reported.
-    pub fn next_due(&self) -> Window {
+    pub fn next_unreported(&self) -> Window {
         self.reported.map_or(self.first, Window::next)
     }
 
@@ -109,7 +109,7 @@
     pub fn proposal(&self, last: Window, total: impl Fn(Window) -> Counts) -> Option<Proposal> {
         let known = self.known.as_ref();
         let mut settled = known.map(|(_, settled)| settled.clone()).unwrap_or_default();
-        let next = settled.through().map_or(self.first, Window::next);
+        let next = settled.last_window().map_or(self.first, Window::next);
         let mut window = next.max(last.before(MAX_CATCH_UP - 1));
         if window > last {
             return None;
--- a/crates/heronbend/src/usage/tests.rs
+++ b/crates/heronbend/src/usage/tests.rs
@@ -6,7 +6,7 @@
 
 use super::Counts;
 use super::Ledger;
-use super::Settled;
+use super::SettledWindows;
 use super::Settlement;
 use super::Window;
 use super::WindowClock;
@@ -54,8 +54,8 @@
 #[test]
 fn a_daemon_that_starts_takes_over_the_time_of_one_that_has_run() {
     let mut clock = WindowClock::new(LENGTH, seconds(0.5), seconds(1003.0));
-    assert!(!clock.hear(seconds(1.0), seconds(1003.55)));
-    assert!(clock.hear(seconds(1.0), seconds(1001.0)));
+    assert!(!clock.adopt_peer_time(seconds(1.0), seconds(1003.55)));
+    assert!(clock.adopt_peer_time(seconds(1.0), seconds(1001.0)));
     assert_eq!(clock.read(seconds(2.0), seconds(1004.5)), seconds(1002.0));
 }
 
@@ -73,18 +73,18 @@
         for _ in 0..60 {
             let window = Window(rng.random_range(0..3));
             let (me, ledger) = &mut own[rng.random_range(0..3)];
-            ledger.add_one(me, window, "t");
+            ledger.increment(me, window, "t");
             requests[window.0 as usize] += 1;
-            let messages = ledger.of(me).map(|(window, counts)| (window, counts.clone()));
+            let messages = ledger.counts_of(me).map(|(window, counts)| (window, counts.clone()));
             told.extend(messages.map(|(window, counts)| (me.clone(), window, counts)));
         }
         let mut collector = Ledger::default();
         for _ in 0..told.len() * 2 {
             let (daemon, window, counts) = &told[rng.random_range(0..told.len())];
-            collector.raise(daemon, *window, counts);
+            collector.merge(daemon, *window, counts);
         }
         for (daemon, window, counts) in told.iter().rev() {
-            collector.raise(daemon, *window, counts);
+            collector.merge(daemon, *window, counts);
         }
         for (window, count) in requests.iter().enumerate() {
             assert_eq!(collector.total(Window(window as u64)).total(), *count);
@@ -95,9 +95,9 @@
 #[test]
 fn another_run_of_a_daemon_counts_anew() {
     let mut ledger = Ledger::default();
-    assert!(ledger.raise(&node("a", 1), Window(1), &counts("t", 3)));
-    assert!(!ledger.raise(&node("a", 1), Window(1), &counts("t", 2)));
-    assert!(ledger.raise(&node("a", 2), Window(1), &counts("t", 1)));
+    assert!(ledger.merge(&node("a", 1), Window(1), &counts("t", 3)));
+    assert!(!ledger.merge(&node("a", 1), Window(1), &counts("t", 2)));
+    assert!(ledger.merge(&node("a", 2), Window(1), &counts("t", 1)));
     assert_eq!(ledger.total(Window(1)), counts("t", 4));
     ledger.forget_before(Window(2));
     assert_eq!(ledger.total(Window(1)), Counts::default());
@@ -108,29 +108,29 @@
     let mut first = Settlement::new(Window(10));
     let proposal = first.proposal(Window(11), |window| counts("t", window.0)).expect("two windows");
     assert_eq!(proposal.replaces, None);
-    first.learned(5, proposal.settled.clone());
+    first.update_record(5, proposal.settled.clone());
     assert_eq!(first.proposal(Window(11), |_| counts("t", 99)), None);
     // Another daemon, which counted otherwise, sends the same text.
     let mut second = Settlement::new(Window(9));
-    second.learned(5, proposal.settled);
+    second.update_record(5, proposal.settled);
     assert_eq!(second.next_report().expect("one").counts, counts("t", 10));
-    second.reported(Window(10));
+    second.mark_reported(Window(10));
     assert_eq!(second.next_report().expect("one").counts, counts("t", 11));
-    second.reported(Window(11));
+    second.mark_reported(Window(11));
     assert_eq!(second.next_report(), None);
     let next = second.proposal(Window(12), |_| counts("t", 7)).expect("one window");
-    assert_eq!((next.replaces, next.settled.through()), (Some(5), Some(Window(12))));
+    assert_eq!((next.replaces, next.settled.last_window()), (Some(5), Some(Window(12))));
 }
 
 #[test]
 fn windows_that_could_not_be_settled_are_caught_up_with_in_order() {
     let mut settlement = Settlement::new(Window(100));
     let long = settlement.proposal(Window(140), |_| Counts::default()).expect("some windows");
-    settlement.learned(1, long.settled);
+    settlement.update_record(1, long.settled);
     let mut sent = Vec::new();
     while let Some(window) = settlement.next_report().map(|report| report.window) {
         sent.push(window.0);
-        settlement.reported(window);
+        settlement.mark_reported(window);
     }
     assert_eq!(sent, (101..=140).collect::<Vec<_>>());
     assert!(settlement.is_reported(Window(140)) && !settlement.is_reported(Window(141)));
@@ -142,22 +142,22 @@
     for revision in 1..=30 {
         let last = Window(revision);
         let proposal = settlement.proposal(last, |_| Counts::default()).expect("one window");
-        settlement.learned(revision, proposal.settled);
+        settlement.update_record(revision, proposal.settled);
         if revision <= 20 {
-            settlement.reported(last);
+            settlement.mark_reported(last);
         }
     }
     let mut fresh = Settlement::new(Window(1));
     let proposal = settlement.proposal(Window(31), |_| Counts::default()).expect("one window");
-    fresh.learned(31, proposal.settled);
+    fresh.update_record(31, proposal.settled);
     assert_eq!(fresh.next_report().expect("one").window, Window(18));
 }
 
 #[test]
 fn an_unknown_outcome_has_to_be_read_before_anything_is_sent() {
     let mut settlement = Settlement::new(Window(1));
-    settlement.learned(3, Settled::default());
-    settlement.lost_track();
+    settlement.update_record(3, SettledWindows::default());
+    settlement.invalidate();
     assert_eq!(settlement.next_report(), None);
     let proposal = settlement.proposal(Window(1), |_| Counts::default()).expect("one window");
     assert_eq!(proposal.replaces, None);
--- a/spec/src/usage_reports.rs
+++ b/spec/src/usage_reports.rs
@@ -14,7 +14,7 @@
 use heronbend::usage::settlement::Proposal;
 use heronbend::usage::Counts;
 use heronbend::usage::Report;
-use heronbend::usage::Settled;
+use heronbend::usage::SettledWindows;
 use heronbend::usage::Settlement;
 use heronbend::usage::Window;
 
@@ -59,7 +59,7 @@
 struct Write {
     by: Key,
     replaces: Option<u64>,
-    settled: Settled,
+    settled: SettledWindows,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -67,14 +67,14 @@
     write: Write,
     /// What the store holds afterwards.
     revision: u64,
-    settled: Settled,
+    settled: SettledWindows,
 }
 
 /// A state of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     closed: u64,
-    record: Option<(u64, Settled)>,
+    record: Option<(u64, SettledWindows)>,
     daemons: Vec<Settlement>,
     runs: Vec<u8>,
     writes: Vec<Write>,
@@ -109,7 +109,7 @@
         next.writes_left = left;
         if self.mutation == Mutation::SendsBeforeSettled {
             let revision = replaces.unwrap_or(0) + 1;
-            next.daemons[daemon].learned(revision, settled.clone());
+            next.daemons[daemon].update_record(revision, settled.clone());
         }
         let by = Key { daemon, run: state.runs[daemon] };
         next.writes.push(Write { by, replaces, settled });
@@ -139,7 +139,7 @@
         }
         let keeps_own = self.mutation == Mutation::KeepsOwn;
         let settled = if keeps_own { answer.write.settled } else { answer.settled };
-        next.daemons[daemon].learned(answer.revision, settled);
+        next.daemons[daemon].update_record(answer.revision, settled);
         next
     }
 
@@ -154,7 +154,7 @@
 
 impl State {
     /// Notes what a record settles; a window's counts may not change.
-    fn note_settled(&mut self, settled: &Settled) {
+    fn note_settled(&mut self, settled: &SettledWindows) {
         for report in settled.reports() {
             let known = self.settled.entry(report.window).or_insert_with(|| report.counts.clone());
             if *known != report.counts {
@@ -181,7 +181,7 @@
             next.violation = Some("two reports of a window differ");
         }
         if is_answered && by.run == next.runs[by.daemon] {
-            next.daemons[by.daemon].reported(report.window);
+            next.daemons[by.daemon].mark_reported(report.window);
         }
         next
     }
@@ -189,27 +189,27 @@
     fn read(&self, daemon: usize) -> Option<Self> {
         let (revision, settled) = self.record.clone()?;
         let mut next = self.clone();
-        next.daemons[daemon].learned(revision, settled);
+        next.daemons[daemon].update_record(revision, settled);
         (next != *self).then_some(next)
     }
 
     fn give_up(&self, daemon: usize) -> Option<Self> {
         let mut next = self.clone();
-        next.daemons[daemon].lost_track();
+        next.daemons[daemon].invalidate();
         (next != *self).then_some(next)
     }
 
     fn hear(&self, daemon: usize) -> Option<Self> {
         let window = *self.accepted.keys().next_back()?;
         let mut next = self.clone();
-        next.daemons[daemon].reported(window);
+        next.daemons[daemon].mark_reported(window);
         (next != *self).then_some(next)
     }
 
     /// Messages are a set: the order in which they were sent does not matter.
     fn sorted(mut self) -> Self {
         self.writes
-            .sort_by_key(|write| (write.by.clone(), write.replaces, write.settled.through()));
+            .sort_by_key(|write| (write.by.clone(), write.replaces, write.settled.last_window()));
         self.answers.sort_by_key(|answer| (answer.write.by.clone(), answer.revision));
         self.reports.sort_by_key(|(by, report)| (by.clone(), report.window));
         self
