--- a/crates/heronbend-daemon/src/duties/rollout/drawing.rs
+++ b/crates/heronbend-daemon/src/duties/rollout/drawing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use heronbend::rollout::{DrawId, Effect, Sample, SlotIndex};
+use heronbend::rollout::{AttemptId, Effect, Sample, SlotIndex};
 use heronbend_http::http_types::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 use smol::Timer;
@@ -74,35 +74,35 @@
     pub(super) fn apply(&self, step: &Rc<Step>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Draw { draw, slot } => {
+                Effect::Start { attempt, slot } => {
                     let (duty, drawn_step) = (self.clone(), step.clone());
                     let task = self.executor.spawn(async move {
-                        duty.draw(&drawn_step, draw, slot).await;
+                        duty.draw(&drawn_step, attempt, slot).await;
                     });
-                    step.state.borrow_mut().draws.insert(draw, task);
+                    step.state.borrow_mut().draws.insert(attempt, task);
                 }
                 // Dropping the task closes the engine's stream, which cancels it there.
-                Effect::Cancel { draw } => drop(step.state.borrow_mut().draws.remove(&draw)),
+                Effect::Cancel { attempt } => drop(step.state.borrow_mut().draws.remove(&attempt)),
             }
         }
     }
 
-    async fn draw(&self, step: &Rc<Step>, draw: DrawId, slot: SlotIndex) {
+    async fn draw(&self, step: &Rc<Step>, attempt: AttemptId, slot: SlotIndex) {
         let drawn = self.draw_and_score(step, slot).await;
         let effects = {
             let mut state = step.state.borrow_mut();
             // Detached rather than dropped: this very task is about to end by itself.
-            if let Some(task) = state.draws.remove(&draw) {
+            if let Some(task) = state.draws.remove(&attempt) {
                 task.detach();
             }
             match drawn {
                 Some(sample) => {
                     self.shared.metrics.samples_drawn.inc();
-                    state.coordinator.on_drawn(draw, sample)
+                    state.coordinator.on_completed(attempt, sample)
                 }
                 None => {
                     self.shared.metrics.draws_failed.inc();
-                    state.coordinator.on_failed(self.shared.now(), draw);
+                    state.coordinator.on_failed(self.shared.now(), attempt);
                     Vec::new()
                 }
             }
--- a/crates/heronbend-daemon/src/duties/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/duties/rollout/mod.rs
@@ -20,8 +20,8 @@
 use heronbend::rollout::api::{Batch, StepAccepted, StepRequest};
 use heronbend::rollout::step_record::OpenStep;
 use heronbend::rollout::{
-    Composition, Sample, SealedBatch, SlotIndex, StepChange, StepCoordinator, StepPlan,
-    StepRefusal, StepResponse,
+    NextBatch, Sample, SealedBatch, SlotIndex, StepChange, StepCoordinator, StepPlan, StepRefusal,
+    StepResponse,
 };
 use smol::lock::Mutex;
 use smol::Timer;
@@ -192,12 +192,12 @@
         }
         let composition = {
             let mut state = step.state.borrow_mut();
-            state.coordinator.compose(floor, step.policy.batch_size)
+            state.coordinator.compose_batch(floor, step.policy.batch_size)
         };
         let samples = match composition {
-            Composition::Ready(samples) => samples,
-            Composition::NotYet => return Ok(None),
-            Composition::Exhausted => return Err(RolloutError::Acknowledged),
+            NextBatch::Ready(samples) => samples,
+            NextBatch::Pending => return Ok(None),
+            NextBatch::Exhausted => return Err(RolloutError::Acknowledged),
         };
         let batch = SealedBatch { number, samples };
         let sealed = self.seal(step, StepChange::Seal { term, batch }).await?;
@@ -225,7 +225,7 @@
         floor: u64,
     ) -> Result<Batch, RolloutError> {
         let number = open.number;
-        let is_stale = |sample: &Sample| !sample.is_within(floor);
+        let is_stale = |sample: &Sample| !sample.is_fresh(floor);
         if open.samples.iter().any(is_stale) {
             let change = StepChange::Withhold { term, number, floor };
             let kept = self.seal(step, change).await?;
@@ -236,13 +236,13 @@
                 state.record.delivered.remove(*slot);
             }
             state.record.open = Some(kept.clone());
-            state.coordinator.on_withheld(withheld.into_iter());
+            state.coordinator.on_evicted(withheld.into_iter());
             open = kept;
         }
         Ok(Batch {
             number,
             samples: open.samples,
-            last: step.state.borrow().coordinator.is_exhausted(),
+            last: step.state.borrow().coordinator.is_fully_delivered(),
         })
     }
 
--- a/crates/heronbend-daemon/src/duties/rollout/step.rs
+++ b/crates/heronbend-daemon/src/duties/rollout/step.rs
@@ -6,7 +6,7 @@
 
 use heronbend::rollout::api::StepRequest;
 use heronbend::rollout::step_record::OpenStep;
-use heronbend::rollout::{DrawId, DrawOrder, StepCoordinator, StepPlan};
+use heronbend::rollout::{AttemptId, SamplingOrder, StepCoordinator, StepPlan};
 use heronbend::settings::Policy;
 use smol::lock::Mutex;
 use smol::Task;
@@ -41,8 +41,8 @@
             floor: state.floor,
             slots: state.record.slots,
             delivered: state.record.delivered.len(),
-            ready: state.coordinator.ready(),
-            drawing: state.coordinator.drawing(),
+            ready: state.coordinator.ready_count(),
+            drawing: state.coordinator.in_flight(),
         }
     }
 }
@@ -62,7 +62,7 @@
 pub(super) struct StepState {
     pub(super) record: OpenStep,
     pub(super) coordinator: StepCoordinator,
-    pub(super) draws: BTreeMap<DrawId, Task<()>>,
+    pub(super) draws: BTreeMap<AttemptId, Task<()>>,
     pub(super) floor: u64,
     pub(super) last_fetch: Instant,
 }
@@ -89,7 +89,7 @@
     (1..=MAX_SLOTS).contains(&slots).then_some(StepPlan {
         prompts,
         samples_per_prompt: request.samples_per_prompt,
-        order: DrawOrder::LongestExpectedFirst,
+        order: SamplingOrder::LongestExpectedFirst,
         max_copies: MAX_COPIES,
         hedge_below_milli: HEDGE_BELOW_MILLI,
     })
--- a/crates/heronbend-emulator/src/experiment/rollout.rs
+++ b/crates/heronbend-emulator/src/experiment/rollout.rs
@@ -14,7 +14,7 @@
 use heronbend::identity::Incarnation;
 use heronbend::lifecycle::{Backend, BackendName, Phase};
 use heronbend::rollout::{
-    Composition, DrawId, DrawOrder, Effect, FinishReason, Sample, Segment, SlotIndex, SlotSet,
+    AttemptId, Effect, FinishReason, NextBatch, Sample, SamplingOrder, Segment, SlotIndex, SlotSet,
     StepCoordinator, StepPlan,
 };
 use heronbend::routing::{Query, Router, Verdict};
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Policy {
     name: &'static str,
-    order: DrawOrder,
+    order: SamplingOrder,
     max_copies: u32,
     /// The next step is posted when the one before it is trained on (false) or when the version
     /// before it is out, so that it fills places that the tail leaves idle (true).
@@ -86,7 +86,7 @@
 
 const BASELINE: Policy = Policy {
     name: "fifo, next step once whole",
-    order: DrawOrder::FirstInFirstOut,
+    order: SamplingOrder::FirstInFirstOut,
     max_copies: 1,
     draws_ahead: false,
     overlaps_training: true,
@@ -97,8 +97,11 @@
     knows_lengths: false,
 };
 
-const LONGEST: Policy =
-    Policy { name: "longest expected first", order: DrawOrder::LongestExpectedFirst, ..BASELINE };
+const LONGEST: Policy = Policy {
+    name: "longest expected first",
+    order: SamplingOrder::LongestExpectedFirst,
+    ..BASELINE
+};
 
 const RESERVE: Policy = Policy {
     name: "longest + reserve",
@@ -141,7 +144,7 @@
         reserves: Some(Reserve { engines: 16, max_batch: 24, after_tokens: 1000.0 }),
         ..RESERVE
     },
-    Policy { name: "fifo + reserve", order: DrawOrder::FirstInFirstOut, ..RESERVE },
+    Policy { name: "fifo + reserve", order: SamplingOrder::FirstInFirstOut, ..RESERVE },
     Policy { name: "longest + early draw", draws_ahead: true, ..LONGEST },
     Policy { name: "idle-leaning", draws_ahead: true, ..RESERVE },
     Policy { name: "staleness-leaning", overlaps_training: false, ..RESERVE },
@@ -191,7 +194,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Running {
     step: u64,
-    draw: DrawId,
+    attempt: AttemptId,
     slot: SlotIndex,
     tokens: u32,
     /// The engine's count of iterations at which it ends.
@@ -201,7 +204,7 @@
 
 struct SimulatedEngine {
     backend: Backend,
-    running: BTreeMap<(u64, DrawId), Running>,
+    running: BTreeMap<(u64, AttemptId), Running>,
     iterations: f64,
     updated: f64,
     slowdown: f64,
@@ -396,7 +399,7 @@
         let mut coordinator = StepCoordinator::new(plan, SlotSet::new());
         if self.policy.knows_lengths {
             for (slot, length) in lengths.iter().enumerate() {
-                coordinator.expect_length(SlotIndex(slot as u32), *length);
+                coordinator.set_expected_length(SlotIndex(slot as u32), *length);
             }
         }
         let state =
@@ -476,7 +479,7 @@
         let Some(step) = self.steps.get_mut(&ended.step) else {
             return;
         };
-        let effects = step.coordinator.on_drawn(ended.draw, sample);
+        let effects = step.coordinator.on_completed(ended.attempt, sample);
         self.cancel(ended.step, &effects);
         self.note_if_whole(ended.step);
         self.move_long_ones();
@@ -490,7 +493,7 @@
     fn take_off(&mut self, engine: usize, running: &Running, verdict: Verdict) {
         let moment = self.moment();
         let state = &mut self.engines[engine];
-        state.running.remove(&(running.step, running.draw));
+        state.running.remove(&(running.step, running.attempt));
         self.router.finished(moment, &state.backend, verdict);
     }
 
@@ -517,10 +520,10 @@
             return;
         };
         let slots = PROMPTS as usize * SAMPLES_PER_PROMPT as usize;
-        if step.whole_at.is_some() || step.coordinator.ready() < slots {
+        if step.whole_at.is_some() || step.coordinator.ready_count() < slots {
             return;
         }
-        if let Composition::Ready(samples) = step.coordinator.compose(0, slots) {
+        if let NextBatch::Ready(samples) = step.coordinator.compose_batch(0, slots) {
             step.oldest = samples.iter().filter_map(Sample::oldest_version).collect();
             step.coordinator.on_sealed(&samples);
             step.whole_at = Some(now);
@@ -529,16 +532,18 @@
 
     fn cancel(&mut self, step: u64, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Cancel { draw } = effect else {
+            let Effect::Cancel { attempt } = effect else {
                 continue;
             };
-            let place =
-                self.engines.iter().position(|engine| engine.running.contains_key(&(step, *draw)));
+            let place = self
+                .engines
+                .iter()
+                .position(|engine| engine.running.contains_key(&(step, *attempt)));
             let Some(engine) = place else {
                 continue;
             };
             self.engines[engine].advance(self.now);
-            let running = self.engines[engine].running[&(step, *draw)];
+            let running = self.engines[engine].running[&(step, *attempt)];
             self.waste(engine, &running);
             self.take_off(engine, &running, Verdict::Abandoned);
             self.reschedule(engine);
@@ -562,7 +567,7 @@
             self.waste(engine, &running);
             let moment = self.moment();
             if let Some(step) = self.steps.get_mut(&running.step) {
-                step.coordinator.on_failed(moment, running.draw);
+                step.coordinator.on_failed(moment, running.attempt);
             }
         }
         self.schedule(self.now + REDRAW_AFTER, Event::Refill);
@@ -578,7 +583,7 @@
         self.engines[engine].advance(self.now);
         let ends_at = self.engines[engine].iterations + left + RESUME_ITERATIONS;
         let resumed = Running { ends_at, ..*running };
-        self.engines[engine].running.insert((running.step, running.draw), resumed);
+        self.engines[engine].running.insert((running.step, running.attempt), resumed);
         self.reschedule(engine);
         true
     }
@@ -595,8 +600,8 @@
             };
             let effects = step.coordinator.schedule(moment, places);
             for effect in effects {
-                if let Effect::Draw { draw, slot } = effect {
-                    touched.extend(self.start(number, draw, slot));
+                if let Effect::Start { attempt, slot } = effect {
+                    touched.extend(self.start(number, attempt, slot));
                 }
             }
         }
@@ -651,7 +656,7 @@
             let left = f64::from(running.tokens) - done;
             let ends_at = self.engines[to].iterations + left;
             let moved = Running { ends_at, ..running };
-            self.engines[to].running.insert((running.step, running.draw), moved);
+            self.engines[to].running.insert((running.step, running.attempt), moved);
             touched.extend([from, to]);
         }
         touched.sort_unstable();
@@ -680,14 +685,14 @@
         best
     }
 
-    fn start(&mut self, step: u64, draw: DrawId, slot: SlotIndex) -> Option<usize> {
+    fn start(&mut self, step: u64, attempt: AttemptId, slot: SlotIndex) -> Option<usize> {
         let engine = self.choose(RESERVED).or_else(|| self.choose(POOL))?;
         let tokens = self.steps[&step].lengths[slot.0 as usize];
         let state = &mut self.engines[engine];
         state.advance(self.now);
         let ends_at = state.iterations + f64::from(tokens);
-        let running = Running { step, draw, slot, tokens, ends_at, version: self.version };
-        state.running.insert((step, draw), running);
+        let running = Running { step, attempt, slot, tokens, ends_at, version: self.version };
+        state.running.insert((step, attempt), running);
         Some(engine)
     }
 
@@ -735,9 +740,9 @@
             .copied();
         if let Some(mut running) = longest {
             let left = running.ends_at - self.engines[from].iterations;
-            self.engines[from].running.remove(&(running.step, running.draw));
+            self.engines[from].running.remove(&(running.step, running.attempt));
             running.ends_at = self.engines[to].iterations + left + MOVE_ITERATIONS;
-            self.engines[to].running.insert((running.step, running.draw), running);
+            self.engines[to].running.insert((running.step, running.attempt), running);
             self.reschedule(from);
             self.reschedule(to);
         }
--- a/crates/heronbend-emulator/src/trainer.rs
+++ b/crates/heronbend-emulator/src/trainer.rs
@@ -256,7 +256,7 @@
             report.samples += 1;
             report.tokens += u64::from(sample.tokens());
             report.doubled += u64::from(!self.seen.insert(sample.slot));
-            report.too_old += u64::from(!sample.is_within(floor));
+            report.too_old += u64::from(!sample.is_fresh(floor));
             let oldest = sample.oldest_version().unwrap_or(0);
             report.staleness_sum += version.saturating_sub(oldest);
             let prompt = prompts.get((sample.slot.0 / self.arguments.samples) as usize);
--- a/crates/heronbend/src/rollout/mod.rs
+++ b/crates/heronbend/src/rollout/mod.rs
@@ -19,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use coordinator::{Composition, DrawId, DrawOrder, Effect, StepCoordinator, StepPlan};
+pub use coordinator::{AttemptId, Effect, NextBatch, SamplingOrder, StepCoordinator, StepPlan};
 pub use sample::{FinishReason, Sample, Segment};
 pub use slots::{SlotIndex, SlotSet};
 pub use step_record::{SealedBatch, StepChange, StepRecord, StepRefusal, StepResponse};
--- a/crates/heronbend/src/rollout/sample.rs
+++ b/crates/heronbend/src/rollout/sample.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether every token was drawn from `floor` or a later version.
-    pub fn is_within(&self, floor: u64) -> bool {
+    pub fn is_fresh(&self, floor: u64) -> bool {
         self.oldest_version().is_some_and(|oldest| oldest >= floor)
     }
 }
--- a/crates/heronbend/src/rollout/step_record.rs
+++ b/crates/heronbend/src/rollout/step_record.rs
@@ -241,7 +241,7 @@
         };
         let (kept, stale) = std::mem::take(&mut open.samples)
             .into_iter()
-            .partition(|sample| sample.is_within(floor));
+            .partition(|sample| sample.is_fresh(floor));
         open.samples = kept;
         let stale: Vec<Sample> = stale;
         let batch = open.clone();
--- a/crates/heronbend/src/rollout/tests.rs
+++ b/crates/heronbend/src/rollout/tests.rs
@@ -32,15 +32,15 @@
     StepPlan {
         prompts,
         samples_per_prompt,
-        order: DrawOrder::LongestExpectedFirst,
+        order: SamplingOrder::LongestExpectedFirst,
         max_copies: 1,
         hedge_below_milli: 0,
     }
 }
 
-fn drawn_slots(effects: &[Effect]) -> Vec<u32> {
+fn started_slots(effects: &[Effect]) -> Vec<u32> {
     let slot = |effect: &Effect| match effect {
-        Effect::Draw { slot, .. } => Some(slot.0),
+        Effect::Start { slot, .. } => Some(slot.0),
         Effect::Cancel { .. } => None,
     };
     effects.iter().filter_map(slot).collect()
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn segments_follow_on_and_a_swap_opens_a_new_one() {
+fn contiguous_segments_merge_and_a_version_change_starts_a_new_one() {
     let mut segments = Vec::new();
     assert!(append_segment(&mut segments, segment(1, 0, 4)));
     assert!(append_segment(&mut segments, segment(1, 4, 6)));
@@ -80,34 +80,34 @@
 }
 
 #[test]
-fn the_age_of_a_sample_is_that_of_its_oldest_segment() {
+fn sample_staleness_is_that_of_its_oldest_segment() {
     let mut mixed = sample(0, 5, 3);
     mixed.segments.push(segment(4, 3, 6));
     assert_eq!(mixed.oldest_version(), Some(4));
-    assert!(!mixed.is_within(5));
+    assert!(!mixed.is_fresh(5));
 }
 
 #[test]
-fn the_first_composition_of_a_batch_stands_and_no_slot_is_sealed_twice() {
+fn first_sealed_batch_wins_and_no_slot_is_sealed_twice() {
     let mut record = Record(None);
     record.begin("a", 3);
     let first = batch(0, vec![sample(0, 1, 1)]);
     assert_eq!(record.seal(1, first.clone()), StepResponse::Sealed(first.clone()));
-    let rival = batch(0, vec![sample(1, 1, 1)]);
-    assert_eq!(record.seal(1, rival), StepResponse::Sealed(first));
-    let doubled = record.seal(1, batch(1, vec![sample(0, 1, 1)]));
-    assert_eq!(doubled, StepResponse::Refused(StepRefusal::AlreadyDelivered));
+    let competing = batch(0, vec![sample(1, 1, 1)]);
+    assert_eq!(record.seal(1, competing), StepResponse::Sealed(first));
+    let duplicate = record.seal(1, batch(1, vec![sample(0, 1, 1)]));
+    assert_eq!(duplicate, StepResponse::Refused(StepRefusal::AlreadyDelivered));
     let skipped = record.seal(1, batch(2, vec![sample(2, 1, 1)]));
     assert_eq!(skipped, StepResponse::Refused(StepRefusal::OutOfOrder { next: 1 }));
 }
 
 #[test]
-fn a_coordinator_that_was_replaced_is_fenced() {
+fn replaced_coordinator_is_fenced() {
     let mut record = Record(None);
     assert_matches!(record.begin("a", 2), StepResponse::Begun(step) if step.term == 1);
     assert_matches!(record.begin("b", 2), StepResponse::Begun(step) if step.term == 2);
-    let late = record.seal(1, batch(0, vec![sample(0, 1, 1)]));
-    assert_matches!(late, StepResponse::Refused(StepRefusal::Fenced { .. }));
+    let stale_seal = record.seal(1, batch(0, vec![sample(0, 1, 1)]));
+    assert_matches!(stale_seal, StepResponse::Refused(StepRefusal::Fenced { .. }));
     assert_matches!(
         record.begin("b", 3),
         StepResponse::Refused(StepRefusal::Mismatch { slots: 2 })
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn a_higher_floor_withholds_what_went_stale_for_drawing_again() {
+fn raising_the_version_floor_evicts_stale_samples_from_the_open_batch() {
     let mut record = Record(None);
     record.begin("a", 2);
     record.seal(1, batch(0, vec![sample(0, 1, 1), sample(1, 2, 1)]));
-    let withheld = record.change(StepChange::Withhold { term: 1, number: 0, floor: 2 });
-    assert_matches!(withheld, StepResponse::Sealed(batch) if batch.samples.len() == 1);
-    let early = record.change(StepChange::Complete { number: 0, expires: 0 });
-    assert_eq!(early, StepResponse::Refused(StepRefusal::Unfinished));
+    let evicted = record.change(StepChange::Withhold { term: 1, number: 0, floor: 2 });
+    assert_matches!(evicted, StepResponse::Sealed(batch) if batch.samples.len() == 1);
+    let premature = record.change(StepChange::Complete { number: 0, expires: 0 });
+    assert_eq!(premature, StepResponse::Refused(StepRefusal::Unfinished));
     assert_matches!(record.seal(1, batch(1, vec![sample(0, 2, 1)])), StepResponse::Sealed(_));
     let complete = StepChange::Complete { number: 1, expires: 0 };
     assert_eq!(record.change(complete.clone()), StepResponse::Completed);
@@ -131,58 +131,58 @@
 }
 
 #[test]
-fn one_sample_of_each_prompt_is_drawn_first_and_then_the_longest_prompts() {
+fn one_sample_per_prompt_is_generated_first_then_the_longest_prompts() {
     let mut coordinator = StepCoordinator::new(plan(3, 2), SlotSet::new());
     let first = coordinator.schedule(Moment::ZERO, 3);
-    assert_eq!(drawn_slots(&first), [0, 2, 4]);
-    for (draw, (slot, tokens)) in [(0, 10), (2, 90), (4, 50)].into_iter().enumerate() {
-        coordinator.on_drawn(DrawId(draw as u64), sample(slot, 1, tokens));
+    assert_eq!(started_slots(&first), [0, 2, 4]);
+    for (attempt, (slot, tokens)) in [(0, 10), (2, 90), (4, 50)].into_iter().enumerate() {
+        coordinator.on_completed(AttemptId(attempt as u64), sample(slot, 1, tokens));
     }
-    assert_eq!(drawn_slots(&coordinator.schedule(Moment::ZERO, 3)), [3, 5, 1]);
+    assert_eq!(started_slots(&coordinator.schedule(Moment::ZERO, 3)), [3, 5, 1]);
 }
 
 #[test]
-fn a_hedge_fills_the_slot_once_and_the_slower_copy_is_cancelled() {
+fn hedged_slot_is_filled_once_and_the_slower_copy_is_cancelled() {
     let hedged = StepPlan { max_copies: 2, hedge_below_milli: 1000, ..plan(1, 2) };
     let mut coordinator = StepCoordinator::new(hedged, SlotSet::new());
     let effects = coordinator.schedule(Moment::ZERO, 4);
-    assert_eq!(drawn_slots(&effects), [0, 1, 0, 1]);
-    let cancelled = coordinator.on_drawn(DrawId(2), sample(0, 1, 7));
-    assert_eq!(cancelled, [Effect::Cancel { draw: DrawId(0) }]);
-    assert_eq!(coordinator.on_drawn(DrawId(0), sample(0, 1, 7)), []);
-    assert_eq!((coordinator.ready(), coordinator.wasted_tokens()), (1, 7));
+    assert_eq!(started_slots(&effects), [0, 1, 0, 1]);
+    let cancelled = coordinator.on_completed(AttemptId(2), sample(0, 1, 7));
+    assert_eq!(cancelled, [Effect::Cancel { attempt: AttemptId(0) }]);
+    assert_eq!(coordinator.on_completed(AttemptId(0), sample(0, 1, 7)), []);
+    assert_eq!((coordinator.ready_count(), coordinator.wasted_tokens()), (1, 7));
 }
 
 #[test]
-fn samples_below_the_floor_are_not_composed_but_drawn_again() {
+fn samples_below_the_version_floor_are_regenerated() {
     let mut coordinator = StepCoordinator::new(plan(2, 1), SlotSet::new());
     coordinator.schedule(Moment::ZERO, 2);
-    coordinator.on_drawn(DrawId(0), sample(0, 1, 1));
-    coordinator.on_drawn(DrawId(1), sample(1, 2, 1));
-    assert_eq!(coordinator.compose(2, 2), Composition::NotYet);
-    assert_eq!(drawn_slots(&coordinator.schedule(Moment::ZERO, 2)), [0]);
-    coordinator.on_drawn(DrawId(2), sample(0, 2, 1));
-    let composed = coordinator.compose(2, 2);
-    assert_matches!(&composed, Composition::Ready(samples) if samples.len() == 2);
-    let Composition::Ready(samples) = composed else { return };
+    coordinator.on_completed(AttemptId(0), sample(0, 1, 1));
+    coordinator.on_completed(AttemptId(1), sample(1, 2, 1));
+    assert_eq!(coordinator.compose_batch(2, 2), NextBatch::Pending);
+    assert_eq!(started_slots(&coordinator.schedule(Moment::ZERO, 2)), [0]);
+    coordinator.on_completed(AttemptId(2), sample(0, 2, 1));
+    let composed = coordinator.compose_batch(2, 2);
+    assert_matches!(&composed, NextBatch::Ready(samples) if samples.len() == 2);
+    let NextBatch::Ready(samples) = composed else { return };
     coordinator.on_sealed(&samples);
-    assert_eq!(coordinator.compose(2, 2), Composition::Exhausted);
+    assert_eq!(coordinator.compose_batch(2, 2), NextBatch::Exhausted);
 }
 
 #[test]
-fn a_failed_draw_is_tried_again() {
+fn failed_attempt_is_retried_after_a_delay() {
     let mut coordinator = StepCoordinator::new(plan(1, 1), SlotSet::new());
     coordinator.schedule(Moment::ZERO, 1);
-    coordinator.on_failed(Moment::ZERO, DrawId(0));
+    coordinator.on_failed(Moment::ZERO, AttemptId(0));
     assert!(coordinator.schedule(Moment::ZERO, 1).is_empty());
-    let later = Moment::from_secs(1);
-    assert_eq!(drawn_slots(&coordinator.schedule(later, 1)), [0]);
+    let after_delay = Moment::from_secs(1);
+    assert_eq!(started_slots(&coordinator.schedule(after_delay, 1)), [0]);
 }
 
 #[test]
-fn a_new_coordinator_draws_only_what_is_not_delivered() {
+fn new_coordinator_schedules_only_undelivered_slots() {
     let mut delivered = SlotSet::new();
     delivered.insert(SlotIndex(0));
     let mut coordinator = StepCoordinator::new(plan(2, 1), delivered);
-    assert_eq!(drawn_slots(&coordinator.schedule(Moment::ZERO, 9)), [1]);
+    assert_eq!(started_slots(&coordinator.schedule(Moment::ZERO, 9)), [1]);
 }
--- a/crates/heronbend/src/rollout/waiting.rs
+++ b/crates/heronbend/src/rollout/waiting.rs
@@ -21,27 +21,27 @@
 
 impl WaitingQueue {
     /// Adds a slot behind those of equal expectation.
-    pub(super) fn push_back(&mut self, slot: SlotIndex, expected: u32) {
+    pub(super) fn push_back(&mut self, slot: SlotIndex, expected_length: u32) {
         self.next_back += 1;
-        self.insert(slot, (Reverse(expected), self.next_back));
+        self.insert(slot, (Reverse(expected_length), self.next_back));
     }
 
     /// Adds a slot before those of equal expectation.
-    pub(super) fn push_front(&mut self, slot: SlotIndex, expected: u32) {
+    pub(super) fn push_front(&mut self, slot: SlotIndex, expected_length: u32) {
         self.next_front -= 1;
-        self.insert(slot, (Reverse(expected), self.next_front));
+        self.insert(slot, (Reverse(expected_length), self.next_front));
     }
 
     /// Adds a slot that is not to be drawn before `due`.
-    pub(super) fn push_delayed(&mut self, due: Moment, slot: SlotIndex) {
-        self.delayed.insert((due, slot));
+    pub(super) fn push_delayed(&mut self, ready_at: Moment, slot: SlotIndex) {
+        self.delayed.insert((ready_at, slot));
     }
 
     /// Takes out slots whose delay is over.
     pub(super) fn take_due(&mut self, now: Moment) -> Vec<SlotIndex> {
         let mut due = Vec::new();
-        while let Some((moment, slot)) = self.delayed.first().copied() {
-            if moment > now {
+        while let Some((ready_at, slot)) = self.delayed.first().copied() {
+            if ready_at > now {
                 break;
             }
             self.delayed.pop_first();
@@ -51,10 +51,10 @@
     }
 
     /// Changes the expectation of a slot, if it waits.
-    pub(super) fn expect(&mut self, slot: SlotIndex, expected: u32) {
+    pub(super) fn set_expected_length(&mut self, slot: SlotIndex, expected_length: u32) {
         if let Some((_, sequence)) = self.ranks.get(&slot).copied() {
             self.remove(slot);
-            self.insert(slot, (Reverse(expected), sequence));
+            self.insert(slot, (Reverse(expected_length), sequence));
         }
     }
 
