--- a/crates/heronbend/src/identity.rs
+++ b/crates/heronbend/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names that tell processes and their restarts apart.
+//! Identifiers of daemons and of their incarnations.
 
 use std::fmt;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,7 +6,7 @@
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// A daemon's configured name, kept across restarts.
+/// The configured name of a daemon, stable across restarts.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -20,7 +20,7 @@
     }
 }
 
-/// Distinguishes one run of a process from another; larger for a later run.
+/// Identifies one run of a process. Later runs have larger values.
 #[derive(
     Debug,
     Clone,
@@ -41,13 +41,13 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a process that starts now: milliseconds since the Unix epoch.
+    /// Returns the incarnation of a process starting now: milliseconds since the Unix epoch.
     pub fn starting_now() -> Self {
         Self(epoch_millis())
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn epoch_millis() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
@@ -60,19 +60,19 @@
     }
 }
 
-/// One run of one daemon. A restarted daemon is another node: it has forgotten everything.
+/// One incarnation of a daemon. A restarted daemon is a new node, as it keeps no state.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct NodeId {
-    /// The daemon.
+    /// Name of the daemon.
     pub name: NodeName,
-    /// Its run.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
 impl NodeId {
-    /// A node of this name and incarnation.
+    /// Creates the identifier of the given incarnation of a daemon.
     pub fn new(name: &str, incarnation: u64) -> Self {
         Self { name: NodeName(name.to_owned()), incarnation: Incarnation(incarnation) }
     }
--- a/crates/heronbend/src/lib.rs
+++ b/crates/heronbend/src/lib.rs
@@ -1,28 +1,28 @@
-//! Coordination parts of heronbend, a rollout service for reinforcement learning.
+//! Coordination logic of heronbend, a rollout service for reinforcement learning.
 //!
-//! Each module is one duty, kept free of I/O: state machines take the current time and an input and
-//! return effects. The daemon drives them with threads and sockets, the specification explores
-//! them exhaustively, and the emulator runs hundreds of them in one process. It is the same code in
-//! all three, so what is checked is what ships.
+//! Each module is a set of state machines without I/O: they take the current time and an input and
+//! return effects. The daemon drives them with threads and sockets, the model checker in `spec`
+//! explores their states, and the emulator runs hundreds of them in one process, so all three
+//! exercise the same code.
 //!
-//! - [`settings`]: the tree operators edit, validated and compiled.
-//! - [`membership`]: which daemons are alive, and rumours spread among them.
-//! - [`record`]: what the daemon keeps in registers.
-//! - [`register`]: replicated registers on shard replica sets; the core protocol.
-//! - [`request`]: at-most-once claims of not-repeatable requests.
-//! - [`rollout`]: steps, samples and sealed batches.
-//! - [`weights`]: rolling a weight version out to engines.
-//! - [`lifecycle`]: live and leaving back ends.
-//! - [`routing`]: which back end serves a request.
-//! - [`overlay`]: the tree by which news reaches all daemons of a zone.
-//! - [`placement`]: which server runs a request, how long work waits, when it is turned away.
-//! - [`quarantine`]: requests that end the servers that run them.
-//! - [`rate`]: a rate that many daemons keep together.
-//! - [`access`]: tenants and their keys.
-//! - [`admission`]: caller limits and the retry budget.
-//! - [`scaling`]: how many servers to order.
-//! - [`usage`]: what tenants use, by windows of time.
-//! - [`external`]: message types of the outside systems.
+//! - [`settings`]: the settings tree, its validation, and its compilation into policies.
+//! - [`membership`]: failure detection and gossip among daemons.
+//! - [`record`]: the values that the daemon stores in registers.
+//! - [`register`]: the consensus protocol for registers replicated on shard replica sets.
+//! - [`request`]: at-most-once execution of non-idempotent requests.
+//! - [`rollout`]: scheduling of rollout steps and delivery of their samples in batches.
+//! - [`weights`]: rollout of weight versions to engines.
+//! - [`lifecycle`]: lifecycle phases of backends: live, leaving, gone.
+//! - [`routing`]: selection of a backend for a request.
+//! - [`overlay`]: the broadcast tree that carries updates to all daemons of a zone.
+//! - [`placement`]: server selection, queueing and load shedding.
+//! - [`quarantine`]: isolation of requests that crash the servers running them.
+//! - [`rate`]: distributed rate limiting.
+//! - [`access`]: tenants and their API keys.
+//! - [`admission`]: per-caller concurrency limits and the retry budget.
+//! - [`scaling`]: autoscaling: how many servers to request.
+//! - [`usage`]: usage metering by tenant and time window.
+//! - [`external`]: message types of external systems.
 
 pub mod access;
 pub mod admission;
@@ -44,5 +44,5 @@
 pub mod usage;
 pub mod weights;
 
-/// Time since an arbitrary start that is the same for all inputs of one state machine.
+/// Monotonic time since an arbitrary origin that is fixed for the lifetime of a state machine.
 pub type Moment = std::time::Duration;
--- a/crates/heronbend/src/lifecycle/mod.rs
+++ b/crates/heronbend/src/lifecycle/mod.rs
@@ -1,8 +1,9 @@
-//! Live and leaving back ends.
+//! Lifecycle phases of backends.
 //!
-//! Three sources say that a back end leaves: the platform's list of machines, which lags; the back
-//! end's own answers and reports; and the operator. The earliest wins, and within one incarnation
-//! nothing brings a leaving back end back, however old the list that still calls it live.
+//! A backend's phase is learned from the platform's machine list, which may be stale, from the
+//! backend's own responses and reports, from operators, and from other daemons. The first report of
+//! a later phase takes effect. Within one incarnation the phase only advances, so a stale machine
+//! list cannot make a leaving backend live again.
 
 mod state;
 #[cfg(test)]
--- a/crates/heronbend/src/lifecycle/state.rs
+++ b/crates/heronbend/src/lifecycle/state.rs
@@ -1,4 +1,4 @@
-//! The state of each back end, without I/O.
+//! Phase tracking for each backend.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 use crate::identity::Incarnation;
 use crate::Moment;
 
-/// A back end's name in the platform's list of machines.
+/// Name of a backend in the platform's machine list.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -24,75 +24,75 @@
     }
 }
 
-/// A model engine or application server, as the platform lists it.
+/// A model engine or application server from the machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend.
     pub name: BackendName,
-    /// The run of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// The pool it belongs to.
+    /// Pool that it belongs to.
     pub pool: String,
-    /// Where it listens.
+    /// Address on which it listens for HTTP.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// Zone in which it runs.
     pub zone: String,
 }
 
-/// How far a back end is in its life; later phases are larger.
+/// Lifecycle phase of a backend. Later phases compare greater.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes its work and takes no new.
+    /// Draining: finishes in-flight work and accepts no new work.
     Leaving,
-    /// Is no more.
+    /// Terminated.
     Gone,
 }
 
-/// Who says so.
+/// Source of a phase report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SignalSource {
-    /// The platform's list of machines.
+    /// The platform's machine list.
     MachineList,
-    /// The back end's own answer or report.
+    /// The backend's own response or report.
     BackendReport,
-    /// An operator's drain order.
+    /// An operator's drain command.
     Operator,
-    /// Another daemon's rumour.
+    /// Gossip from another daemon.
     Peer,
 }
 
-/// A phase as some source states it.
+/// The reported phase of one incarnation of a backend.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Encode, Decode)]
 pub struct BackendPhase {
-    /// The back end.
+    /// Name of the backend.
     pub name: BackendName,
-    /// The run that is meant.
+    /// Incarnation to which the phase applies.
     pub incarnation: Incarnation,
-    /// Its phase.
+    /// Phase of that incarnation.
     pub phase: Phase,
 }
 
-/// An input: what a source says.
+/// A phase report, the input to [`Lifecycle::observe`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Signal {
-    /// Who says so.
+    /// Source of the report.
     pub source: SignalSource,
-    /// What it says.
+    /// Reported phase.
     pub stated: BackendPhase,
 }
 
-/// A change of a back end's phase, to be acted upon in the same step.
+/// A change of a backend's phase.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LifecycleChange {
-    /// The phase from now on.
+    /// The new phase.
     pub stated: BackendPhase,
-    /// Whose word it was.
+    /// Source of the report that caused the change.
     pub source: SignalSource,
 }
 
@@ -103,23 +103,24 @@
     since: Moment,
 }
 
-/// Phases of all back ends.
+/// Phases of all known backends.
 ///
-/// Invariant: for one incarnation of a back end the phase never goes back, and an older incarnation
-/// never replaces a newer one.
+/// Invariant: the phase of an incarnation never moves backwards, and an older incarnation never
+/// replaces a newer one.
 #[derive(Debug, Clone, Default)]
 pub struct Lifecycle {
     entries: BTreeMap<BackendName, Entry>,
 }
 
 impl Lifecycle {
-    /// Takes in what a source says; the change, if it is one.
+    /// Applies a report and returns the resulting change, or `None` if the report is stale.
     pub fn observe(&mut self, now: Moment, signal: Signal) -> Option<LifecycleChange> {
         let Signal { source, stated } = signal;
         if let Some(entry) = self.entries.get(&stated.name) {
-            let newer_run = stated.incarnation > entry.incarnation;
-            let later_phase = stated.incarnation == entry.incarnation && stated.phase > entry.phase;
-            if !newer_run && !later_phase {
+            let is_newer_incarnation = stated.incarnation > entry.incarnation;
+            let is_later_phase =
+                stated.incarnation == entry.incarnation && stated.phase > entry.phase;
+            if !is_newer_incarnation && !is_later_phase {
                 return None;
             }
         }
@@ -128,7 +129,7 @@
         Some(LifecycleChange { stated, source })
     }
 
-    /// The phase of one run of a back end; `Gone` when a newer run is known, or none.
+    /// Returns the phase of one incarnation of a backend, `Gone` if that is not the newest known one.
     pub fn phase(&self, name: &BackendName, incarnation: Incarnation) -> Phase {
         match self.entries.get(name) {
             Some(entry) if entry.incarnation == incarnation => entry.phase,
@@ -136,12 +137,12 @@
         }
     }
 
-    /// The newest known run of a back end.
+    /// Returns the newest known incarnation of a backend.
     pub fn incarnation(&self, name: &BackendName) -> Option<Incarnation> {
         self.entries.get(name).map(|entry| entry.incarnation)
     }
 
-    /// Forgets back ends that have been gone since before `cutoff`.
+    /// Removes backends that have been gone since before `cutoff`.
     pub fn forget_gone_before(&mut self, cutoff: Moment) {
         self.entries.retain(|_, entry| entry.phase != Phase::Gone || entry.since >= cutoff);
     }
--- a/crates/heronbend/src/record.rs
+++ b/crates/heronbend/src/record.rs
@@ -1,6 +1,6 @@
-//! What the daemon keeps in registers: claims, steps and fences behind one type.
+//! The value type of the daemon's registers: a claim, a step or a fence.
 //!
-//! The key's prefix says which: a register never changes its kind.
+//! The key prefix determines the kind, which never changes during the lifetime of a register.
 
 use musli::{Decode, Encode};
 
@@ -12,15 +12,15 @@
 /// The value of a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Record {
-    /// A not-repeatable request.
+    /// State of a non-idempotent request.
     Claim(Claim),
-    /// A trainer's step.
+    /// State of a trainer's step.
     Step(StepRecord),
-    /// Fencing tokens of a model's weight orders.
+    /// The fencing token for the weight commands of a model.
     Fence(Fence),
 }
 
-/// A change of a register.
+/// A change to a register.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum RecordChange {
     /// See [`Record::Claim`].
@@ -31,7 +31,7 @@
     Fence(FenceChange),
 }
 
-/// What the author of a change learns.
+/// The response to a [`RecordChange`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordResponse {
     /// See [`Record::Claim`].
@@ -40,7 +40,7 @@
     Step(StepResponse),
     /// See [`Record::Fence`].
     Fence(Fence),
-    /// The register is of another kind; nothing was changed.
+    /// The register holds a value of another kind and was left unchanged.
     WrongKind,
 }
 
@@ -51,17 +51,17 @@
     fn apply(current: Option<&Self>, change: &RecordChange) -> Applied<Self, RecordResponse> {
         match (current, change) {
             (Some(Self::Claim(claim)), RecordChange::Claim(change)) => {
-                claim_applied(Claim::apply(Some(claim), change))
+                wrap_claim(Claim::apply(Some(claim), change))
             }
-            (None, RecordChange::Claim(change)) => claim_applied(Claim::apply(None, change)),
+            (None, RecordChange::Claim(change)) => wrap_claim(Claim::apply(None, change)),
             (Some(Self::Step(step)), RecordChange::Step(change)) => {
-                step_applied(StepRecord::apply(Some(step), change))
+                wrap_step(StepRecord::apply(Some(step), change))
             }
-            (None, RecordChange::Step(change)) => step_applied(StepRecord::apply(None, change)),
+            (None, RecordChange::Step(change)) => wrap_step(StepRecord::apply(None, change)),
             (Some(Self::Fence(fence)), RecordChange::Fence(change)) => {
-                fence_applied(Fence::apply(Some(fence), change))
+                wrap_fence(Fence::apply(Some(fence), change))
             }
-            (None, RecordChange::Fence(change)) => fence_applied(Fence::apply(None, change)),
+            (None, RecordChange::Fence(change)) => wrap_fence(Fence::apply(None, change)),
             (Some(other), _) => {
                 Applied { value: other.clone(), response: RecordResponse::WrongKind }
             }
@@ -70,9 +70,10 @@
 }
 
 impl Record {
-    /// Whether the register may be collected at this time, in seconds since the Unix epoch.
+    /// Returns whether the register may be garbage-collected at `now_epoch_seconds`, in seconds since
+    /// the Unix epoch.
     ///
-    /// Only what has ended expires. Fences are kept: there is one a model.
+    /// Only settled claims and completed steps expire. Fences, one per model, are kept forever.
     pub fn is_expired(&self, now_epoch_seconds: u64) -> bool {
         match self {
             Self::Claim(Claim::Settled { expires, .. })
@@ -82,33 +83,33 @@
     }
 }
 
-/// Register of a caller's idempotency key.
+/// Returns the key of the claim register for a caller's idempotency key.
 pub fn claim_key(caller: &str, idempotency_key: &str) -> Key {
     Key(format!("claim/{caller}/{idempotency_key}"))
 }
 
-/// Register of a trainer's step.
+/// Returns the key of the register for a trainer's step.
 pub fn step_key(trainer: &str, step: u64) -> Key {
     Key(format!("step/{trainer}/{step}"))
 }
 
-/// Register of a model's fencing tokens.
+/// Returns the key of the register for a model's fencing token.
 pub fn fence_key(model: &str) -> Key {
     Key(format!("fence/{model}"))
 }
 
-fn claim_applied(applied: Applied<Claim, ClaimResponse>) -> Applied<Record, RecordResponse> {
+fn wrap_claim(applied: Applied<Claim, ClaimResponse>) -> Applied<Record, RecordResponse> {
     Applied {
         value: Record::Claim(applied.value),
         response: RecordResponse::Claim(applied.response),
     }
 }
 
-fn step_applied(applied: Applied<StepRecord, StepResponse>) -> Applied<Record, RecordResponse> {
+fn wrap_step(applied: Applied<StepRecord, StepResponse>) -> Applied<Record, RecordResponse> {
     Applied { value: Record::Step(applied.value), response: RecordResponse::Step(applied.response) }
 }
 
-fn fence_applied(applied: Applied<Fence, Fence>) -> Applied<Record, RecordResponse> {
+fn wrap_fence(applied: Applied<Fence, Fence>) -> Applied<Record, RecordResponse> {
     Applied {
         value: Record::Fence(applied.value),
         response: RecordResponse::Fence(applied.response),
--- a/crates/heronbend/src/rollout/api.rs
+++ b/crates/heronbend/src/rollout/api.rs
@@ -1,43 +1,43 @@
-//! What trainers and daemons say to each other over HTTP.
+//! HTTP message types between trainers and daemons.
 
 use serde::{Deserialize, Serialize};
 
 use super::sample::Sample;
 
-/// Body of `POST /v1/rollouts/{trainer}/steps/{step}`. Posting a step again is harmless.
+/// Body of `POST /v1/rollouts/{trainer}/steps/{step}`. The request is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRequest {
-    /// The prompts.
+    /// Prompts to sample from.
     pub prompts: Vec<String>,
-    /// Samples wanted of each prompt.
+    /// Number of samples per prompt.
     pub samples_per_prompt: u32,
-    /// Most tokens of one sample.
+    /// Maximum number of tokens per sample.
     pub max_tokens: u32,
-    /// The trainer's own weight version.
+    /// The trainer's current weight version.
     pub version: u64,
 }
 
-/// Answer to a posted step.
+/// Response to a posted step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepAccepted {
-    /// Number of slots.
+    /// Number of slots in the step.
     pub slots: u32,
-    /// Slots delivered so far.
+    /// Number of slots delivered so far.
     pub delivered: u32,
-    /// Number of the first batch that is not acknowledged.
+    /// Number of the first unacknowledged batch.
     pub next_batch: u32,
 }
 
-/// Answer of `GET /v1/rollouts/{trainer}/steps/{step}/batches/{number}?floor={version}`.
+/// Response to `GET /v1/rollouts/{trainer}/steps/{step}/batches/{number}?floor={version}`.
 ///
-/// Fetching a batch again gives the same samples, less those that a higher floor rules out.
+/// Fetching a batch again returns the same samples, without those older than a higher floor.
 /// Fetching the next batch acknowledges this one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Number of the batch.
+    /// Number of the batch in its step, from 0.
     pub number: u32,
-    /// Its samples.
+    /// Samples of the batch.
     pub samples: Vec<Sample>,
-    /// Whether every slot of the step is delivered with this batch.
+    /// Whether this batch completes the delivery of all slots.
     pub last: bool,
 }
--- a/crates/heronbend/src/rollout/coordinator.rs
+++ b/crates/heronbend/src/rollout/coordinator.rs
@@ -1,8 +1,9 @@
-//! Which sample to draw next, without I/O.
+//! Scheduling of the samples of a step.
 //!
-//! Samples of one prompt have similar lengths, and a few run far longer than the rest. Drawing the
-//! longest-expected first keeps them off the end of the step; near the end, idle places draw a
-//! second copy of samples still under way, and the first copy to finish fills the slot.
+//! Samples of the same prompt have similar lengths, and a few are far longer than the rest. Generating
+//! the samples with the longest expected length first shortens the tail of the step. Near its end,
+//! idle engine capacity is used for hedging: a slot in flight gets a second attempt, and the first
+//! attempt to finish fills the slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,73 +15,73 @@
 use super::waiting::WaitingQueue;
 use crate::Moment;
 
-/// Wait before a slot whose draw failed is drawn again.
+/// Delay before a slot is retried after a failed attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Number of one attempt to draw a sample, unique in its step and daemon.
+/// Identifies an attempt to generate a sample, unique within a [`StepCoordinator`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// The order in which waiting slots are drawn.
+/// Order in which waiting slots are generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SamplingOrder {
-    /// In the order of the step.
+    /// In slot order.
     FirstInFirstOut,
-    /// One sample of each prompt first, then prompts by the longest sample seen of them.
+    /// One sample of each prompt first, then by the longest sample of the prompt so far, descending.
     LongestExpectedFirst,
 }
 
-/// How a step is drawn.
+/// Parameters of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepPlan {
     /// Number of prompts.
     pub prompts: u32,
-    /// Samples of each prompt.
+    /// Number of samples per prompt.
     pub samples_per_prompt: u32,
-    /// Order of drawing.
+    /// Order in which slots are generated.
     pub order: SamplingOrder,
-    /// Most copies of one sample that are drawn at once; 1 for no hedging.
+    /// Maximum number of concurrent attempts per slot; 1 disables hedging.
     pub max_copies: u32,
-    /// Share of the slots, in thousandths, that may be unfilled when hedging begins.
+    /// Hedging starts when the fraction of slots in flight is at most this, in thousandths.
     pub hedge_below_milli: u32,
 }
 
 impl StepPlan {
-    /// Number of slots.
+    /// Returns the number of slots.
     pub fn slots(&self) -> u32 {
         self.prompts * self.samples_per_prompt
     }
 
-    /// The prompt of a slot.
+    /// Returns the index of the prompt of a slot.
     pub fn prompt_of(&self, slot: SlotIndex) -> u32 {
         slot.0 / self.samples_per_prompt
     }
 }
 
-/// What the driver is to do.
+/// An action for the driver of a [`StepCoordinator`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Draw the sample of a slot.
+    /// Start an attempt to generate the sample of a slot.
     Start {
-        /// The attempt.
+        /// Identifier of the attempt.
         attempt: AttemptId,
-        /// The slot.
+        /// Slot to fill.
         slot: SlotIndex,
     },
-    /// Give an attempt up: another copy was faster.
+    /// Cancel an attempt because its slot has been filled.
     Cancel {
-        /// The attempt.
+        /// Identifier of the attempt.
         attempt: AttemptId,
     },
 }
 
-/// What can be handed over now.
+/// Result of [`StepCoordinator::compose_batch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextBatch {
-    /// These samples make a batch.
+    /// Samples of the next batch.
     Ready(Vec<Sample>),
-    /// More samples have to be drawn first.
+    /// More samples must be generated first.
     Pending,
     /// Every slot has been delivered.
     Exhausted,
@@ -92,9 +93,9 @@
     started: Moment,
 }
 
-/// Draws one step.
+/// Schedules the samples of one step.
 ///
-/// Invariant: each slot is in exactly one state: waiting, being drawn, ready or delivered.
+/// Invariant: each slot is in exactly one state: waiting, in flight, ready or delivered.
 #[derive(Debug, Clone)]
 pub struct StepCoordinator {
     plan: StepPlan,
@@ -108,7 +109,7 @@
 }
 
 impl StepCoordinator {
-    /// A coordinator for the slots that are not yet delivered.
+    /// Creates a coordinator for the slots that are not in `delivered`.
     pub fn new(plan: StepPlan, delivered: SlotSet) -> Self {
         let mut coordinator = Self {
             plan,
@@ -128,16 +129,15 @@
         coordinator
     }
 
-    /// States the length that a waiting slot's sample is expected to have, in tokens, where something
-    /// better is known than what the coordinator learns by itself.
+    /// Overrides the expected length, in tokens, of the sample of a waiting slot.
     pub fn set_expected_length(&mut self, slot: SlotIndex, tokens: u32) {
         self.waiting.set_expected_length(slot, tokens);
     }
 
-    /// Draws to start now, given how many more the engines can take.
+    /// Returns up to `capacity` attempts to start now.
     pub fn schedule(&mut self, now: Moment, capacity: usize) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for slot in self.waiting.take_due(now) {
+        for slot in self.waiting.take_ready(now) {
             self.waiting.push_back(slot, self.expected_length(slot));
         }
         while effects.len() < capacity {
@@ -149,7 +149,7 @@
         effects
     }
 
-    /// A draw has produced its sample.
+    /// Records the sample of a completed attempt. Cancels other attempts for its slot.
     pub fn on_completed(&mut self, attempt: AttemptId, sample: Sample) -> Vec<Effect> {
         let Some(Attempt { slot, .. }) = self.in_flight.remove(&attempt) else {
             self.wasted_tokens += u64::from(sample.tokens());
@@ -157,10 +157,10 @@
         };
         self.record_length(slot, sample.tokens());
         self.ready.push_back(sample);
-        self.cancel_copies(slot)
+        self.cancel_attempts(slot)
     }
 
-    /// A draw has failed; its slot is drawn again unless another copy is under way.
+    /// Records a failed attempt. Its slot is retried unless another attempt is in flight.
     pub fn on_failed(&mut self, now: Moment, attempt: AttemptId) {
         if let Some(Attempt { slot, .. }) = self.in_flight.remove(&attempt) {
             if !self.in_flight.values().any(|other| other.slot == slot) {
@@ -169,8 +169,8 @@
         }
     }
 
-    /// The samples for the next batch, none older than `floor`. They stay ready until
-    /// [`StepCoordinator::on_sealed`]; samples that are too old are put up for drawing again.
+    /// Returns the samples of the next batch, none older than version `floor`. They stay ready until
+    /// [`StepCoordinator::on_sealed`]. Slots of stale samples are queued for regeneration.
     pub fn compose_batch(&mut self, floor: u64, batch_size: usize) -> NextBatch {
         let (fresh, stale): (VecDeque<_>, VecDeque<_>) =
             std::mem::take(&mut self.ready).into_iter().partition(|sample| sample.is_fresh(floor));
@@ -183,27 +183,27 @@
         if undelivered == 0 {
             return NextBatch::Exhausted;
         }
-        let wanted = batch_size.min(undelivered);
-        if self.ready.len() < wanted {
+        let target_size = batch_size.min(undelivered);
+        if self.ready.len() < target_size {
             return NextBatch::Pending;
         }
-        NextBatch::Ready(self.ready.iter().take(wanted).cloned().collect())
+        NextBatch::Ready(self.ready.iter().take(target_size).cloned().collect())
     }
 
-    /// A batch was sealed; its slots are delivered, whoever drew them.
+    /// Marks the slots of a sealed batch as delivered, including those filled by other coordinators.
     pub fn on_sealed(&mut self, samples: &[Sample]) -> Vec<Effect> {
         let mut effects = Vec::new();
         for sample in samples {
             self.delivered.insert(sample.slot);
             self.waiting.remove(sample.slot);
-            effects.extend(self.cancel_copies(sample.slot));
+            effects.extend(self.cancel_attempts(sample.slot));
         }
         let delivered = &self.delivered;
         self.ready.retain(|sample| !delivered.contains(sample.slot));
         effects
     }
 
-    /// Samples were taken out of the open batch; their slots are drawn again.
+    /// Queues the slots of samples that were evicted from the open batch for regeneration.
     pub fn on_evicted(&mut self, slots: impl Iterator<Item = SlotIndex>) {
         for slot in slots {
             self.delivered.remove(slot);
@@ -211,22 +211,22 @@
         }
     }
 
-    /// Whether every slot is delivered.
+    /// Returns whether every slot is delivered.
     pub fn is_fully_delivered(&self) -> bool {
         self.delivered.len() == self.plan.slots()
     }
 
-    /// Samples that are drawn and not yet sealed.
+    /// Returns the number of generated samples that are not yet sealed.
     pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// Draws under way.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Tokens of whole samples that were drawn in vain.
+    /// Returns the number of tokens of completed samples that were discarded.
     pub fn wasted_tokens(&self) -> u64 {
         self.wasted_tokens
     }
@@ -238,7 +238,7 @@
         Effect::Start { attempt, slot }
     }
 
-    /// A finished sample tells how long the others of its prompt may run.
+    /// Updates the expected lengths of the waiting samples of the same prompt.
     fn record_length(&mut self, slot: SlotIndex, tokens: u32) {
         let prompt = self.plan.prompt_of(slot);
         let longest = self.longest_by_prompt.entry(prompt).or_default();
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Expected length of a slot's sample; a prompt of which nothing is known comes first, since its
-    /// first sample is what tells the length of the others.
+    /// Returns the expected length of a slot's sample. The first sample of a prompt without a completed
+    /// sample gets the highest priority, as its length predicts that of the others.
     fn expected_length(&self, slot: SlotIndex) -> u32 {
         if self.plan.order == SamplingOrder::FirstInFirstOut {
             return 0;
@@ -267,38 +267,39 @@
         }
     }
 
-    /// The slot that has been drawn for longest with copies to spare, once few are unfilled.
+    /// Returns the slot to hedge next, once few slots are in flight: the one with the fewest attempts,
+    /// then the longest in flight.
     fn next_hedge(&self) -> Option<SlotIndex> {
         if self.plan.max_copies < 2 || !self.waiting.is_empty() {
             return None;
         }
-        let mut copies: BTreeMap<SlotIndex, (u32, Moment)> = BTreeMap::new();
+        let mut attempts: BTreeMap<SlotIndex, (u32, Moment)> = BTreeMap::new();
         for attempt in self.in_flight.values() {
-            let entry = copies.entry(attempt.slot).or_insert((0, attempt.started));
+            let entry = attempts.entry(attempt.slot).or_insert((0, attempt.started));
             entry.0 += 1;
             entry.1 = entry.1.min(attempt.started);
         }
         let threshold = u64::from(self.plan.slots()) * u64::from(self.plan.hedge_below_milli);
-        if copies.len() as u64 * 1000 > threshold {
+        if attempts.len() as u64 * 1000 > threshold {
             return None;
         }
-        copies
+        attempts
             .into_iter()
             .filter(|(_, (count, _))| *count < self.plan.max_copies)
             .min_by_key(|(slot, (count, started))| (*count, *started, *slot))
             .map(|(slot, _)| slot)
     }
 
-    fn cancel_copies(&mut self, slot: SlotIndex) -> Vec<Effect> {
-        let copies: Vec<AttemptId> = self
+    fn cancel_attempts(&mut self, slot: SlotIndex) -> Vec<Effect> {
+        let attempts: Vec<AttemptId> = self
             .in_flight
             .iter()
             .filter(|(_, attempt)| attempt.slot == slot)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in &copies {
+        for attempt in &attempts {
             self.in_flight.remove(attempt);
         }
-        copies.into_iter().map(|attempt| Effect::Cancel { attempt }).collect()
+        attempts.into_iter().map(|attempt| Effect::Cancel { attempt }).collect()
     }
 }
--- a/crates/heronbend/src/rollout/mod.rs
+++ b/crates/heronbend/src/rollout/mod.rs
@@ -1,13 +1,16 @@
-//! Steps, samples and sealed batches.
+//! Rollout steps, their samples and the batches in which they are delivered.
 //!
-//! A trainer posts a step: prompts, and how many samples it wants of each. One daemon coordinates
-//! the step: it draws the samples from engines and hands them over in numbered batches.
+//! A trainer posts a step: a list of prompts and the number of samples per prompt. One daemon
+//! coordinates the step: it has engines generate the samples and delivers them in numbered batches.
 //!
-//! - [`api`]: what trainers and daemons say to each other.
-//! - [`sample`]: a sample names the weight versions that produced it, segment by segment.
-//! - [`step_record`]: the register of a step. What a batch holds is sealed there before the batch is
-//!   first shown, so each sample is delivered once however many daemons take part.
-//! - [`coordinator`]: which sample to draw next; lost with its daemon and rebuilt from the register.
+//! - [`api`]: HTTP message types between trainers and daemons.
+//! - [`sample`]: a sample, with the weight version that generated each segment of its tokens.
+//! - [`slots`]: positions of samples in a step.
+//! - [`step_record`]: the replicated register of a step. The contents of a batch are sealed there
+//!   before the batch is first returned, so each slot is delivered once even if several daemons
+//!   coordinate the step.
+//! - [`coordinator`]: scheduling of samples. Its state is volatile; after a failover it is rebuilt
+//!   from the register.
 
 pub mod api;
 pub mod coordinator;
--- a/crates/heronbend/src/rollout/slots.rs
+++ b/crates/heronbend/src/rollout/slots.rs
@@ -1,11 +1,11 @@
-//! Places for samples in a step.
+//! Sample slots of a step.
 
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
 const WORD_BITS: u32 = u64::BITS;
 
-/// Place of a sample in its step: prompt number times samples a prompt, plus sample number.
+/// Index of a sample in its step: `prompt * samples_per_prompt + sample`.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -13,54 +13,54 @@
 #[musli(transparent)]
 pub struct SlotIndex(pub u32);
 
-/// A set of slots, one bit each.
+/// A set of slots, stored as a bitmap.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct SlotSet {
     words: Vec<u64>,
 }
 
 impl SlotSet {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a slot; whether it was absent.
+    /// Adds a slot. Returns whether it was newly inserted.
     pub fn insert(&mut self, slot: SlotIndex) -> bool {
-        let (word, bit) = position(slot);
+        let (word, bit) = word_and_bit(slot);
         if word >= self.words.len() {
             self.words.resize(word + 1, 0);
         }
-        let absent = self.words[word] & bit == 0;
+        let is_new = self.words[word] & bit == 0;
         self.words[word] |= bit;
-        absent
+        is_new
     }
 
-    /// Removes a slot.
+    /// Removes a slot if present.
     pub fn remove(&mut self, slot: SlotIndex) {
-        let (word, bit) = position(slot);
+        let (word, bit) = word_and_bit(slot);
         if let Some(word) = self.words.get_mut(word) {
             *word &= !bit;
         }
     }
 
-    /// Whether the slot is in the set.
+    /// Returns whether the set contains a slot.
     pub fn contains(&self, slot: SlotIndex) -> bool {
-        let (word, bit) = position(slot);
+        let (word, bit) = word_and_bit(slot);
         self.words.get(word).is_some_and(|word| word & bit != 0)
     }
 
-    /// Number of slots in the set.
+    /// Returns the number of slots in the set.
     pub fn len(&self) -> u32 {
         self.words.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// Whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-fn position(slot: SlotIndex) -> (usize, u64) {
+fn word_and_bit(slot: SlotIndex) -> (usize, u64) {
     ((slot.0 / WORD_BITS) as usize, 1 << (slot.0 % WORD_BITS))
 }
--- a/crates/heronbend/src/rollout/step_record.rs
+++ b/crates/heronbend/src/rollout/step_record.rs
@@ -1,8 +1,8 @@
-//! The register of a step: who coordinates it and what has been delivered.
+//! The replicated register of a step: its coordinator and the slots delivered so far.
 //!
-//! Batches are sealed in order, each before it is first shown, and fetching batch `n + 1`
-//! acknowledges batch `n`. The record keeps one bit a slot and the one batch that is not yet
-//! acknowledged, so its size is bounded by the batch size.
+//! Batches are sealed in order, each before it is first returned, and fetching batch `n + 1`
+//! acknowledges batch `n`. The record stores one bit per slot and only the one unacknowledged batch,
+//! which limits its size.
 
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -13,84 +13,84 @@
 use crate::identity::NodeId;
 use crate::register::{Applied, Cell};
 
-/// A batch whose composition is settled.
+/// A batch whose contents are final except for the removal of stale samples.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct SealedBatch {
     /// Number of the batch in its step, from 0.
     pub number: u32,
-    /// Its samples.
+    /// Samples of the batch.
     pub samples: Vec<Sample>,
 }
 
-/// A step that is being drawn.
+/// A step that is not yet complete.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct OpenStep {
-    /// The daemon that may seal batches.
+    /// Daemon that may seal batches.
     pub coordinator: NodeId,
-    /// Fencing token: counts coordinators of the step.
+    /// Fencing token, incremented with each change of the coordinator.
     pub term: u64,
     /// Number of slots in the step.
     pub slots: u32,
-    /// Slots in sealed batches, the open one included.
+    /// Slots in sealed batches, including the open one.
     pub delivered: SlotSet,
-    /// Number of the batch to be sealed next.
+    /// Number of the next batch to seal.
     pub next_batch: u32,
-    /// The batch that is sealed and not yet acknowledged.
+    /// The sealed batch that is not yet acknowledged, if any.
     pub open: Option<SealedBatch>,
 }
 
 /// State of a step.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StepRecord {
-    /// It was never begun; only the answer to a change that found nothing.
+    /// The step was never begun. Only returned by a change to a missing register.
     Absent,
-    /// It is being drawn.
+    /// The step is in progress.
     Open(OpenStep),
-    /// All slots are delivered and acknowledged.
+    /// All slots are delivered and the last batch is acknowledged.
     Complete {
-        /// Wall-clock seconds since the Unix epoch after which the register may be collected.
+        /// Time from which the register may be garbage-collected, in seconds since the Unix epoch.
         expires: u64,
     },
 }
 
-/// A change of a step's record.
+/// A change to the record of a step.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StepChange {
-    /// Begins the step, or takes its coordination over.
+    /// Begins the step or takes over its coordination.
     Begin {
-        /// The daemon that is to coordinate.
+        /// The new coordinator.
         coordinator: NodeId,
-        /// Number of slots.
+        /// Number of slots in the step.
         slots: u32,
     },
-    /// Settles the composition of a batch, and acknowledges the batch before it.
+    /// Seals a batch and acknowledges the previous one.
     Seal {
         /// Fencing token of the coordinator.
         term: u64,
-        /// The batch.
+        /// The batch to seal.
         batch: SealedBatch,
     },
-    /// Takes samples older than `floor` out of the open batch; their slots are to be drawn again.
+    /// Removes samples older than `floor` from the open batch, so that their slots are regenerated.
     Withhold {
         /// Fencing token of the coordinator.
         term: u64,
         /// Number of the open batch.
         number: u32,
-        /// Oldest version that is still acceptable.
+        /// Oldest acceptable weight version.
         floor: u64,
     },
     /// Acknowledges the last batch and completes the step.
     Complete {
         /// Number of the last batch.
         number: u32,
-        /// When the register may be collected.
+        /// Time from which the register may be garbage-collected, in seconds since the Unix epoch.
         expires: u64,
     },
 }
 
-/// Why a change was refused; the record is unchanged.
+/// Reason why a change was refused. The record is left unchanged.
 #[derive(
     Debug,
     Clone,
@@ -112,42 +112,42 @@
     /// The step is complete.
     #[error("the step is complete")]
     Complete,
-    /// Another daemon has taken the coordination over.
+    /// Another daemon has taken over the coordination.
     #[error("{coordinator} coordinates the step now")]
     Fenced {
-        /// The present coordinator.
+        /// The current coordinator.
         coordinator: NodeId,
     },
-    /// The batch is not the one to be sealed next.
+    /// The batch number is not the next one to seal, or not that of the open batch.
     #[error("batch {next} is next")]
     OutOfOrder {
-        /// Number of the batch to be sealed next.
+        /// Number of the next batch to seal.
         next: u32,
     },
-    /// A slot of the batch was delivered before.
+    /// A slot of the batch is already delivered or does not exist.
     #[error("a slot of the batch was delivered before")]
     AlreadyDelivered,
-    /// The step has other slots than stated.
+    /// The step was begun with a different number of slots.
     #[error("the step was begun with {slots} slots")]
     Mismatch {
-        /// Number of slots of the step.
+        /// Number of slots in the step.
         slots: u32,
     },
-    /// Slots are left to be delivered.
+    /// The step has undelivered slots.
     #[error("slots are left to be delivered")]
     Unfinished,
 }
 
-/// What the author of a change learns.
+/// The response to a [`StepChange`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StepResponse {
-    /// The author coordinates the step, in this state.
+    /// The requesting daemon is the coordinator of the step, whose state is given.
     Begun(OpenStep),
-    /// The batch of that number, as it is sealed.
+    /// The batch as sealed, which may differ from the one in the request.
     Sealed(SealedBatch),
     /// The step is complete.
     Completed,
-    /// The change is refused.
+    /// The change was refused.
     Refused(StepRefusal),
 }
 
@@ -177,7 +177,7 @@
     }
 }
 
-type Change = Result<(StepRecord, StepResponse), StepRefusal>;
+type ChangeResult = Result<(StepRecord, StepResponse), StepRefusal>;
 
 fn begin(coordinator: &NodeId, slots: u32) -> (StepRecord, StepResponse) {
     let step = OpenStep {
@@ -192,7 +192,7 @@
 }
 
 impl OpenStep {
-    fn apply(&self, change: &StepChange) -> Change {
+    fn apply(&self, change: &StepChange) -> ChangeResult {
         match change {
             StepChange::Begin { coordinator, slots } => self.take_over(coordinator, *slots),
             StepChange::Seal { term, batch } => self.seal(*term, batch),
@@ -201,7 +201,7 @@
         }
     }
 
-    fn take_over(&self, coordinator: &NodeId, slots: u32) -> Change {
+    fn take_over(&self, coordinator: &NodeId, slots: u32) -> ChangeResult {
         if slots != self.slots {
             return Err(StepRefusal::Mismatch { slots: self.slots });
         }
@@ -213,7 +213,7 @@
         Ok((StepRecord::Open(step.clone()), StepResponse::Begun(step)))
     }
 
-    fn seal(&self, term: u64, batch: &SealedBatch) -> Change {
+    fn seal(&self, term: u64, batch: &SealedBatch) -> ChangeResult {
         self.check_term(term)?;
         if let Some(open) = self.open.as_ref().filter(|open| open.number == batch.number) {
             return Ok((StepRecord::Open(self.clone()), StepResponse::Sealed(open.clone())));
@@ -232,7 +232,7 @@
         Ok((StepRecord::Open(step), StepResponse::Sealed(batch.clone())))
     }
 
-    fn withhold(&self, term: u64, number: u32, floor: u64) -> Change {
+    fn withhold(&self, term: u64, number: u32, floor: u64) -> ChangeResult {
         self.check_term(term)?;
         let mut step = self.clone();
         let open = step.open.as_mut().filter(|open| open.number == number);
@@ -251,7 +251,7 @@
         Ok((StepRecord::Open(step), StepResponse::Sealed(batch)))
     }
 
-    fn complete(&self, number: u32, expires: u64) -> Change {
+    fn complete(&self, number: u32, expires: u64) -> ChangeResult {
         if self.delivered.len() != self.slots {
             return Err(StepRefusal::Unfinished);
         }
--- a/crates/heronbend/src/rollout/waiting.rs
+++ b/crates/heronbend/src/rollout/waiting.rs
@@ -1,4 +1,4 @@
-//! Slots that wait to be drawn, in the order in which they should be.
+//! Priority queue of slots waiting for generation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,13 +6,13 @@
 use super::slots::SlotIndex;
 use crate::Moment;
 
-/// Place of a slot in the order: longest expected first, then by sequence.
+/// Sort key of a queued slot: longest expected length first, then sequence number.
 type Rank = (Reverse<u32>, i64);
 
-/// A queue by expected length; slots of equal expectation keep their order.
+/// A queue ordered by descending expected length. Slots of equal length are in FIFO order.
 #[derive(Debug, Clone, Default)]
 pub(super) struct WaitingQueue {
-    order: BTreeSet<(Rank, SlotIndex)>,
+    queue: BTreeSet<(Rank, SlotIndex)>,
     ranks: BTreeMap<SlotIndex, Rank>,
     delayed: BTreeSet<(Moment, SlotIndex)>,
     next_back: i64,
@@ -20,37 +20,37 @@
 }
 
 impl WaitingQueue {
-    /// Adds a slot behind those of equal expectation.
+    /// Adds a slot behind those of equal expected length.
     pub(super) fn push_back(&mut self, slot: SlotIndex, expected_length: u32) {
         self.next_back += 1;
         self.insert(slot, (Reverse(expected_length), self.next_back));
     }
 
-    /// Adds a slot before those of equal expectation.
+    /// Adds a slot before those of equal expected length.
     pub(super) fn push_front(&mut self, slot: SlotIndex, expected_length: u32) {
         self.next_front -= 1;
         self.insert(slot, (Reverse(expected_length), self.next_front));
     }
 
-    /// Adds a slot that is not to be drawn before `due`.
+    /// Adds a slot that becomes ready at `ready_at`.
     pub(super) fn push_delayed(&mut self, ready_at: Moment, slot: SlotIndex) {
         self.delayed.insert((ready_at, slot));
     }
 
-    /// Takes out slots whose delay is over.
-    pub(super) fn take_due(&mut self, now: Moment) -> Vec<SlotIndex> {
-        let mut due = Vec::new();
+    /// Removes and returns the delayed slots that are ready.
+    pub(super) fn take_ready(&mut self, now: Moment) -> Vec<SlotIndex> {
+        let mut ready = Vec::new();
         while let Some((ready_at, slot)) = self.delayed.first().copied() {
             if ready_at > now {
                 break;
             }
             self.delayed.pop_first();
-            due.push(slot);
+            ready.push(slot);
         }
-        due
+        ready
     }
 
-    /// Changes the expectation of a slot, if it waits.
+    /// Updates the expected length of a slot if it is queued.
     pub(super) fn set_expected_length(&mut self, slot: SlotIndex, expected_length: u32) {
         if let Some((_, sequence)) = self.ranks.get(&slot).copied() {
             self.remove(slot);
@@ -58,28 +58,28 @@
         }
     }
 
-    /// Takes the slot to be drawn next.
+    /// Removes and returns the next slot.
     pub(super) fn pop(&mut self) -> Option<SlotIndex> {
-        let (_, slot) = self.order.pop_first()?;
+        let (_, slot) = self.queue.pop_first()?;
         self.ranks.remove(&slot);
         Some(slot)
     }
 
-    /// Takes a slot out, wherever it is.
+    /// Removes a slot, whether queued or delayed.
     pub(super) fn remove(&mut self, slot: SlotIndex) {
         if let Some(rank) = self.ranks.remove(&slot) {
-            self.order.remove(&(rank, slot));
+            self.queue.remove(&(rank, slot));
         }
         self.delayed.retain(|(_, delayed)| *delayed != slot);
     }
 
-    /// Whether no slot waits, delayed ones included.
+    /// Returns whether there are no slots, neither queued nor delayed.
     pub(super) fn is_empty(&self) -> bool {
-        self.order.is_empty() && self.delayed.is_empty()
+        self.queue.is_empty() && self.delayed.is_empty()
     }
 
     fn insert(&mut self, slot: SlotIndex, rank: Rank) {
         self.ranks.insert(slot, rank);
-        self.order.insert((rank, slot));
+        self.queue.insert((rank, slot));
     }
 }
--- a/crates/heronbend/src/usage/counts.rs
+++ b/crates/heronbend/src/usage/counts.rs
@@ -1,17 +1,17 @@
-//! Requests by tenant.
+//! Request counts by tenant.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Requests that servers began, by tenant.
+/// Number of requests that servers started, by tenant.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Counts(BTreeMap<String, u64>);
 
 impl Counts {
-    /// Counts one request.
+    /// Adds one request of a tenant.
     pub fn increment(&mut self, tenant: &str) {
         match self.0.get_mut(tenant) {
             Some(count) => *count += 1,
@@ -21,30 +21,30 @@
         }
     }
 
-    /// Raises each tenant's count to that of `other`; whether any grew.
+    /// Sets each tenant's count to the maximum of both sides. Returns whether any count increased.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let mut grew = false;
+        let mut increased = false;
         for (tenant, count) in &other.0 {
-            let known = self.0.entry(tenant.clone()).or_default();
-            grew |= *count > *known;
-            *known = (*known).max(*count);
+            let current = self.0.entry(tenant.clone()).or_default();
+            increased |= *count > *current;
+            *current = (*current).max(*count);
         }
-        grew
+        increased
     }
 
-    /// Adds the counts of `other`.
+    /// Adds the counts of `other` to these.
     pub fn add(&mut self, other: &Self) {
         for (tenant, count) in &other.0 {
             *self.0.entry(tenant.clone()).or_default() += count;
         }
     }
 
-    /// Requests of all tenants together.
+    /// Returns the number of requests of all tenants.
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
 
-    /// Tenants with their counts, by name.
+    /// Iterates over tenants and their counts in order of tenant name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, u64)> {
         self.0.iter().map(|(tenant, count)| (tenant.as_str(), *count))
     }
--- a/crates/heronbend/src/usage/mod.rs
+++ b/crates/heronbend/src/usage/mod.rs
@@ -1,14 +1,14 @@
-//! How much each tenant uses: the requests that servers began, by windows of the wall clock.
+//! Usage metering: the requests that servers started for each tenant, by wall-clock window.
 //!
-//! Every daemon counts what it passes on. Its counts of a window only grow, so whoever is told them
-//! twice, late or out of order takes the larger ones. When a window has closed, one daemon settles
-//! it: it writes the sum into a record that is replaced by compare-and-swap, and only then reports
-//! it. Whoever reports later, and however often, reports that text.
+//! Every daemon counts the requests it forwards. Its counts for a window only grow, so they are
+//! merged by maximum and may be received repeatedly, late or out of order. After a window has closed,
+//! one daemon settles it: it writes the total to a record by compare-and-swap before reporting it.
+//! All reports of the window, by any daemon, are read from that record.
 //!
-//! - [`clock`]: the time that windows follow.
-//! - [`counts`]: requests by tenant.
-//! - [`ledger`]: the counts that daemons have told.
-//! - [`settlement`]: windows that are settled, and which of them are reported.
+//! - [`clock`]: the clock that windows are based on.
+//! - [`counts`]: request counts by tenant.
+//! - [`ledger`]: counts by window and daemon.
+//! - [`settlement`]: settled windows and the state of their reports.
 
 pub mod clock;
 pub mod counts;
@@ -29,7 +29,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Number of a window: window k begins k window lengths after the Unix epoch.
+/// Index of a window. Window `k` starts `k` window lengths after the Unix epoch.
 #[derive(
     Debug,
     Clone,
@@ -50,12 +50,12 @@
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window after this one.
+    /// Returns the next window.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The window that is `count` windows before this one.
+    /// Returns the window `count` windows earlier, or the first one.
     pub fn before(self, count: u64) -> Self {
         Self(self.0.saturating_sub(count))
     }
--- a/crates/heronbend/src/usage/settlement.rs
+++ b/crates/heronbend/src/usage/settlement.rs
@@ -1,8 +1,8 @@
-//! Windows that are settled, and which of them are reported.
+//! Settled windows and the state of their reports.
 //!
-//! A window is reported only as the record has it, and the record is only ever replaced at the very
-//! revision that is known here. So no two reports of a window differ, whoever sends them, and
-//! whatever becomes of the one that settled it.
+//! Reports are sent only from the stored record, and the record is replaced only by compare-and-swap
+//! at its known revision. Hence all reports of a window are identical, whichever daemon sends them
+//! and even if the daemon that settled the window fails.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,105 +10,107 @@
 use super::Counts;
 use super::Window;
 
-/// Most windows that the record keeps while they cannot be reported.
-const MAX_KEPT: usize = 60;
-/// Reported windows that the record keeps: whoever takes over may not know that they are.
-const KEPT_REPORTED: u64 = 3;
-/// Most windows that are settled at once after a time in which none could be.
+/// Maximum number of windows in the record.
+const MAX_RETAINED: usize = 60;
+/// Number of reported windows that the record retains, since a new reporter may not know of the
+/// latest accepted reports.
+const RETAINED_REPORTED: u64 = 3;
+/// Maximum number of windows settled by one proposal after an outage.
 const MAX_CATCH_UP: u64 = 40;
 
-/// What is reported of a window.
+/// The usage report of one window.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// The window.
+    /// The reported window.
     pub window: Window,
-    /// The requests that servers began in it.
+    /// Requests that servers started in the window.
     pub counts: Counts,
 }
 
-/// The record of settled windows, in ascending order.
+/// The stored record of settled windows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettledWindows {
     reports: Vec<Report>,
 }
 
 impl SettledWindows {
-    /// The last settled window.
+    /// Returns the last settled window.
     pub fn last_window(&self) -> Option<Window> {
         self.reports.last().map(|report| report.window)
     }
 
-    /// What it settles, in ascending order of windows.
+    /// Returns the reports of the settled windows in ascending order.
     pub fn reports(&self) -> &[Report] {
         &self.reports
     }
 
-    /// Drops what need not be reported any more.
+    /// Removes reports that are no longer needed, and the oldest ones beyond the size limit.
     fn prune(&mut self, reported: Option<Window>) {
-        let first = reported.map_or(Window(0), |reported| reported.before(KEPT_REPORTED));
+        let first = reported.map_or(Window(0), |reported| reported.before(RETAINED_REPORTED));
         self.reports.retain(|report| report.window > first);
-        let surplus = self.reports.len().saturating_sub(MAX_KEPT);
-        self.reports.drain(..surplus);
+        let excess = self.reports.len().saturating_sub(MAX_RETAINED);
+        self.reports.drain(..excess);
     }
 }
 
-/// What is to be written: the record, and the revision that it replaces; none makes it.
+/// A write of the record by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// The revision that it replaces.
+    /// Expected current revision; `None` creates the record.
     pub replaces: Option<u64>,
-    /// The record.
+    /// The new record.
     pub settled: SettledWindows,
 }
 
-/// One daemon's view of what is settled and reported.
+/// One daemon's view of the settled and reported windows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Settlement {
-    /// The first window that this daemon could settle if nobody has settled any.
+    /// First window to settle if there is no record yet.
     first: Window,
-    known: Option<(u64, SettledWindows)>,
-    /// The last window of which a report was accepted, as far as is known.
+    /// The record with its revision, if known.
+    record: Option<(u64, SettledWindows)>,
+    /// Last window known to have an accepted report.
     reported: Option<Window>,
 }
 
 impl Settlement {
-    /// Nothing is known; nobody counted before `first`.
+    /// Creates a view without a known record, where `first` is the first window with counts.
     pub fn new(first: Window) -> Self {
-        Self { first, known: None, reported: None }
+        Self { first, record: None, reported: None }
     }
 
-    /// The record as the store has it.
+    /// Updates the known record if `revision` is newer.
     pub fn update_record(&mut self, revision: u64, settled: SettledWindows) {
-        if self.known.as_ref().is_none_or(|(known, _)| *known < revision) {
-            self.known = Some((revision, settled));
+        if self.record.as_ref().is_none_or(|(known, _)| *known < revision) {
+            self.record = Some((revision, settled));
         }
     }
 
-    /// Notes that a report of a window was accepted, by whomever it was sent. Windows are reported in
-    /// order.
+    /// Records that the report of a window, and hence of all earlier ones, was accepted. The report may
+    /// have been sent by another daemon.
     pub fn mark_reported(&mut self, window: Window) {
         self.reported = self.reported.max(Some(window));
     }
 
-    /// Forgets a record whose replacement has an unknown outcome: it has to be read again.
+    /// Discards the known record after a write with an unknown outcome, so that it is read again.
     pub fn invalidate(&mut self) {
-        self.known = None;
+        self.record = None;
     }
 
-    /// Whether all windows up to this one are known to be reported.
+    /// Returns whether all windows up to and including this one are known to be reported.
     pub fn is_reported(&self, window: Window) -> bool {
         self.reported >= Some(window)
     }
 
-    /// The first window that is not known to be reported.
+    /// Returns the first window that is not known to be reported.
     pub fn next_unreported(&self) -> Window {
         self.reported.map_or(self.first, Window::next)
     }
 
-    /// The record that settles all windows up to `last`, which have closed.
+    /// Returns the write that settles all closed windows up to `last`, or `None` if they are settled.
     pub fn proposal(&self, last: Window, total: impl Fn(Window) -> Counts) -> Option<Proposal> {
-        let known = self.known.as_ref();
-        let mut settled = known.map(|(_, settled)| settled.clone()).unwrap_or_default();
+        let record = self.record.as_ref();
+        let mut settled = record.map(|(_, settled)| settled.clone()).unwrap_or_default();
         let next = settled.last_window().map_or(self.first, Window::next);
         let mut window = next.max(last.before(MAX_CATCH_UP - 1));
         if window > last {
@@ -119,12 +121,12 @@
             window = window.next();
         }
         settled.prune(self.reported);
-        Some(Proposal { replaces: known.map(|(revision, _)| *revision), settled })
+        Some(Proposal { replaces: record.map(|(revision, _)| *revision), settled })
     }
 
-    /// The next report to send: the first settled one that is not known to be accepted.
+    /// Returns the next report to send: the first settled one that is not known to be accepted.
     pub fn next_report(&self) -> Option<&Report> {
-        let (_, settled) = self.known.as_ref()?;
+        let (_, settled) = self.record.as_ref()?;
         settled.reports.iter().find(|report| self.reported < Some(report.window))
     }
 }
--- a/crates/heronbend/src/usage/tests.rs
+++ b/crates/heronbend/src/usage/tests.rs
@@ -20,8 +20,8 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn node(name: &str, run: u64) -> NodeId {
-    NodeId { name: NodeName(name.to_owned()), incarnation: Incarnation(run) }
+fn node(name: &str, incarnation: u64) -> NodeId {
+    NodeId { name: NodeName(name.to_owned()), incarnation: Incarnation(incarnation) }
 }
 
 fn counts(tenant: &str, count: u64) -> Counts {
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn windows_follow_the_wall_clock_and_not_its_jumps() {
+fn windows_follow_clock_drift_but_not_jumps() {
     let mut clock = WindowClock::new(LENGTH, seconds(1.0), seconds(1001.0));
     assert_eq!(clock.window(seconds(4.99)), Window(200));
     assert_eq!(clock.window(seconds(5.0)), Window(201));
     assert_eq!(clock.end(Window(200)), seconds(5.0));
-    // Drift is followed.
+    // Small drift is followed.
     assert_eq!(clock.read(seconds(2.0), seconds(1002.05)), seconds(1002.05));
-    // A jump is not, nor when it returns.
+    // A jump is ignored, and so is the jump back.
     assert_eq!(clock.read(seconds(3.0), seconds(1005.05)), seconds(1003.05));
     assert_eq!(clock.read(seconds(13.0), seconds(1015.05)), seconds(1013.05));
     assert_eq!(clock.read(seconds(14.0), seconds(1014.05)), seconds(1014.05));
 }
 
 #[test]
-fn a_new_course_that_lasts_is_believed() {
+fn persistent_clock_offset_is_adopted() {
     let mut clock = WindowClock::new(LENGTH, seconds(0.0), seconds(1000.0));
     for second in 1..=61 {
         clock.read(seconds(f64::from(second)), seconds(1003.0 + f64::from(second)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_daemon_that_starts_takes_over_the_time_of_one_that_has_run() {
+fn starting_daemon_adopts_the_time_of_a_running_peer() {
     let mut clock = WindowClock::new(LENGTH, seconds(0.5), seconds(1003.0));
     assert!(!clock.adopt_peer_time(seconds(1.0), seconds(1003.55)));
     assert!(clock.adopt_peer_time(seconds(1.0), seconds(1001.0)));
@@ -60,30 +60,30 @@
 }
 
 #[test]
-fn counts_that_are_told_twice_late_or_out_of_order_add_up_once() {
+fn duplicate_late_and_reordered_counts_are_merged_once() {
     let seed: u64 = rand::rng().random();
     println!("seed {seed}");
     let mut rng = SmallRng::seed_from_u64(seed);
     for _ in 0..50 {
-        let mut own: Vec<(NodeId, Ledger)> = ["a", "b", "c"]
+        let mut ledgers: Vec<(NodeId, Ledger)> = ["a", "b", "c"]
             .map(|name| (node(name, rng.random_range(1..3)), Ledger::default()))
             .into();
-        let mut told = Vec::new();
+        let mut messages_sent = Vec::new();
         let mut requests = [0_u64; 3];
         for _ in 0..60 {
             let window = Window(rng.random_range(0..3));
-            let (me, ledger) = &mut own[rng.random_range(0..3)];
+            let (me, ledger) = &mut ledgers[rng.random_range(0..3)];
             ledger.increment(me, window, "t");
             requests[window.0 as usize] += 1;
             let messages = ledger.counts_of(me).map(|(window, counts)| (window, counts.clone()));
-            told.extend(messages.map(|(window, counts)| (me.clone(), window, counts)));
+            messages_sent.extend(messages.map(|(window, counts)| (me.clone(), window, counts)));
         }
         let mut collector = Ledger::default();
-        for _ in 0..told.len() * 2 {
-            let (daemon, window, counts) = &told[rng.random_range(0..told.len())];
+        for _ in 0..messages_sent.len() * 2 {
+            let (daemon, window, counts) = &messages_sent[rng.random_range(0..messages_sent.len())];
             collector.merge(daemon, *window, counts);
         }
-        for (daemon, window, counts) in told.iter().rev() {
+        for (daemon, window, counts) in messages_sent.iter().rev() {
             collector.merge(daemon, *window, counts);
         }
         for (window, count) in requests.iter().enumerate() {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn another_run_of_a_daemon_counts_anew() {
+fn each_incarnation_of_a_daemon_is_counted_separately() {
     let mut ledger = Ledger::default();
     assert!(ledger.merge(&node("a", 1), Window(1), &counts("t", 3)));
     assert!(!ledger.merge(&node("a", 1), Window(1), &counts("t", 2)));
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn a_settled_window_is_reported_as_it_was_settled_whoever_sends_it() {
+fn settled_window_has_the_same_report_from_every_daemon() {
     let mut first = Settlement::new(Window(10));
     let proposal = first.proposal(Window(11), |window| counts("t", window.0)).expect("two windows");
     assert_eq!(proposal.replaces, None);
     first.update_record(5, proposal.settled.clone());
     assert_eq!(first.proposal(Window(11), |_| counts("t", 99)), None);
-    // Another daemon, which counted otherwise, sends the same text.
+    // Another daemon with different counts sends the same reports.
     let mut second = Settlement::new(Window(9));
     second.update_record(5, proposal.settled);
     assert_eq!(second.next_report().expect("one").counts, counts("t", 10));
@@ -123,10 +123,10 @@
 }
 
 #[test]
-fn windows_that_could_not_be_settled_are_caught_up_with_in_order() {
+fn unsettled_windows_are_caught_up_in_order() {
     let mut settlement = Settlement::new(Window(100));
-    let long = settlement.proposal(Window(140), |_| Counts::default()).expect("some windows");
-    settlement.update_record(1, long.settled);
+    let catch_up = settlement.proposal(Window(140), |_| Counts::default()).expect("some windows");
+    settlement.update_record(1, catch_up.settled);
     let mut sent = Vec::new();
     while let Some(window) = settlement.next_report().map(|report| report.window) {
         sent.push(window.0);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_record_keeps_what_is_not_reported_and_little_else() {
+fn record_retains_unreported_windows_and_few_reported_ones() {
     let mut settlement = Settlement::new(Window(1));
     for revision in 1..=30 {
         let last = Window(revision);
@@ -147,14 +147,14 @@
             settlement.mark_reported(last);
         }
     }
-    let mut fresh = Settlement::new(Window(1));
+    let mut restarted = Settlement::new(Window(1));
     let proposal = settlement.proposal(Window(31), |_| Counts::default()).expect("one window");
-    fresh.update_record(31, proposal.settled);
-    assert_eq!(fresh.next_report().expect("one").window, Window(18));
+    restarted.update_record(31, proposal.settled);
+    assert_eq!(restarted.next_report().expect("one").window, Window(18));
 }
 
 #[test]
-fn an_unknown_outcome_has_to_be_read_before_anything_is_sent() {
+fn record_is_read_again_after_a_write_with_unknown_outcome() {
     let mut settlement = Settlement::new(Window(1));
     settlement.update_record(3, SettledWindows::default());
     settlement.invalidate();
--- a/crates/heronbend/src/weights/fence.rs
+++ b/crates/heronbend/src/weights/fence.rs
@@ -1,4 +1,4 @@
-//! The register that hands out fencing tokens for weight orders.
+//! The register that issues fencing tokens for weight commands.
 
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -11,19 +11,19 @@
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct Fence {
-    /// The token; grows with each new holder.
+    /// The token. Increases with each new holder.
     pub token: u64,
-    /// Who may order with it.
+    /// The node that may issue commands with this token.
     pub holder: NodeId,
 }
 
-/// Asks for a token; a node that holds the latest keeps it, if it is high enough.
+/// A request for the fencing token. The current holder keeps its token if that exceeds `above`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct FenceChange {
-    /// Who asks.
+    /// The requesting node.
     pub holder: NodeId,
-    /// A token that an engine has refused as too low, 0 for none. Engines outlive registers: after a
-    /// loss of the register they have seen higher tokens than it knows.
+    /// The highest token that an engine has rejected as stale, or 0 if none has. If the register was
+    /// lost, engines may have seen higher tokens than it has issued since.
     #[musli(default)]
     pub above: u64,
 }
--- a/crates/heronbend/src/weights/rollout.rs
+++ b/crates/heronbend/src/weights/rollout.rs
@@ -1,4 +1,4 @@
-//! Pacing of one model's rollout, without I/O.
+//! State machine of the weight rollout of one model.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,36 +9,36 @@
 use crate::lifecycle::BackendName;
 use crate::Moment;
 
-/// Wait before an engine whose load failed is ordered again.
+/// Delay before a failed or fenced load is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time after which an order without an answer counts as failed.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after which a load command without a response may be sent again.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An order to one engine to load a weight version.
+/// A command to one engine to load a weight version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LoadCommand {
-    /// The engine.
+    /// Name of the engine.
     pub engine: BackendName,
-    /// The version.
+    /// Version to load.
     pub version: u64,
 }
 
-/// How an order ended.
+/// Outcome of a [`LoadCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadResult {
-    /// The engine states that it has loaded the version.
+    /// The engine has loaded the version.
     Loaded,
-    /// The engine failed, or could not be reached.
+    /// The load failed or the engine was unreachable.
     Failed,
-    /// The engine has seen a newer fencing token: another daemon paces the rollout.
+    /// The engine has seen a higher fencing token: another daemon runs the rollout.
     Fenced,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Activity {
     Idle,
-    Ordered { since: Moment },
-    Resting { until: Moment },
+    Loading { since: Moment },
+    Backoff { until: Moment },
 }
 
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
 
 /// Brings all engines of a model to its newest version.
 ///
-/// Invariant: of `n` engines at most `n - ceil(n * serving_floor)`, and at least one, are loading.
+/// Invariant: of `n` engines, at most `max(1, n - ceil(n * serving_floor))` are loading at a time.
 #[derive(Debug, Clone)]
 pub struct VersionRollout {
     target: Option<u64>,
@@ -59,27 +59,28 @@
 }
 
 impl VersionRollout {
-    /// A rollout that keeps `serving_floor`, a share from 0 to 1, of the engines serving.
+    /// Creates a rollout that keeps at least the fraction `serving_floor`, from 0 to 1, of the engines
+    /// serving.
     pub fn new(serving_floor: f64) -> Self {
         Self { target: None, serving_floor, engines: BTreeMap::new() }
     }
 
-    /// Changes the share of engines that keeps serving.
+    /// Sets the fraction of engines that keep serving.
     pub fn set_serving_floor(&mut self, serving_floor: f64) {
         self.serving_floor = serving_floor;
     }
 
-    /// A version is in the weight store; older ones than the newest are not rolled out.
+    /// Sets `version` as the target unless a newer version was published before.
     pub fn publish(&mut self, version: u64) {
         self.target = self.target.max(Some(version));
     }
 
-    /// The version being rolled out.
+    /// Returns the version being rolled out, if any.
     pub fn target(&self) -> Option<u64> {
         self.target
     }
 
-    /// An engine states what it has loaded; `None` when it cannot vouch for a version.
+    /// Records the version that an engine reports, `None` if it has no fully loaded version.
     pub fn observe(&mut self, name: &BackendName, incarnation: Incarnation, version: Option<u64>) {
         let engine = self.engines.entry(name.clone()).or_insert(Engine {
             incarnation,
@@ -91,14 +92,14 @@
             engine.activity = Activity::Idle;
             engine.version = version;
         }
-        // Reports lag: one that is older than the engine's own answer to an order says nothing new.
-        let lags = version.is_some() && version < engine.version;
-        if !lags {
+        // Reports may be stale: an older version than the engine confirmed for a command is ignored.
+        let is_stale = version.is_some() && version < engine.version;
+        if !is_stale {
             engine.version = version;
         }
     }
 
-    /// An engine is there, and nothing new is known of what it has loaded.
+    /// Records that an engine exists without a report of its version.
     pub fn observe_presence(&mut self, name: &BackendName, incarnation: Incarnation) {
         let known = self.engines.get(name);
         if known.is_none_or(|engine| engine.incarnation != incarnation) {
@@ -106,59 +107,59 @@
         }
     }
 
-    /// Keeps only engines that are still there.
+    /// Removes engines for which `is_present` returns false.
     pub fn retain(&mut self, is_present: impl Fn(&BackendName) -> bool) {
         self.engines.retain(|name, _| is_present(name));
     }
 
-    /// An order has ended.
-    pub fn on_result(&mut self, now: Moment, order: &LoadCommand, result: LoadResult) {
-        let Some(engine) = self.engines.get_mut(&order.engine) else {
+    /// Records the outcome of a command.
+    pub fn on_result(&mut self, now: Moment, command: &LoadCommand, result: LoadResult) {
+        let Some(engine) = self.engines.get_mut(&command.engine) else {
             return;
         };
         match result {
             LoadResult::Loaded => {
-                engine.version = Some(order.version);
+                engine.version = Some(command.version);
                 engine.activity = Activity::Idle;
             }
             LoadResult::Failed => {
                 engine.version = None;
-                engine.activity = Activity::Resting { until: now + RETRY_DELAY };
+                engine.activity = Activity::Backoff { until: now + RETRY_DELAY };
             }
             LoadResult::Fenced => {
-                engine.activity = Activity::Resting { until: now + RETRY_DELAY };
+                engine.activity = Activity::Backoff { until: now + RETRY_DELAY };
             }
         }
     }
 
-    /// Orders to send now.
+    /// Returns the commands to send now.
     pub fn tick(&mut self, now: Moment) -> Vec<LoadCommand> {
         for engine in self.engines.values_mut() {
             match engine.activity {
-                Activity::Ordered { since } if now >= since + ORDER_TIMEOUT => {
+                Activity::Loading { since } if now >= since + LOAD_TIMEOUT => {
                     engine.activity = Activity::Idle;
                 }
-                Activity::Resting { until } if now >= until => engine.activity = Activity::Idle,
+                Activity::Backoff { until } if now >= until => engine.activity = Activity::Idle,
                 _ => {}
             }
         }
         let Some(target) = self.target else {
             return Vec::new();
         };
-        let room = self.wave_size().saturating_sub(self.loading());
-        let behind = self.engines.iter_mut().filter(|(_, engine)| {
+        let capacity = self.wave_size().saturating_sub(self.loading_count());
+        let outdated = self.engines.iter_mut().filter(|(_, engine)| {
             engine.version < Some(target) && engine.activity == Activity::Idle
         });
-        behind
-            .take(room)
+        outdated
+            .take(capacity)
             .map(|(name, engine)| {
-                engine.activity = Activity::Ordered { since: now };
+                engine.activity = Activity::Loading { since: now };
                 LoadCommand { engine: name.clone(), version: target }
             })
             .collect()
     }
 
-    /// Engines that state the target version.
+    /// Returns the number of engines that have loaded the target version.
     pub fn up_to_date(&self) -> usize {
         self.engines
             .values()
@@ -166,21 +167,21 @@
             .count()
     }
 
-    /// Engines that take part.
+    /// Returns the number of known engines.
     pub fn engines(&self) -> usize {
         self.engines.len()
     }
 
-    fn loading(&self) -> usize {
+    fn loading_count(&self) -> usize {
         self.engines
             .values()
-            .filter(|engine| matches!(engine.activity, Activity::Ordered { .. }))
+            .filter(|engine| matches!(engine.activity, Activity::Loading { .. }))
             .count()
     }
 
     fn wave_size(&self) -> usize {
-        let count = self.engines.len();
-        let kept = (count as f64 * self.serving_floor).ceil() as usize;
-        count.saturating_sub(kept).max(1)
+        let engine_count = self.engines.len();
+        let min_serving = (engine_count as f64 * self.serving_floor).ceil() as usize;
+        engine_count.saturating_sub(min_serving).max(1)
     }
 }
--- a/crates/heronbend/src/weights/tests.rs
+++ b/crates/heronbend/src/weights/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_failed_load_is_ordered_again_later_and_does_not_count_as_loaded() {
+fn failed_load_is_retried_after_a_delay_and_does_not_count_as_loaded() {
     let mut rollout = rollout(1);
     rollout.publish(2);
     let wave = rollout.tick(Moment::ZERO);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_older_version_is_not_rolled_out_after_a_newer() {
+fn older_version_is_not_rolled_out_after_a_newer_one() {
     let mut rollout = rollout(1);
     rollout.publish(3);
     rollout.publish(2);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_restarted_engine_is_ordered_at_once() {
+fn restarted_engine_receives_a_command_immediately() {
     let mut rollout = rollout(1);
     rollout.publish(2);
     rollout.tick(Moment::ZERO);
@@ -59,18 +59,18 @@
 
 #[test]
 fn each_new_holder_gets_a_higher_token() {
-    let ask = |current: Option<&Fence>, holder: u64| {
+    let acquire = |current: Option<&Fence>, holder: u64| {
         let holder = NodeId::new("daemon", holder);
         Fence::apply(current, &FenceChange { holder, above: 0 }).value
     };
-    let first = ask(None, 1);
-    let same = ask(Some(&first), 1);
-    let second = ask(Some(&same), 2);
+    let first = acquire(None, 1);
+    let same = acquire(Some(&first), 1);
+    let second = acquire(Some(&same), 2);
     assert_eq!((first.token, same.token, second.token), (1, 1, 2));
 }
 
 #[test]
-fn a_register_that_was_lost_hands_out_tokens_above_what_engines_have_seen() {
+fn lost_register_issues_tokens_above_those_engines_have_seen() {
     let holder = NodeId::new("daemon", 1);
     let change = FenceChange { holder, above: 3 };
     let first = Fence::apply(None, &change).value;
