--- a/crates/heronbend-emulator/src/engine/batch.rs
+++ b/crates/heronbend-emulator/src/engine/batch.rs
@@ -1,7 +1,7 @@
 //! Continuous batching: each iteration draws one token for every running sequence.
 
 use heronbend::external::engine::{
-    ChunkChoice, ChunkStamp, Exported, GenerateChunk, GenerateRequest,
+    ChunkChoice, ChunkStamp, ExportResponse, GenerateChunk, GenerateRequest,
 };
 use heronbend::identity::Incarnation;
 use heronbend::rollout::FinishReason;
@@ -135,13 +135,13 @@
     }
 
     /// Ends a sequence and hands its KV cache out.
-    pub fn export(&mut self, attempt: &str) -> Option<Exported> {
+    pub fn export(&mut self, attempt: &str) -> Option<ExportResponse> {
         let index = self.running.iter().position(|sequence| sequence.attempt == attempt)?;
         let sequence = &self.running[index];
         let kv_handle = format!("{}/{attempt}", self.engine);
         let tokens = sequence.position;
         // The ledger notes the sequence when its reader closes the stream.
-        Some(Exported { kv_handle, tokens })
+        Some(ExportResponse { kv_handle, tokens })
     }
 
     /// Breaks every sequence off.
--- a/crates/heronbend/src/external/engine.rs
+++ b/crates/heronbend/src/external/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: generation with stamped chunks, status, and fenced orders.
+//! Protocol of model engines: streamed generation, status and fenced commands.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,151 +6,151 @@
 use crate::lifecycle::Phase;
 use crate::rollout::FinishReason;
 
-/// Header that names one attempt; the engine echoes it.
+/// Header with the identifier of an attempt, which the engine echoes.
 pub const ATTEMPT_HEADER: &str = "x-request-id";
-/// Header that passes on the caller's own request identifier.
+/// Header that forwards the caller's request identifier.
 pub const CALLER_REQUEST_HEADER: &str = "x-caller-request-id";
 
 /// A generation request to an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Most tokens to generate, those already generated included.
+    /// Maximum number of tokens, including those already generated.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Answer as server-sent events.
+    /// Whether to respond with server-sent events.
     pub stream: bool,
-    /// Lower runs first.
+    /// Scheduling priority; lower values run first.
     pub priority: i32,
-    /// Continues a text that another engine began.
+    /// State of a generation that another engine started and this one continues.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<Resume>,
 }
 
-/// What is known of a text that is to be continued.
+/// State from which a generation is resumed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Resume {
-    /// Tokens that exist already.
+    /// Number of tokens already generated.
     pub tokens: u32,
-    /// Their text.
+    /// Text of these tokens.
     pub text: String,
-    /// Handle of an exported KV cache, which saves computing it anew.
+    /// Handle of an exported KV cache, to avoid recomputing it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_handle: Option<String>,
 }
 
-/// One server-sent event of a generation.
+/// A server-sent event of a generation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GenerateChunk {
-    /// Identifier of the attempt, as sent.
+    /// Identifier of the attempt, from the request.
     pub id: String,
-    /// Exactly one choice.
+    /// The generated text; always one choice.
     pub choices: [ChunkChoice; 1],
-    /// What drew the tokens.
+    /// Origin of the tokens.
     pub stamp: ChunkStamp,
 }
 
 /// The text of a chunk.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChunkChoice {
-    /// New text.
+    /// Text added by this chunk.
     pub text: String,
-    /// Set on the last chunk.
+    /// Reason why the generation finished; set on the last chunk only.
     pub finish_reason: Option<FinishReason>,
 }
 
-/// What drew the tokens of a chunk.
+/// Origin of the tokens of a chunk.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChunkStamp {
-    /// The loaded weight version.
+    /// Weight version that generated the tokens.
     pub version: u64,
-    /// Position of the first token.
+    /// Index of the first token in the generation.
     pub offset: u32,
     /// Number of tokens.
     pub tokens: u32,
-    /// The engine's name.
+    /// Name of the engine.
     pub engine: String,
-    /// The run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
 }
 
-/// What an engine reports of itself.
+/// Status report of an engine or application server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// The run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Live or leaving.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Sequences being generated.
+    /// Number of sequences being generated.
     pub running: u32,
-    /// Sequences waiting.
+    /// Number of queued sequences.
     pub waiting: u32,
-    /// The model; empty for an application server.
+    /// Name of the model; empty for an application server.
     pub model: String,
-    /// The loaded version; `None` while the engine cannot vouch for one.
+    /// Loaded weight version; `None` while no version is fully loaded.
     pub version: Option<u64>,
 }
 
-/// An order to an engine.
+/// A command to an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineCommand {
-    /// Fencing token: an engine refuses one lower than it has seen.
+    /// Fencing token. Engines reject a token lower than the highest they have seen.
     pub fence: u64,
-    /// What to do.
+    /// Action to perform.
     pub action: CommandAction,
 }
 
-/// What an engine can be ordered to do.
+/// Action of an [`EngineCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "do")]
 pub enum CommandAction {
     /// Load a weight version of its model.
     LoadVersion {
-        /// The version.
+        /// Version to load.
         version: u64,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Serve another role, such as `prefill` or `decode`.
+    /// Switch to another serving role, such as `prefill` or `decode`.
     ChangeRole {
-        /// The role.
+        /// Name of the role.
         role: String,
     },
 }
 
-/// The answer to an order that was carried out.
+/// Response to a completed command.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandResponse {
-    /// The version loaded now.
+    /// Loaded weight version after the command.
     pub version: Option<u64>,
 }
 
-/// Asks for the KV cache of a running generation, which ends at this engine.
+/// Request to export the KV cache of a running generation and stop it on this engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExportRequest {
-    /// Identifier of the attempt.
+    /// Identifier of the attempt to export.
     pub id: String,
 }
 
 /// An exported KV cache.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Exported {
-    /// Handle for [`Resume`].
+pub struct ExportResponse {
+    /// Handle for [`Resume::kv_handle`].
     pub kv_handle: String,
-    /// Tokens that it covers.
+    /// Number of tokens in the cache.
     pub tokens: u32,
 }
 
-/// Code of an engine's or server's refusal because it is leaving.
+/// Error code of a request rejected because the backend is leaving.
 pub const CODE_LEAVING: &str = "leaving";
-/// Code of a refusal because it is full.
+/// Error code of a request rejected because the backend is at capacity.
 pub const CODE_FULL: &str = "full";
-/// Code of a refused order because a newer fencing token was seen.
+/// Error code of a command rejected because a higher fencing token was seen.
 pub const CODE_FENCED: &str = "fenced";
--- a/crates/heronbend/src/external/mod.rs
+++ b/crates/heronbend/src/external/mod.rs
@@ -1,6 +1,6 @@
-//! Message types of the outside systems' published protocols.
+//! Message types of the protocols of external systems.
 //!
-//! Types only: the daemon's clients and the emulator's stand-ins share them.
+//! They are shared by the daemon's clients and the emulator's implementations of these systems.
 
 pub mod engine;
 pub mod platform;
--- a/crates/heronbend/src/external/platform.rs
+++ b/crates/heronbend/src/external/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: object API, list of machines and weight store.
+//! Protocol of the platform: object API, machine list and weight store.
 
 use std::net::SocketAddr;
 
@@ -7,67 +7,67 @@
 use crate::identity::Incarnation;
 use crate::lifecycle::Phase;
 
-/// Name of the object that holds the settings.
+/// Name of the settings object.
 pub const SETTINGS_OBJECT: &str = "settings";
-/// Name of the object that holds the shard map.
+/// Name of the shard map object.
 pub const SHARD_MAP_OBJECT: &str = "shard-map";
 
-/// An object with its version, as the object API answers it.
+/// An object with its version, as returned by the object API.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// Counts writes; 0 stands for an object that does not exist.
+    /// Number of writes; 0 if the object does not exist.
     pub version: u64,
-    /// The object.
+    /// Value of the object.
     pub value: T,
 }
 
-/// What a machine is.
+/// Kind of process that a machine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineKind {
-    /// Runs a heronbend daemon.
+    /// A heronbend daemon.
     Daemon,
-    /// Runs a model engine.
+    /// A model engine.
     Engine,
-    /// Runs an application server.
+    /// An application server.
     Application,
 }
 
-/// An entry of the list of machines.
+/// An entry of the machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
-    /// What it is.
+    /// Kind of process that it runs.
     pub kind: MachineKind,
-    /// The run of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Pool of a back end; empty for a daemon.
+    /// Pool of a backend; empty for a daemon.
     pub pool: String,
-    /// Where it listens for HTTP.
+    /// Address on which it listens for HTTP.
     pub address: SocketAddr,
-    /// Where a daemon listens for its peers.
+    /// Address on which a daemon listens for its peers.
     pub peer_address: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Its region.
+    /// Region in which it runs.
     pub region: String,
-    /// Live or leaving.
+    /// Lifecycle phase.
     pub phase: Phase,
 }
 
-/// The list of machines; it lags.
+/// The machine list, which is eventually consistent.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Grows with each change.
+    /// Version of the list, incremented with each change.
     pub version: u64,
-    /// The machines.
+    /// All listed machines.
     pub machines: Vec<Machine>,
 }
 
-/// Versions of a model in the weight store.
+/// Weight versions of a model in the weight store.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StoredVersions {
-    /// The newest version; `None` when there is none.
+    /// The newest version; `None` if there is none.
     pub latest: Option<u64>,
 }
