--- a/crates/heronbend/src/settings/finding.rs
+++ b/crates/heronbend/src/settings/finding.rs
@@ -1,33 +1,33 @@
-//! Mistakes found in a settings tree, each with its place.
+//! Validation errors of a settings tree, with their locations.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One mistake and where it stands.
+/// A validation error and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The file, or where else the tree was read from.
+    /// Name of the file or other source of the tree.
     pub file: String,
-    /// Path of the node; empty when the file as a whole could not be read.
+    /// Path of the node; empty if the file could not be parsed.
     pub node: String,
-    /// Name of the field; empty when the node as a whole is meant.
+    /// Name of the field; empty if the error concerns the whole node.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// Description of the error and of what is expected.
     pub message: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let places = [&self.file, &self.node, &self.field];
-        for place in places.into_iter().filter(|place| !place.is_empty()) {
-            write!(formatter, "{place}: ")?;
+        let location = [&self.file, &self.node, &self.field];
+        for part in location.into_iter().filter(|part| !part.is_empty()) {
+            write!(formatter, "{part}: ")?;
         }
         formatter.write_str(&self.message)
     }
 }
 
-/// All mistakes of one reading, in the order of the tree.
+/// All validation errors of a tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(transparent)]
 pub struct Findings(pub Vec<Finding>);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Collects findings of one file.
+/// Collects the findings for one source.
 #[derive(Debug)]
 pub struct Collector {
     file: String,
@@ -47,7 +47,7 @@
 }
 
 impl Collector {
-    /// A collector for the file of this name.
+    /// Creates a collector for the source named `file`.
     pub fn new(file: &str) -> Self {
         Self { file: file.to_owned(), findings: Vec::new() }
     }
@@ -62,7 +62,7 @@
         });
     }
 
-    /// `value` when nothing was found, all findings otherwise.
+    /// Returns `value` if there are no findings, otherwise all findings.
     pub fn finish<T>(self, value: T) -> Result<T, Findings> {
         if self.findings.is_empty() {
             Ok(value)
--- a/crates/heronbend/src/settings/mod.rs
+++ b/crates/heronbend/src/settings/mod.rs
@@ -1,13 +1,13 @@
-//! The settings tree: what operators edit and every daemon obeys.
+//! The settings tree, which operators edit and every daemon applies.
 //!
-//! A tree is a set of nodes named by paths. A node states only the fields that differ from its
-//! parent's; [`resolve`](tree::Tree::resolve) gives each value with the node it came from. The first
-//! path segment is the node's [`Section`](schema::Section), which says which fields apply. Leaves
-//! are the entities that [`Policy`](policy::Policy) is compiled from; inner nodes only carry values
-//! to inherit.
+//! A tree is a set of nodes identified by paths. A node sets only the fields that differ from its
+//! parent's; [`resolve`](tree::Tree::resolve) returns the effective value of a field and the node
+//! that set it. The first path segment is the node's [`Section`](schema::Section), which determines
+//! the applicable fields. Leaves are the entities that [`Policy`](policy::Policy) is compiled from;
+//! inner nodes only provide values to inherit.
 //!
-//! Reading never stops at the first mistake: all [`Finding`](finding::Finding)s are collected with
-//! file, node and field.
+//! Validation does not stop at the first error: it collects all [`Finding`](finding::Finding)s with
+//! their file, node and field.
 
 pub mod finding;
 pub mod policy;
--- a/crates/heronbend/src/settings/policy.rs
+++ b/crates/heronbend/src/settings/policy.rs
@@ -1,4 +1,4 @@
-//! The tree compiled into what the daemon's duties read.
+//! Typed policies compiled from the settings tree.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::tree::{NodePath, RawValue, Tree};
 use super::units::{parse_bytes, parse_duration};
 
-/// What kind of back end a pool holds.
+/// Kind of the backends of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum PoolKind {
     /// Model engines.
@@ -22,23 +22,23 @@
 /// Settings of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PoolPolicy {
-    /// Name of the pool, which back ends state when they register.
+    /// Name of the pool, as given in the machine list.
     pub name: String,
-    /// What its back ends are.
+    /// Kind of its backends.
     pub kind: PoolKind,
-    /// Requests that one daemon may have under way at one back end.
+    /// Maximum number of requests in flight from one daemon to one backend.
     pub max_in_flight: usize,
-    /// Longest time for one request, all attempts together.
+    /// Timeout of a request, including all its attempts.
     pub request_timeout: Duration,
-    /// How long a request may wait for a place before it is refused.
+    /// How long a request may wait for backend capacity before it is rejected.
     pub recovery_window: Duration,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether prompts with a common prefix go to the same engine.
+    /// Whether prompts with a common prefix are routed to the same engine.
     pub prefix_affinity: bool,
-    /// Back ends of the pool that one daemon sends to and asks for reports.
+    /// Number of backends of the pool that one daemon sends requests to and polls for status.
     pub subset: usize,
-    /// Share of engines that keeps serving during a weight rollout.
+    /// Minimum fraction of engines that keep serving during a weight rollout.
     pub serving_floor: f64,
 }
 
@@ -49,9 +49,9 @@
     pub name: String,
     /// Pool that serves it.
     pub pool: String,
-    /// Most tokens of one answer.
+    /// Maximum number of tokens per response.
     pub max_tokens: u64,
-    /// Who may call it.
+    /// Callers that may use it.
     pub callers: CallerSet,
 }
 
@@ -64,9 +64,9 @@
     pub prefix: String,
     /// Pool that serves it.
     pub pool: String,
-    /// Whether a request may be run more than once.
+    /// Whether requests are idempotent and may be executed more than once.
     pub repeatable: bool,
-    /// Who may call it.
+    /// Callers that may use it.
     pub callers: CallerSet,
 }
 
@@ -78,7 +78,7 @@
     /// SHA-256 of the bearer token, in lower-case hexadecimal.
     #[serde(skip)]
     pub token_sha256: String,
-    /// Requests that the caller may have under way at one daemon.
+    /// Maximum number of concurrent requests of the caller at one daemon.
     pub max_concurrent: usize,
 }
 
@@ -87,17 +87,17 @@
 pub struct TrainerPolicy {
     /// Name of the trainer.
     pub name: String,
-    /// Model it trains.
+    /// Model that it trains.
     pub model: String,
-    /// Caller that may act for it.
+    /// Caller that acts on its behalf.
     pub caller: String,
-    /// How many versions a sample may be behind the trainer's own.
+    /// Maximum staleness of a sample, in versions behind the trainer's own.
     pub staleness_bound: u64,
-    /// Weight of idle time against staleness, 1 for idle time alone.
+    /// Weight of avoiding idle time against avoiding staleness, from 0 to 1.
     pub idle_weight: f64,
-    /// Samples in one batch.
+    /// Number of samples per batch.
     pub batch_size: usize,
-    /// Application pool that scores its samples.
+    /// Application pool that scores the samples.
     pub scorer: String,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl CallerSet {
-    /// Whether the caller belongs to the set.
+    /// Returns whether the set contains a caller.
     pub fn contains(&self, caller: &str) -> bool {
         match self {
             Self::All => true,
@@ -120,20 +120,20 @@
     }
 }
 
-/// Everything that policy reads, of one revision.
+/// All policies compiled from one revision of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Policy {
-    /// Revision of the tree it was compiled from.
+    /// Revision of the settings tree.
     pub revision: u64,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body: u64,
-    /// Longest wait for a request body.
+    /// Timeout for receiving a request body.
     pub body_timeout: Duration,
-    /// Interval of the counters in the log.
+    /// Interval at which counters are logged.
     pub log_interval: Duration,
-    /// Retries allowed for each fresh request, as a share.
+    /// Allowed ratio of retries to first attempts.
     pub retry_budget: f64,
-    /// How long the outcome of a not-repeatable request is kept.
+    /// Retention time of the outcome of a non-idempotent request.
     pub claim_retention: Duration,
     /// Pools by name.
     pub pools: BTreeMap<String, PoolPolicy>,
@@ -148,10 +148,15 @@
 }
 
 impl Policy {
-    /// Compiles a tree. The tree must have passed [`Tree::validate`].
+    /// Compiles a tree.
+    ///
+    /// # Panics
+    ///
+    /// May panic if the tree does not pass [`Tree::validate`].
     pub fn compile(tree: &Tree, revision: u64) -> Self {
-        let root = Reader::new(tree, NodePath::root());
-        let mut routes: Vec<_> = readers(tree, Section::Routes).map(|node| node.route()).collect();
+        let root = NodeReader::new(tree, NodePath::root());
+        let mut routes: Vec<_> =
+            node_readers(tree, Section::Routes).map(|node| node.route()).collect();
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         Self {
             revision,
@@ -160,27 +165,27 @@
             log_interval: root.duration("log_interval"),
             retry_budget: root.ratio("retry_budget"),
             claim_retention: root.duration("claim_retention"),
-            pools: named(tree, Section::Pools, |node| node.pool()),
-            models: named(tree, Section::Models, |node| node.model()),
+            pools: compile_by_name(tree, Section::Pools, |node| node.pool()),
+            models: compile_by_name(tree, Section::Models, |node| node.model()),
             routes,
-            callers: named(tree, Section::Callers, |node| node.caller()),
-            trainers: named(tree, Section::Trainers, |node| node.trainer()),
+            callers: compile_by_name(tree, Section::Callers, |node| node.caller()),
+            trainers: compile_by_name(tree, Section::Trainers, |node| node.trainer()),
         }
     }
 
-    /// The route of a path, by longest prefix.
+    /// Returns the route with the longest prefix that matches a path.
     pub fn route(&self, path: &str) -> Option<&RoutePolicy> {
         self.routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The caller whose token this is.
+    /// Returns the caller identified by a bearer token.
     pub fn authenticate(&self, token: &str) -> Option<&CallerPolicy> {
         let digest = token_digest(token);
         self.callers.values().find(|caller| caller.token_sha256.eq_ignore_ascii_case(&digest))
     }
 }
 
-/// The digest under which settings keep a bearer token.
+/// Returns the SHA-256 digest of a bearer token, in lower-case hexadecimal.
 pub fn token_digest(token: &str) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let digest = Sha256::digest(token.as_bytes());
@@ -188,21 +193,25 @@
     nibbles.map(|nibble| char::from(DIGITS[usize::from(nibble)])).collect()
 }
 
-fn readers(tree: &Tree, section: Section) -> impl Iterator<Item = Reader<'_>> {
-    tree.entities(section).map(move |path| Reader::new(tree, path.clone()))
+fn node_readers(tree: &Tree, section: Section) -> impl Iterator<Item = NodeReader<'_>> {
+    tree.entities(section).map(move |path| NodeReader::new(tree, path.clone()))
 }
 
-fn named<T>(tree: &Tree, section: Section, read: fn(&Reader<'_>) -> T) -> BTreeMap<String, T> {
-    readers(tree, section).map(|node| (node.name(), read(&node))).collect()
+fn compile_by_name<T>(
+    tree: &Tree,
+    section: Section,
+    read: fn(&NodeReader<'_>) -> T,
+) -> BTreeMap<String, T> {
+    node_readers(tree, section).map(|node| (node.name(), read(&node))).collect()
 }
 
-/// Reads the resolved fields of one node of a validated tree.
-struct Reader<'a> {
+/// Reads the resolved fields of a node of a validated tree.
+struct NodeReader<'a> {
     tree: &'a Tree,
     path: NodePath,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> NodeReader<'a> {
     fn new(tree: &'a Tree, path: NodePath) -> Self {
         Self { tree, path }
     }
@@ -213,8 +222,8 @@
 
     fn value(&self, name: &str) -> RawValue {
         let section = self.path.section().expect("validated");
-        let in_section = |spec: &&FieldSpec| spec.name == name && spec.section == section;
-        let spec = FIELDS.iter().find(in_section).expect("a field of the schema");
+        let matches_name = |spec: &&FieldSpec| spec.name == name && spec.section == section;
+        let spec = FIELDS.iter().find(matches_name).expect("field is in the schema");
         self.tree.resolve(&self.path, spec).expect("validated").value
     }
 
@@ -236,7 +245,7 @@
     fn count(&self, name: &str) -> u64 {
         match self.value(name) {
             RawValue::Integer(count) => count.unsigned_abs(),
-            other => unreachable!("validated, yet {other}"),
+            other => unreachable!("validation accepted {other} as a number"),
         }
     }
 
@@ -244,7 +253,7 @@
         match self.value(name) {
             RawValue::Float(ratio) => ratio,
             RawValue::Integer(ratio) => ratio as f64,
-            other => unreachable!("validated, yet {other}"),
+            other => unreachable!("validation accepted {other} as a number"),
         }
     }
 
--- a/crates/heronbend/src/settings/revision.rs
+++ b/crates/heronbend/src/settings/revision.rs
@@ -1,7 +1,8 @@
-//! The stored tree with its revision, and edits to it.
+//! The stored settings tree with its revision, and edits to it.
 //!
-//! An edit is accepted by compare-and-swap of one object. The object carries the identifier of the
-//! edit that made it, so that an editor whose answer was lost can read back whether its edit won.
+//! Edits are applied by compare-and-swap of a single object. The object contains the identifiers of
+//! the latest edits, so that a client that received no response can find out whether its edit was
+//! applied.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -9,63 +10,64 @@
 use super::finding::Findings;
 use super::tree::{Fields, NodePath, RawValue, Tree};
 
-/// Edits remembered in the object, so that a lost answer can still be resolved after later edits.
-const REMEMBERED_EDITS: usize = 32;
+/// Number of edit identifiers retained in the object.
+const MAX_RETAINED_EDITS: usize = 32;
 
-/// What the object API holds.
+/// The settings as stored in the object API.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettingsObject {
-    /// Counts accepted edits; never decreases.
+    /// Revision of the tree, incremented by each accepted edit.
     pub revision: u64,
-    /// Identifiers of the latest edits, newest last.
+    /// The latest edits, oldest first.
     pub edits: Vec<EditRecord>,
-    /// The tree in force at this revision.
+    /// The tree at this revision.
     pub tree: Tree,
 }
 
 /// An accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRecord {
-    /// Identifier chosen by the editor.
+    /// Identifier chosen by the client.
     pub id: String,
-    /// Revision that the edit made.
+    /// Revision that the edit created.
     pub revision: u64,
-    /// Nodes that it changed.
+    /// Nodes changed by the edit.
     pub nodes: Vec<NodePath>,
 }
 
-/// A change of one node.
+/// A change to one node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeEdit {
-    /// The node.
+    /// Path of the node.
     pub node: NodePath,
-    /// Its fields as the editor saw them; `None` when it did not exist.
+    /// Fields on which the edit is based; `None` if the node did not exist.
     pub base: Option<Fields>,
-    /// Its fields as they are to be; `None` removes it.
+    /// New fields; `None` removes the node.
     pub fields: Option<Fields>,
 }
 
-/// Why an edit was not accepted; the settings are unchanged.
+/// Reason why an edit was rejected. The settings are left unchanged.
 #[derive(Debug, Clone, PartialEq, Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EditConflict {
-    /// Somebody else changed the same node meanwhile.
+    /// The node was changed concurrently.
     #[error("node {node} was changed meanwhile: it is now {current:?}, the edit wants {wanted:?}")]
     SameNode {
-        /// The node.
+        /// Path of the node.
         node: NodePath,
-        /// Its fields now.
+        /// Current fields of the node.
         current: Option<Fields>,
-        /// Its fields as the refused edit wants them.
+        /// Fields requested by the rejected edit.
         wanted: Option<Fields>,
     },
-    /// The tree would not be valid.
+    /// The resulting tree is invalid.
     #[error("{0}")]
     Invalid(Findings),
 }
 
 impl SettingsObject {
-    /// The object after an edit. An edit that is already in is not applied again.
+    /// Returns the object with the edits applied under the identifier `id`, or unchanged if that was
+    /// applied before.
     pub fn apply(&self, id: &str, edits: &[NodeEdit], origin: &str) -> Result<Self, EditConflict> {
         if self.contains_edit(id) {
             return Ok(self.clone());
@@ -92,18 +94,18 @@
             revision: next.revision,
             nodes: edits.iter().map(|edit| edit.node.clone()).collect(),
         });
-        let surplus = next.edits.len().saturating_sub(REMEMBERED_EDITS);
-        next.edits.drain(..surplus);
+        let excess = next.edits.len().saturating_sub(MAX_RETAINED_EDITS);
+        next.edits.drain(..excess);
         Ok(next)
     }
 
-    /// Whether the edit of this identifier is among the remembered ones.
+    /// Returns whether the edit with this identifier is among the retained ones.
     pub fn contains_edit(&self, id: &str) -> bool {
         self.edits.iter().any(|edit| edit.id == id)
     }
 }
 
-/// The edit that sets one field of a node, as seen in `tree`.
+/// Returns an edit, based on `tree`, that sets a field of a node, or removes it if `value` is `None`.
 pub fn set_field(tree: &Tree, node: &NodePath, field: &str, value: Option<RawValue>) -> NodeEdit {
     let base = tree.nodes.get(node).cloned();
     let mut fields = base.clone().unwrap_or_default();
--- a/crates/heronbend/src/settings/schema.rs
+++ b/crates/heronbend/src/settings/schema.rs
@@ -1,31 +1,31 @@
-//! Which fields a node may state, and what their values must be.
+//! Schema of the settings: the fields of each section and their value types.
 
 use super::tree::RawValue;
 use super::units::{parse_bytes, parse_duration};
 
-/// The first segment of a node's path.
+/// The kind of a node, given by the first segment of its path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Section {
-    /// The root node `/`, whose values all others inherit.
+    /// The root node `/`, from which all others inherit.
     Root,
-    /// Groups of interchangeable back ends.
+    /// Groups of interchangeable backends.
     Pools,
     /// Models, each served by a pool.
     Models,
-    /// Paths of application requests.
+    /// Routes of application requests to pools.
     Routes,
-    /// Who may call.
+    /// Authenticated clients.
     Callers,
-    /// Trainers that draw samples.
+    /// Trainers that request rollout samples.
     Trainers,
 }
 
 impl Section {
-    /// Every section below the root.
+    /// All sections except the root.
     pub const BELOW_ROOT: [Self; 5] =
         [Self::Pools, Self::Models, Self::Routes, Self::Callers, Self::Trainers];
 
-    /// The path segment of this section.
+    /// Returns the path segment of this section.
     pub fn name(self) -> &'static str {
         match self {
             Self::Root => "",
@@ -38,43 +38,43 @@
     }
 }
 
-/// What a field's value must be.
+/// Type of the value of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
-    /// A duration with its unit.
+    /// A duration with a unit.
     Duration,
-    /// A size with its unit.
+    /// A size in bytes with a unit.
     Bytes,
-    /// A whole number within bounds, both included.
+    /// An integer from `min` to `max`, inclusive.
     Count { min: i64, max: i64 },
     /// A number from 0 to 1.
     Ratio,
     /// `true` or `false`.
     Flag,
-    /// Any text that is not empty.
+    /// A non-empty string.
     Text,
-    /// One of these words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
     /// The name of an entity of a section.
     Reference(Section),
-    /// Names of entities of a section; `*` stands for all.
+    /// A list of names of entities of a section, or `*` for all.
     References(Section),
     /// A SHA-256 digest in hexadecimal.
     Digest,
-    /// The path of a node to inherit from in place of the parent by path.
+    /// The path of a node to inherit from instead of the parent by path.
     Node,
 }
 
 /// A field of the schema.
 #[derive(Debug, Clone, Copy)]
 pub struct FieldSpec {
-    /// Its name.
+    /// Name of the field.
     pub name: &'static str,
-    /// The section that reads it; any ancestor may state it.
+    /// Section whose entities use the field. Any ancestor may set it.
     pub section: Section,
-    /// What its value must be.
+    /// Type of the value.
     pub kind: FieldKind,
-    /// Its value when no node states it, as it would be written; `None` when it must be stated.
+    /// Default value in text form; `None` if the field is required.
     pub default: Option<&'static str>,
 }
 
@@ -93,12 +93,12 @@
 const POSITIVE: FieldKind = FieldKind::Count { min: 1, max: MAX_COUNT };
 const COUNT: FieldKind = FieldKind::Count { min: 0, max: MAX_COUNT };
 
-/// Name of the field that redirects inheritance.
-pub const INHERITS: &str = "inherits";
+/// Name of the field that overrides the node to inherit from.
+pub const INHERITS_FIELD: &str = "inherits";
 
-/// All fields.
+/// Fields of all sections.
 pub const FIELDS: &[FieldSpec] = &[
-    field(INHERITS, Section::Root, FieldKind::Node, Some("")),
+    field(INHERITS_FIELD, Section::Root, FieldKind::Node, Some("")),
     field("max_body", Section::Root, FieldKind::Bytes, Some("4MiB")),
     field("body_timeout", Section::Root, FieldKind::Duration, Some("10s")),
     field("log_interval", Section::Root, FieldKind::Duration, Some("10s")),
@@ -129,7 +129,8 @@
     field("scorer", Section::Trainers, FieldKind::Reference(Section::Pools), None),
 ];
 
-/// The field of this name that a node of `section` may state, `Root` standing for all sections.
+/// Returns the field `name` that a node of `section` may set. The root may set the fields of all
+/// sections.
 pub fn find_field(section: Section, name: &str) -> Option<&'static FieldSpec> {
     FIELDS.iter().find(|spec| {
         spec.name == name
@@ -139,22 +140,20 @@
     })
 }
 
-/// Checks a value's form; references are checked with the whole tree at hand.
+/// Checks the type and range of a value. References are checked separately, against the whole tree.
 pub fn check_value(kind: FieldKind, value: &RawValue) -> Result<(), String> {
     match (kind, value) {
         (FieldKind::Duration, RawValue::Text(text)) => parse_duration(text).map(drop),
-        (FieldKind::Duration, _) => {
-            Err("must be a duration with its unit, such as \"250ms\"".into())
-        }
+        (FieldKind::Duration, _) => Err("must be a duration with a unit, such as \"250ms\"".into()),
         (FieldKind::Bytes, RawValue::Text(text)) => parse_bytes(text).map(drop),
-        (FieldKind::Bytes, _) => Err("must be a size with its unit, such as \"13KB\"".into()),
+        (FieldKind::Bytes, _) => Err("must be a size with a unit, such as \"13KB\"".into()),
         (FieldKind::Count { min, max }, RawValue::Integer(count))
             if (min..=max).contains(count) =>
         {
             Ok(())
         }
         (FieldKind::Count { min, max }, _) => {
-            Err(format!("must be a whole number from {min} to {max}"))
+            Err(format!("must be an integer from {min} to {max}"))
         }
         (FieldKind::Ratio, RawValue::Float(ratio)) if (0.0..=1.0).contains(ratio) => Ok(()),
         (FieldKind::Ratio, RawValue::Integer(0 | 1)) => Ok(()),
@@ -170,15 +169,15 @@
         {
             Ok(())
         }
-        (FieldKind::Text, _) => Err("must be a text that is not empty".into()),
+        (FieldKind::Text, _) => Err("must be a non-empty string".into()),
         (FieldKind::Reference(section), _) => {
-            Err(format!("must be the name of one of the {}", section.name()))
+            Err(format!("must be the name of an entity in section {}", section.name()))
         }
         (FieldKind::Node, _) => Err("must be the path of a node".into()),
         (FieldKind::References(_), RawValue::List(_)) => Ok(()),
         (FieldKind::References(_), RawValue::Text(text)) if text == "*" => Ok(()),
         (FieldKind::References(section), _) => {
-            Err(format!("must be a list of {}, or \"*\" for all", section.name()))
+            Err(format!("must be a list of names of {}, or \"*\" for all", section.name()))
         }
         (FieldKind::Digest, RawValue::Text(text)) if is_sha256(text) => Ok(()),
         (FieldKind::Digest, _) => Err("must be a SHA-256 digest of 64 hexadecimal digits".into()),
--- a/crates/heronbend/src/settings/tests.rs
+++ b/crates/heronbend/src/settings/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn children_state_only_what_differs() {
+fn nodes_inherit_unset_fields_from_their_parent() {
     let policy = Policy::compile(&tree(), 7);
     assert_eq!(policy.pools["bulletin"].request_timeout.as_millis(), 5000);
     assert_eq!(policy.pools["gauges"].request_timeout.as_millis(), 250);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn resolved_values_name_their_node() {
+fn resolved_values_include_the_node_that_set_them() {
     let path = NodePath::parse("/pools/bulletin").unwrap();
     let resolved = tree().resolve_all(&path);
     let from = resolved["request_timeout"].from.as_ref().unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn all_findings_come_at_once_with_file_node_and_field() {
+fn all_findings_are_reported_with_file_node_and_field() {
     let text = r#"
 ["/pools/a"]
 kind = "motor"
@@ -66,7 +66,7 @@
 max_in_flight = 0
 "#;
     let findings = Tree::from_toml("bad.toml", text).unwrap_err();
-    let places: Vec<_> =
+    let locations: Vec<_> =
         findings.0.iter().map(|finding| (finding.node.as_str(), finding.field.as_str())).collect();
     for expected in [
         ("/pools/a", "kind"),
@@ -77,13 +77,13 @@
         ("/pools/b", "inherits"),
         ("/pools/c", "max_in_flight"),
     ] {
-        assert!(places.contains(&expected), "{expected:?} is not in {places:?}");
+        assert!(locations.contains(&expected), "{expected:?} is not in {locations:?}");
     }
     assert!(findings.0.iter().all(|finding| finding.file == "bad.toml"));
 }
 
 #[test]
-fn a_default_is_valid_for_its_own_field() {
+fn defaults_are_valid() {
     for spec in FIELDS.iter().filter(|spec| spec.name != "inherits") {
         let resolved = Tree::default().resolve(&NodePath::root(), spec);
         if let Some(resolved) = resolved {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn edits_of_different_nodes_both_stand_and_of_one_node_conflict() {
+fn edits_conflict_only_on_the_same_node() {
     let object = SettingsObject { tree: tree(), ..Default::default() };
     let edit = |path: &str, value| {
         let node = NodePath::parse(path).unwrap();
@@ -107,12 +107,15 @@
     let first = object.apply("one", &[edit("/pools/gauges", 5)], "test").unwrap();
     let second = first.apply("two", &[edit("/pools/bulletin", 6)], "test").unwrap();
     assert_eq!(second.revision, 2);
-    let late = second.apply("three", &[edit("/pools/gauges", 9)], "test");
-    assert_matches!(late, Err(EditConflict::SameNode { current: Some(_), wanted: Some(_), .. }));
+    let conflicting = second.apply("three", &[edit("/pools/gauges", 9)], "test");
+    assert_matches!(
+        conflicting,
+        Err(EditConflict::SameNode { current: Some(_), wanted: Some(_), .. })
+    );
 }
 
 #[test]
-fn an_edit_whose_answer_was_lost_is_not_applied_twice() {
+fn retried_edit_is_applied_once() {
     let object = SettingsObject::default();
     let node = NodePath::parse("/pools/p").unwrap();
     let edit = set_field(&object.tree, &node, "kind", Some(RawValue::Text("engine".into())));
@@ -122,11 +125,11 @@
 }
 
 #[test]
-fn an_edit_that_would_break_a_reference_is_refused_with_findings() {
+fn edit_that_breaks_a_reference_is_rejected_with_findings() {
     let object = SettingsObject { tree: tree(), ..Default::default() };
     let node = NodePath::parse("/pools/bulletin").unwrap();
     let removal = NodeEdit { base: object.tree.nodes.get(&node).cloned(), node, fields: None };
-    let refused = object.apply("remove", &[removal], "test");
-    assert_matches!(refused, Err(EditConflict::Invalid(findings)) if findings.0[0].field == "pool");
+    let rejected = object.apply("remove", &[removal], "test");
+    assert_matches!(rejected, Err(EditConflict::Invalid(findings)) if findings.0[0].field == "pool");
     assert_eq!(object.tree.entities(Section::Pools).count(), 2);
 }
--- a/crates/heronbend/src/settings/tree.rs
+++ b/crates/heronbend/src/settings/tree.rs
@@ -1,4 +1,4 @@
-//! Nodes, inheritance and validation.
+//! Nodes of the settings tree, their inheritance and validation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -6,9 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::finding::{Collector, Findings};
-use super::schema::{check_value, find_field, FieldKind, FieldSpec, Section, FIELDS, INHERITS};
+use super::schema::{
+    check_value, find_field, FieldKind, FieldSpec, Section, FIELDS, INHERITS_FIELD,
+};
 
-/// Longest accepted path, in bytes.
+/// Maximum length of a path in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
 /// The path of a node, such as `/pools/bulletin`; the root is `/`.
@@ -17,12 +19,12 @@
 pub struct NodePath(String);
 
 impl NodePath {
-    /// The root node.
+    /// Returns the path of the root node.
     pub fn root() -> Self {
         Self("/".to_owned())
     }
 
-    /// Reads a path; the error says what is wrong with it.
+    /// Parses a path. The error describes the expected format.
     pub fn parse(text: &str) -> Result<Self, String> {
         if text == "/" {
             return Ok(Self::root());
@@ -35,31 +37,31 @@
         if well_formed && text.len() <= MAX_PATH_BYTES {
             Ok(Self(text.to_owned()))
         } else {
-            Err("a path is /segment/segment of letters, digits, '-', '_' and '.'".to_owned())
+            Err("a path must be / or /segment/..., with letters, digits, '-', '_' and '.' in segments".to_owned())
         }
     }
 
-    /// The path as text.
+    /// Returns the path as a string.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The parent by path; `None` for the root.
+    /// Returns the parent path; `None` for the root.
     pub fn parent(&self) -> Option<Self> {
-        let cut = self.0.rfind('/')?;
-        match (cut, self.0.len()) {
+        let last_slash = self.0.rfind('/')?;
+        match (last_slash, self.0.len()) {
             (0, 1) => None,
             (0, _) => Some(Self::root()),
-            _ => Some(Self(self.0[..cut].to_owned())),
+            _ => Some(Self(self.0[..last_slash].to_owned())),
         }
     }
 
-    /// The last segment, which names the entity.
+    /// Returns the last segment, which is the name of the entity.
     pub fn name(&self) -> &str {
         self.0.rsplit('/').next().unwrap_or_default()
     }
 
-    /// The section, unless the first segment is no section's name.
+    /// Returns the section, or `None` if the first segment is not the name of one.
     pub fn section(&self) -> Option<Section> {
         let first = self.0.split('/').nth(1)?;
         if first.is_empty() {
@@ -75,19 +77,19 @@
     }
 }
 
-/// A value as written, before its meaning is known.
+/// An untyped value of a field.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum RawValue {
     /// `true` or `false`.
     Flag(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// Any other number.
+    /// A floating-point number.
     Float(f64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// A list of texts.
+    /// A list of strings.
     List(Vec<String>),
 }
 
@@ -103,28 +105,28 @@
     }
 }
 
-/// The fields that one node states.
+/// The fields set by a node.
 pub type Fields = BTreeMap<String, RawValue>;
 
-/// A value together with the node that stated it.
+/// An effective value and its origin.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ResolvedValue {
-    /// The value.
+    /// The effective value.
     pub value: RawValue,
-    /// The node that stated it; `None` for the schema's default.
+    /// Node that sets the value; `None` for the default in the schema.
     pub from: Option<NodePath>,
 }
 
-/// A settings tree.
+/// The settings tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tree {
-    /// Every node that states something.
+    /// Nodes by path.
     pub nodes: BTreeMap<NodePath, Fields>,
 }
 
 impl Tree {
-    /// Reads a TOML file of one table a node and validates the whole.
+    /// Parses TOML text with one table per node and validates the tree. `file` is used in findings.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, Findings> {
         let mut collector = Collector::new(file);
         let table: toml::Table = match text.parse() {
@@ -141,7 +143,7 @@
                     let fields = read_fields(&mut collector, &path, fields);
                     tree.nodes.insert(path, fields);
                 }
-                (Ok(_), _) => collector.add(&key, "", "a node is a table: write [\"/path\"]"),
+                (Ok(_), _) => collector.add(&key, "", "a node must be a table: write [\"/path\"]"),
                 (Err(message), _) => collector.add(&key, "", message),
             }
         }
@@ -149,14 +151,14 @@
         collector.finish(tree)
     }
 
-    /// Validates a tree that was read from `origin`.
+    /// Validates the tree. `origin` names its source in findings.
     pub fn validate(&self, origin: &str) -> Result<(), Findings> {
         let mut collector = Collector::new(origin);
         self.validate_into(&mut collector);
         collector.finish(())
     }
 
-    /// Entities of a section: its nodes below the section's own that no other node extends.
+    /// Returns the entities of a section: the leaf nodes below the node of the section.
     pub fn entities(&self, section: Section) -> impl Iterator<Item = &NodePath> {
         self.nodes.keys().filter(move |path| {
             path.section() == Some(section)
@@ -165,41 +167,42 @@
         })
     }
 
-    /// The value in force at a node: its own, else its nearest ancestor's, else the default.
+    /// Returns the effective value of a field: that of the nearest node in the inheritance chain, or the
+    /// default. `None` if a required field is not set.
     pub fn resolve(&self, path: &NodePath, spec: &FieldSpec) -> Option<ResolvedValue> {
-        let stated = self.ancestry(path).into_iter().find_map(|node| {
+        let explicit = self.inheritance_chain(path).into_iter().find_map(|node| {
             let value = self.nodes.get(&node)?.get(spec.name)?.clone();
             Some(ResolvedValue { value, from: Some(node) })
         });
-        stated.or_else(|| default_value(spec))
+        explicit.or_else(|| default_value(spec))
     }
 
-    /// All values in force at a node, by field.
+    /// Returns all effective values at a node by field name.
     pub fn resolve_all(&self, path: &NodePath) -> BTreeMap<&'static str, ResolvedValue> {
         let section = path.section().unwrap_or(Section::Root);
         FIELDS
             .iter()
-            .filter(|spec| spec.section == section && spec.name != INHERITS)
+            .filter(|spec| spec.section == section && spec.name != INHERITS_FIELD)
             .filter_map(|spec| Some((spec.name, self.resolve(path, spec)?)))
             .collect()
     }
 
-    /// The node and those it inherits from, nearest first; ends early on a cycle.
-    fn ancestry(&self, path: &NodePath) -> Vec<NodePath> {
+    /// Returns the node and those it inherits from, nearest first. Stops at a cycle.
+    fn inheritance_chain(&self, path: &NodePath) -> Vec<NodePath> {
         let mut chain = Vec::new();
         let mut next = Some(path.clone());
         while let Some(node) = next {
             if chain.contains(&node) {
                 break;
             }
-            next = self.redirected_parent(&node).or_else(|| node.parent());
+            next = self.parent_override(&node).or_else(|| node.parent());
             chain.push(node);
         }
         chain
     }
 
-    fn redirected_parent(&self, path: &NodePath) -> Option<NodePath> {
-        match self.nodes.get(path)?.get(INHERITS)? {
+    fn parent_override(&self, path: &NodePath) -> Option<NodePath> {
+        match self.nodes.get(path)?.get(INHERITS_FIELD)? {
             RawValue::Text(text) => NodePath::parse(text).ok(),
             _ => None,
         }
@@ -219,8 +222,8 @@
                 Some(section) => self.check_fields(collector, path, section, fields),
                 None => collector.add(path.as_str(), "", unknown_section()),
             }
-            if self.is_on_cycle(path) {
-                collector.add(path.as_str(), INHERITS, "the node inherits from itself");
+            if self.has_inheritance_cycle(path) {
+                collector.add(path.as_str(), INHERITS_FIELD, "the node inherits from itself");
             }
         }
         for section in Section::BELOW_ROOT {
@@ -261,10 +264,14 @@
                 (section, names.iter().collect())
             }
             (FieldKind::Node, RawValue::Text(target)) => {
-                let known =
+                let exists =
                     NodePath::parse(target).is_ok_and(|node| self.nodes.contains_key(&node));
-                if !known {
-                    collector.add(path.as_str(), spec.name, format!("there is no node {target:?}"));
+                if !exists {
+                    collector.add(
+                        path.as_str(),
+                        spec.name,
+                        format!("node {target:?} does not exist"),
+                    );
                 }
                 return;
             }
@@ -272,7 +279,7 @@
         };
         for name in names {
             if !self.entities(section).any(|entity| entity.name() == name) {
-                let message = format!("there is no {name:?} among the {}", section.name());
+                let message = format!("{name:?} is not defined in section {}", section.name());
                 collector.add(path.as_str(), spec.name, message);
             }
         }
@@ -282,20 +289,24 @@
         let mut names = BTreeSet::new();
         for path in self.entities(section) {
             if !names.insert(path.name()) {
-                let message = format!("another of the {} has this name", section.name());
+                let message = format!("duplicate name in section {}", section.name());
                 collector.add(path.as_str(), "", message);
             }
             for spec in FIELDS.iter().filter(|spec| spec.section == section) {
                 if self.resolve(path, spec).is_none() {
-                    collector.add(path.as_str(), spec.name, "must be stated here or above");
+                    collector.add(
+                        path.as_str(),
+                        spec.name,
+                        "required field is not set here or on an ancestor",
+                    );
                 }
             }
         }
     }
 
-    fn is_on_cycle(&self, path: &NodePath) -> bool {
-        let chain = self.ancestry(path);
-        let last = chain.last().expect("a chain holds at least its start");
+    fn has_inheritance_cycle(&self, path: &NodePath) -> bool {
+        let chain = self.inheritance_chain(path);
+        let last = chain.last().expect("the chain includes the node itself");
         *last != NodePath::root()
     }
 }
@@ -307,7 +318,11 @@
             Some(value) => {
                 fields.insert(name, value);
             }
-            None => collector.add(path.as_str(), &name, "must be a plain value or a list of texts"),
+            None => collector.add(
+                path.as_str(),
+                &name,
+                "must be a boolean, a number, a string or a list of strings",
+            ),
         }
     }
     fields
@@ -350,5 +365,5 @@
         .filter(|spec| spec.section == section || spec.section == Section::Root)
         .map(|spec| spec.name)
         .collect();
-    format!("unknown field; known here: {}", names.join(", "))
+    format!("unknown field; expected one of {}", names.join(", "))
 }
--- a/crates/heronbend/src/settings/units.rs
+++ b/crates/heronbend/src/settings/units.rs
@@ -1,8 +1,8 @@
-//! Values with units, as they are written in settings.
+//! Parsing of values with units.
 
 use std::time::Duration;
 
-/// Byte multiples, longest suffix first so that `KiB` is not read as `B`.
+/// Byte units. `B` is last, as it is a suffix of all the others.
 const BYTE_UNITS: [(&str, u64); 7] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
@@ -13,13 +13,13 @@
     ("B", 1),
 ];
 
-/// Reads a duration such as `250ms` or `1m 30s`.
+/// Parses a duration such as `250ms` or `1m 30s`.
 pub fn parse_duration(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
         .map_err(|error| format!("{text:?} is not a duration such as \"250ms\": {error}"))
 }
 
-/// Reads a size such as `13KB` or `4MiB`, in bytes.
+/// Parses a size such as `13KB` or `4MiB` into bytes.
 pub fn parse_bytes(text: &str) -> Result<u64, String> {
     let expected = || format!("{text:?} is not a size such as \"13KB\" or \"4MiB\"");
     let (number, factor) = BYTE_UNITS
