--- a/crates/heronbend/src/lifecycle/state.rs
+++ b/crates/heronbend/src/lifecycle/state.rs
@@ -129,7 +129,7 @@
         Some(LifecycleChange { stated, source })
     }
 
-    /// Returns the phase of one incarnation of a backend, `Gone` if that is not the newest known one.
+    /// Returns the phase of an incarnation of a backend, or `Gone` if it is not the newest known.
     pub fn phase(&self, name: &BackendName, incarnation: Incarnation) -> Phase {
         match self.entries.get(name) {
             Some(entry) if entry.incarnation == incarnation => entry.phase,
--- a/crates/heronbend/src/record.rs
+++ b/crates/heronbend/src/record.rs
@@ -70,8 +70,8 @@
 }
 
 impl Record {
-    /// Returns whether the register may be garbage-collected at `now_epoch_seconds`, in seconds since
-    /// the Unix epoch.
+    /// Returns whether the register may be garbage-collected at `now_epoch_seconds`, in seconds
+    /// since the Unix epoch.
     ///
     /// Only settled claims and completed steps expire. Fences, one per model, are kept forever.
     pub fn is_expired(&self, now_epoch_seconds: u64) -> bool {
--- a/crates/heronbend/src/rollout/coordinator.rs
+++ b/crates/heronbend/src/rollout/coordinator.rs
@@ -1,9 +1,9 @@
 //! Scheduling of the samples of a step.
 //!
-//! Samples of the same prompt have similar lengths, and a few are far longer than the rest. Generating
-//! the samples with the longest expected length first shortens the tail of the step. Near its end,
-//! idle engine capacity is used for hedging: a slot in flight gets a second attempt, and the first
-//! attempt to finish fills the slot.
+//! Samples of the same prompt have similar lengths, and a few are far longer than the rest.
+//! Generating the samples with the longest expected length first shortens the tail of the step.
+//! Near its end, idle engine capacity is used for hedging: a slot in flight gets a second attempt,
+//! and the first attempt to finish fills the slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -28,7 +28,8 @@
 pub enum SamplingOrder {
     /// In slot order.
     FirstInFirstOut,
-    /// One sample of each prompt first, then by the longest sample of the prompt so far, descending.
+    /// One sample of each prompt first, then by the longest sample of the prompt so far,
+    /// descending.
     LongestExpectedFirst,
 }
 
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Returns the samples of the next batch, none older than version `floor`. They stay ready until
-    /// [`StepCoordinator::on_sealed`]. Slots of stale samples are queued for regeneration.
+    /// Returns the samples of the next batch, none older than version `floor`. They stay ready
+    /// until [`StepCoordinator::on_sealed`]. Slots of stale samples are queued for regeneration.
     pub fn compose_batch(&mut self, floor: u64, batch_size: usize) -> NextBatch {
         let (fresh, stale): (VecDeque<_>, VecDeque<_>) =
             std::mem::take(&mut self.ready).into_iter().partition(|sample| sample.is_fresh(floor));
@@ -190,7 +191,8 @@
         NextBatch::Ready(self.ready.iter().take(target_size).cloned().collect())
     }
 
-    /// Marks the slots of a sealed batch as delivered, including those filled by other coordinators.
+    /// Marks the slots of a sealed batch as delivered, including those filled by other
+    /// coordinators.
     pub fn on_sealed(&mut self, samples: &[Sample]) -> Vec<Effect> {
         let mut effects = Vec::new();
         for sample in samples {
@@ -252,8 +254,8 @@
         }
     }
 
-    /// Returns the expected length of a slot's sample. The first sample of a prompt without a completed
-    /// sample gets the highest priority, as its length predicts that of the others.
+    /// Returns the expected length of a slot's sample. The first sample of a prompt without a
+    /// completed sample gets the highest priority, as its length predicts that of the others.
     fn expected_length(&self, slot: SlotIndex) -> u32 {
         if self.plan.order == SamplingOrder::FirstInFirstOut {
             return 0;
@@ -267,8 +269,8 @@
         }
     }
 
-    /// Returns the slot to hedge next, once few slots are in flight: the one with the fewest attempts,
-    /// then the longest in flight.
+    /// Returns the slot to hedge next, once few slots are in flight: the one with the fewest
+    /// attempts, then the longest in flight.
     fn next_hedge(&self) -> Option<SlotIndex> {
         if self.plan.max_copies < 2 || !self.waiting.is_empty() {
             return None;
--- a/crates/heronbend/src/rollout/sample.rs
+++ b/crates/heronbend/src/rollout/sample.rs
@@ -74,7 +74,8 @@
 
 /// Appends a segment, merging it into the last one if engine, incarnation and version are the same.
 ///
-/// Returns `false` and leaves `segments` unchanged if `next` does not start where the last one ends.
+/// Returns `false` and leaves `segments` unchanged if `next` does not start where the last one
+/// ends.
 pub fn append_segment(segments: &mut Vec<Segment>, next: Segment) -> bool {
     let expected = segments.last().map_or(0, |segment| segment.end);
     if next.start != expected || next.end < next.start {
--- a/crates/heronbend/src/rollout/step_record.rs
+++ b/crates/heronbend/src/rollout/step_record.rs
@@ -1,8 +1,8 @@
 //! The replicated register of a step: its coordinator and the slots delivered so far.
 //!
 //! Batches are sealed in order, each before it is first returned, and fetching batch `n + 1`
-//! acknowledges batch `n`. The record stores one bit per slot and only the one unacknowledged batch,
-//! which limits its size.
+//! acknowledges batch `n`. The record stores one bit per slot and only the one unacknowledged
+//! batch, which limits its size.
 
 use musli::{Decode, Encode};
 use serde::{Deserialize, Serialize};
--- a/crates/heronbend/src/settings/revision.rs
+++ b/crates/heronbend/src/settings/revision.rs
@@ -66,8 +66,8 @@
 }
 
 impl SettingsObject {
-    /// Returns the object with the edits applied under the identifier `id`, or unchanged if that was
-    /// applied before.
+    /// Returns the object with the edits applied under the identifier `id`, or unchanged if that
+    /// was applied before.
     pub fn apply(&self, id: &str, edits: &[NodeEdit], origin: &str) -> Result<Self, EditConflict> {
         if self.contains_edit(id) {
             return Ok(self.clone());
@@ -105,7 +105,8 @@
     }
 }
 
-/// Returns an edit, based on `tree`, that sets a field of a node, or removes it if `value` is `None`.
+/// Returns an edit, based on `tree`, that sets a field of a node, or removes it if `value` is
+/// `None`.
 pub fn set_field(tree: &Tree, node: &NodePath, field: &str, value: Option<RawValue>) -> NodeEdit {
     let base = tree.nodes.get(node).cloned();
     let mut fields = base.clone().unwrap_or_default();
--- a/crates/heronbend/src/settings/tree.rs
+++ b/crates/heronbend/src/settings/tree.rs
@@ -37,7 +37,7 @@
         if well_formed && text.len() <= MAX_PATH_BYTES {
             Ok(Self(text.to_owned()))
         } else {
-            Err("a path must be / or /segment/..., with letters, digits, '-', '_' and '.' in segments".to_owned())
+            Err("a path must be /segment/... of letters, digits, '-', '_' and '.'".to_owned())
         }
     }
 
@@ -167,8 +167,8 @@
         })
     }
 
-    /// Returns the effective value of a field: that of the nearest node in the inheritance chain, or the
-    /// default. `None` if a required field is not set.
+    /// Returns the effective value of a field: that of the nearest node in the inheritance chain,
+    /// or the default. `None` if a required field is not set.
     pub fn resolve(&self, path: &NodePath, spec: &FieldSpec) -> Option<ResolvedValue> {
         let explicit = self.inheritance_chain(path).into_iter().find_map(|node| {
             let value = self.nodes.get(&node)?.get(spec.name)?.clone();
--- a/crates/heronbend/src/usage/mod.rs
+++ b/crates/heronbend/src/usage/mod.rs
@@ -1,9 +1,9 @@
 //! Usage metering: the requests that servers started for each tenant, by wall-clock window.
 //!
 //! Every daemon counts the requests it forwards. Its counts for a window only grow, so they are
-//! merged by maximum and may be received repeatedly, late or out of order. After a window has closed,
-//! one daemon settles it: it writes the total to a record by compare-and-swap before reporting it.
-//! All reports of the window, by any daemon, are read from that record.
+//! merged by maximum and may be received repeatedly, late or out of order. After a window has
+//! closed, one daemon settles it: it writes the total to a record by compare-and-swap before
+//! reporting it. All reports of the window, by any daemon, are read from that record.
 //!
 //! - [`clock`]: the clock that windows are based on.
 //! - [`counts`]: request counts by tenant.
--- a/crates/heronbend/src/usage/settlement.rs
+++ b/crates/heronbend/src/usage/settlement.rs
@@ -1,8 +1,8 @@
 //! Settled windows and the state of their reports.
 //!
-//! Reports are sent only from the stored record, and the record is replaced only by compare-and-swap
-//! at its known revision. Hence all reports of a window are identical, whichever daemon sends them
-//! and even if the daemon that settled the window fails.
+//! Reports are sent only from the stored record, and the record is replaced only by
+//! compare-and-swap at its known revision. Hence all reports of a window are identical, whichever
+//! daemon sends them and even if the daemon that settled the window fails.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Records that the report of a window, and hence of all earlier ones, was accepted. The report may
-    /// have been sent by another daemon.
+    /// Records that the report of a window, and hence of all earlier ones, was accepted. The report
+    /// may have been sent by another daemon.
     pub fn mark_reported(&mut self, window: Window) {
         self.reported = self.reported.max(Some(window));
     }
@@ -107,7 +107,8 @@
         self.reported.map_or(self.first, Window::next)
     }
 
-    /// Returns the write that settles all closed windows up to `last`, or `None` if they are settled.
+    /// Returns the write that settles all closed windows up to `last`, or `None` if they are
+    /// settled.
     pub fn proposal(&self, last: Window, total: impl Fn(Window) -> Counts) -> Option<Proposal> {
         let record = self.record.as_ref();
         let mut settled = record.map(|(_, settled)| settled.clone()).unwrap_or_default();
--- a/crates/heronbend/src/weights/fence.rs
+++ b/crates/heronbend/src/weights/fence.rs
@@ -22,8 +22,8 @@
 pub struct FenceChange {
     /// The requesting node.
     pub holder: NodeId,
-    /// The highest token that an engine has rejected as stale, or 0 if none has. If the register was
-    /// lost, engines may have seen higher tokens than it has issued since.
+    /// The highest token that an engine has rejected as stale, or 0 if none has. If the register
+    /// was lost, engines may have seen higher tokens than it has issued since.
     #[musli(default)]
     pub above: u64,
 }
--- a/crates/heronbend/src/weights/rollout.rs
+++ b/crates/heronbend/src/weights/rollout.rs
@@ -59,8 +59,8 @@
 }
 
 impl VersionRollout {
-    /// Creates a rollout that keeps at least the fraction `serving_floor`, from 0 to 1, of the engines
-    /// serving.
+    /// Creates a rollout that keeps at least the fraction `serving_floor`, from 0 to 1, of the
+    /// engines serving.
     pub fn new(serving_floor: f64) -> Self {
         Self { target: None, serving_floor, engines: BTreeMap::new() }
     }
@@ -92,7 +92,7 @@
             engine.activity = Activity::Idle;
             engine.version = version;
         }
-        // Reports may be stale: an older version than the engine confirmed for a command is ignored.
+        // Reports may be stale: ignore a version older than the last one known.
         let is_stale = version.is_some() && version < engine.version;
         if !is_stale {
             engine.version = version;
