--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -34,8 +34,8 @@
 use crate::places;
 use crate::places::Placed;
 use crate::quarantine;
-use crate::quarantine::evidence;
-use crate::quarantine::passage;
+use crate::quarantine::admitted_request;
+use crate::quarantine::crash_detection;
 use crate::quarantine::Isolation;
 use crate::quarantine::Pass;
 
@@ -320,7 +320,7 @@
             return RunEnd::Impossible;
         };
         let is_alone = self.history.is_alone;
-        let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
+        let isolated = admitted_request::isolate(self.gateway, server, &outgoing, is_alone).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
             return RunEnd::Again;
@@ -337,7 +337,7 @@
             Err(failure) => {
                 self.log_attempt(server, &format!("{failure:?}"), 0);
                 if matches!(failure, AttemptFailure::BrokenOff) {
-                    evidence::note_break(self.gateway, server, &outgoing, 0);
+                    crash_detection::note_break(self.gateway, server, &outgoing, 0);
                 }
                 counted.fail(&failure);
                 return RunEnd::Again;
@@ -378,7 +378,7 @@
             Err(reason) => {
                 self.log_attempt(server, reason, events);
                 if exchange::is_break(reason) {
-                    evidence::note_break(self.gateway, server, &outgoing, events);
+                    crash_detection::note_break(self.gateway, server, &outgoing, events);
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
                 RunEnd::Again
--- a/crates/heronbend-gateway/src/duties/billing.rs
+++ b/crates/heronbend-gateway/src/duties/billing.rs
@@ -5,7 +5,7 @@
 
 use heronbend::Moment;
 
-use super::book::Book;
+use super::usage::Book;
 
 /// Counts a request of a tenant once, when a server has begun it.
 pub struct Billing {
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -9,8 +9,8 @@
 use heronbend::Moment;
 use smol::Timer;
 
-use super::book::Book;
-use super::line;
+use super::takeover;
+use super::usage::Book;
 use crate::gateway::Gateway;
 use crate::lease_keeper::LeaseKeeper;
 use crate::mirror::backoff;
@@ -101,8 +101,8 @@
         if !gateway.store.is_reached() || now < INTRODUCTION {
             return false;
         }
-        let line = line::here(gateway);
-        let mut place = line::place(&line, &gateway.identity.node);
+        let line = takeover::here(gateway);
+        let mut place = takeover::place(&line, &gateway.identity.node);
         if now < self.yields_until {
             place = line.len();
         }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -15,7 +15,7 @@
 use heronbend::Moment;
 use smol::Timer;
 
-use super::line;
+use super::takeover;
 use crate::batch::registry::Job;
 use crate::configuration::Configuration;
 use crate::configuration::RouteKind;
@@ -67,7 +67,7 @@
         Scaler { gateway, provider, lease, plans: BTreeMap::new(), pressed: Moment::ZERO };
     loop {
         Timer::after(LOOK).await;
-        if scaler.is_settled() && line::is_first(&scaler.gateway) {
+        if scaler.is_settled() && takeover::is_first(&scaler.gateway) {
             scaler.look().await;
         } else {
             // Whoever orders meanwhile writes what it ordered.
--- a/crates/heronbend-gateway/src/duties/telling.rs
+++ b/crates/heronbend-gateway/src/duties/usage_broadcast.rs
@@ -12,8 +12,8 @@
 use heronbend::usage::Window;
 use smol::Timer;
 
-use super::book::Book;
-use super::line;
+use super::takeover;
+use super::usage::Book;
 use crate::gateway::Gateway;
 use crate::peers::Hint;
 use crate::wait;
@@ -74,7 +74,7 @@
 /// The other daemons that are told: those that report next, should the holder be lost.
 fn collectors(gateway: &Gateway) -> Vec<NodeId> {
     let me = &gateway.identity.node;
-    let mut line = line::here(gateway);
+    let mut line = takeover::here(gateway);
     line.retain(|node| node != me);
     line.truncate(COLLECTORS);
     line
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -19,7 +19,7 @@
 use crate::http::client::{Exchange, ExchangeError, WholeAnswer};
 use crate::memory::Hold;
 use crate::ports::HeaderNames;
-use crate::quarantine::evidence;
+use crate::quarantine::crash_detection;
 
 /// Largest whole answer in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -108,14 +108,14 @@
     let exchange = match gateway.servers.send(server.address, request).await {
         Ok(exchange) => exchange,
         Err(error) if error.is_not_sent() => {
-            evidence::look_at(gateway, server);
+            crash_detection::look_at(gateway, server);
             return Err(AttemptFailure::NotSent);
         }
         Err(_) => return Err(AttemptFailure::BrokenOff),
     };
     if is_another_server(gateway, outgoing, &exchange) {
         log::info!("event=server_replaced server={} id={}", server.id, outgoing.id);
-        evidence::note_gone(gateway, &server.id);
+        crash_detection::note_gone(gateway, &server.id);
     }
     judge_head(gateway, outgoing, exchange)
 }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -26,8 +26,8 @@
 use crate::permits;
 use crate::places;
 use crate::quarantine;
-use crate::quarantine::evidence;
-use crate::quarantine::passage;
+use crate::quarantine::admitted_request;
+use crate::quarantine::crash_detection;
 use crate::quarantine::Passage;
 use crate::quarantine::Refused;
 use crate::wait;
@@ -354,7 +354,8 @@
     /// Sends the request and notes what its end says of the server and of the request.
     async fn run(self, mut counted: CountedAttempt) -> Result<WholeAnswer, AttemptFailure> {
         let (gateway, server) = (&self.gateway, &self.server);
-        let isolated = passage::isolate(gateway, server, &self.outgoing, self.is_alone).await;
+        let isolated =
+            admitted_request::isolate(gateway, server, &self.outgoing, self.is_alone).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
             return Err(AttemptFailure::Held);
@@ -392,7 +393,7 @@
         let (outgoing, is_answered) = (self.outgoing.clone(), self.is_answered.clone());
         move || {
             if !is_answered.get() {
-                evidence::note_left(&gateway, &server, &outgoing);
+                crash_detection::note_left(&gateway, &server, &outgoing);
             }
         }
     }
@@ -401,7 +402,7 @@
         match result {
             Ok(answer) => quarantine::note_answer(&self.gateway, &self.outgoing, answer.status),
             Err(AttemptFailure::BrokenOff) => {
-                evidence::note_break(&self.gateway, &self.server, &self.outgoing, 0);
+                crash_detection::note_break(&self.gateway, &self.server, &self.outgoing, 0);
             }
             Err(_) => {}
         }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -32,8 +32,8 @@
 use crate::configuration::Configuration;
 use crate::directory::Directory;
 use crate::dissemination::Telling;
-use crate::duties::book::Book;
-use crate::duties::book::Terms;
+use crate::duties::usage::Book;
+use crate::duties::usage::Terms;
 use crate::homes;
 use crate::http::client::ConnectionPool;
 use crate::lease_news::LeaseName;
@@ -51,7 +51,7 @@
 use crate::relayed_store::RelayedStore;
 use crate::replica::Replica;
 use crate::split::Splitter;
-use crate::versions::board::VersionBoard;
+use crate::versions::published::VersionBoard;
 
 /// Longest wait for a connection to a server.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -27,10 +27,10 @@
 use crate::http::server::{read_body, BodyLimits};
 use crate::http::{bytes_answer, text_answer, Answer};
 use crate::permits;
+use crate::quarantine::gossip;
 use crate::quarantine::isolation;
-use crate::quarantine::news;
 use crate::replica::Checking;
-use crate::versions::duty::note_order_taken;
+use crate::versions::dispatcher::note_order_taken;
 
 const TICK: Duration = Duration::from_millis(100);
 /// Ticks between two greetings of seeds, while nobody is known.
@@ -257,7 +257,7 @@
                 book.learn(&daemon, window, &counts.into_iter().collect());
             }
         }
-        Hint::RequestsSuspected { reports } => news::learn(gateway, reports),
+        Hint::RequestsSuspected { reports } => gossip::learn(gateway, reports),
         Hint::UsageReported { window } => {
             if let Some(book) = &gateway.usage {
                 book.note_reported(window);
--- a/crates/heronbend-gateway/src/peers/introduction.rs
+++ b/crates/heronbend-gateway/src/peers/introduction.rs
@@ -32,7 +32,7 @@
 use crate::mirror::KnownObjects;
 use crate::news_way::Way;
 use crate::packed_news;
-use crate::quarantine::news;
+use crate::quarantine::gossip;
 use crate::wait;
 
 /// Time after the start in which some other daemon has to be heard of.
@@ -222,7 +222,7 @@
     };
     gateway.members.learn(members).await;
     learn_jobs(gateway, jobs);
-    news::learn(gateway, suspects);
+    gossip::learn(gateway, suspects);
     for (known, renewal) in [(&gateway.versions.lease, lease), (&gateway.duty_lease, duty_lease)] {
         if let Some(LeaseRenewal { revision, record }) = renewal {
             known.tell(gateway.now(), revision, record);
@@ -272,7 +272,7 @@
         return false;
     };
     learn_jobs(gateway, jobs);
-    news::learn(gateway, suspects);
+    gossip::learn(gateway, suspects);
     knows_jobs
 }
 
@@ -306,7 +306,7 @@
         knows_jobs: gateway.jobs.is_listed.get(),
         lease: gateway.versions.lease.told().map(renewal),
         duty_lease: gateway.duty_lease.told().map(renewal),
-        suspects: news::reports(gateway),
+        suspects: gossip::reports(gateway),
         time_millis: time.and_then(|millis| u64::try_from(millis).ok()),
         kinds: if is_old { dissemination::states(gateway) } else { Vec::new() },
         packed_kinds: dissemination::packed_states(gateway, &kinds),
--- a/crates/heronbend-gateway/src/quarantine/news.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -7,7 +7,7 @@
 use heronbend::quarantine::Report;
 use smol::Timer;
 
-use super::evidence;
+use super::crash_detection;
 use super::note;
 use super::By;
 use crate::gateway::Gateway;
@@ -45,7 +45,7 @@
     for Report { request, endings } in reports {
         // A server that went under one request went under those that ran beside it.
         for ending in endings.iter().filter(|ending| !ending.is_excused) {
-            evidence::note_gone(gateway, &ending.server);
+            crash_detection::note_gone(gateway, &ending.server);
         }
         let now = gateway.now();
         let change = gateway.quarantine.table.borrow_mut().join(now, request, &endings);
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -4,16 +4,16 @@
 //! quarantined is recorded in the store as well: so daemons that were cut off or start anew know it,
 //! and all of them together make no more probes than they may.
 //!
-//! - [`evidence`]: what an attempt that broke off says of its server.
+//! - [`crash_detection`]: what an attempt that broke off says of its server.
 //! - [`isolation`]: suspects kept apart from other requests.
-//! - [`news`]: what daemons tell each other.
-//! - [`passage`]: a call or a stream on its way to servers.
+//! - [`gossip`]: what daemons tell each other.
+//! - [`admitted_request`]: a call or a stream on its way to servers.
 //! - [`record`]: what the store holds.
 
-pub mod evidence;
+pub mod admitted_request;
+pub mod crash_detection;
+pub mod gossip;
 pub mod isolation;
-pub mod news;
-pub mod passage;
 pub mod record;
 
 use std::cell::RefCell;
@@ -34,8 +34,8 @@
 use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 
+pub use self::admitted_request::Passage;
 pub use self::isolation::Isolation;
-pub use self::passage::Passage;
 
 /// Time between two looks for what is to be forgotten, or not recorded yet.
 const UPKEEP: Duration = Duration::from_secs(5);
@@ -197,7 +197,7 @@
         if is_quarantined {
             record::ensure(gateway, request);
         }
-        news::tell(gateway, request);
+        gossip::tell(gateway, request);
     }
 }
 
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -30,7 +30,7 @@
 use crate::peers;
 use crate::ports::{DialectError, Object, Ports};
 use crate::quarantine;
-use crate::quarantine::evidence;
+use crate::quarantine::crash_detection;
 use crate::reload;
 use crate::versions;
 use crate::wait;
@@ -229,8 +229,8 @@
     spawn(Box::pin(log_counts(gateway.clone())));
     spawn(Box::pin(ownership_duty::follow(gateway.clone())));
     spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
-    spawn(Box::pin(versions::named::follow_versions(gateway.clone())));
-    spawn(Box::pin(versions::duty::run(gateway.clone())));
+    spawn(Box::pin(versions::watch::follow_versions(gateway.clone())));
+    spawn(Box::pin(versions::dispatcher::run(gateway.clone())));
     start_provider_duties(gateway);
 }
 
@@ -245,7 +245,7 @@
     }
     if let Some(book) = gateway.usage.clone() {
         let spawn = |task| gateway.executor.spawn::<()>(task).detach();
-        let telling = duties::telling::run(gateway.clone(), book.clone());
+        let telling = duties::usage_broadcast::run(gateway.clone(), book.clone());
         spawn(Box::pin(telling) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
         spawn(Box::pin(duties::reporting::run(gateway.clone(), book, provider, lease)));
     }
@@ -412,7 +412,7 @@
     fn note_gone(&self, id: &str) {
         let state = self.gateway.directory.borrow().get(id).map(|server| server.state);
         if state == Some(ServerState::Ready) {
-            evidence::note_gone(&self.gateway, id);
+            crash_detection::note_gone(&self.gateway, id);
         }
     }
 }
@@ -497,7 +497,7 @@
         Timer::after(STOP_POLL).await;
     }
     if let Some(book) = &gateway.usage {
-        duties::telling::tell_last(gateway, book);
+        duties::usage_broadcast::tell_last(gateway, book);
     }
     // The others need not find out by probes, and take its jobs over at once.
     wait::at_most(LEAVE_LIMIT, gateway.members.leave()).await;
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-use crate::duties::book::Terms;
+use crate::duties::usage::Terms;
 use crate::gateway::{Identity, Tuning};
 use crate::permits::ColdMargin;
 use crate::service::Addresses;
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -46,8 +46,8 @@
 use crate::permits;
 use crate::places;
 use crate::quarantine;
-use crate::quarantine::evidence;
-use crate::quarantine::passage;
+use crate::quarantine::admitted_request;
+use crate::quarantine::crash_detection;
 use crate::quarantine::Isolation;
 use crate::quarantine::Passage;
 use crate::wait;
@@ -317,7 +317,7 @@
         );
         if exchange::is_break(reason) {
             let events = u64::from(run.events);
-            evidence::note_break(&self.gateway, &run.server, &self.outgoing, events);
+            crash_detection::note_break(&self.gateway, &run.server, &self.outgoing, events);
         }
         run.counted.fail(&AttemptFailure::Unknown(reason));
         if self.may_run_again() {
@@ -373,7 +373,8 @@
             self.spent += 1;
             let mut counted = CountedAttempt::begin(&self.gateway, &server);
             let is_alone = self.history.is_alone;
-            let isolated = passage::isolate(&self.gateway, &server, &self.outgoing, is_alone).await;
+            let isolated =
+                admitted_request::isolate(&self.gateway, &server, &self.outgoing, is_alone).await;
             let Ok(isolation) = isolated else {
                 self.take_attempt(AttemptFailure::Held, counted)?;
                 continue;
@@ -381,7 +382,7 @@
             counted.on_drop({
                 let (gateway, server) = (self.gateway.clone(), server.clone());
                 let outgoing = self.outgoing.clone();
-                move || evidence::note_left(&gateway, &server, &outgoing)
+                move || crash_detection::note_left(&gateway, &server, &outgoing)
             });
             let sent = self.send(&server, fitness).await;
             self.passage.note_attempt(sent.as_ref().err());
@@ -405,7 +406,7 @@
                 Ok(exchange) => self.take_failure(exchange, counted).await?,
                 Err(failure) => {
                     if matches!(failure, AttemptFailure::BrokenOff) {
-                        evidence::note_break(&self.gateway, &server, &self.outgoing, 0);
+                        crash_detection::note_break(&self.gateway, &server, &self.outgoing, 0);
                     }
                     self.take_attempt(failure, counted)?;
                 }
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -17,8 +17,8 @@
 use smol::Timer;
 
 use super::lease::LEASE_DURATION;
-use super::named::{candidates, is_candidate, newest_job, place_in_line};
 use super::plan::{self, EngineState, Load, ModelState, Urgency};
+use super::watch::{candidates, is_candidate, newest_job, place_in_line};
 use super::{EngineReport, SwapMode, VersionOrder};
 use crate::configuration::{Destination, RouteKind};
 use crate::directory::{Server, ServerState};
--- a/crates/heronbend-gateway/src/versions/mod.rs
+++ b/crates/heronbend-gateway/src/versions/mod.rs
@@ -1,16 +1,16 @@
 //! Versions of weights that trainers name, and the orders that bring servers to them.
 //!
-//! - [`board`]: named versions, and orders that servers have taken.
+//! - [`published`]: named versions, and orders that servers have taken.
 //! - [`plan`]: which servers load which version now, without I/O.
 //! - [`lease`]: who may give orders, without I/O.
-//! - [`named`]: follows the versions that trainers name, at the daemons that may give orders.
-//! - [`duty`]: holds the lease and gives the orders.
+//! - [`watch`]: follows the versions that trainers name, at the daemons that may give orders.
+//! - [`dispatcher`]: holds the lease and gives the orders.
 
-pub mod board;
-pub mod duty;
+pub mod dispatcher;
 pub mod lease;
-pub mod named;
 pub mod plan;
+pub mod published;
+pub mod watch;
 
 use std::collections::BTreeMap;
 
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -15,8 +15,8 @@
 use heronbend_gateway::exchange::Outgoing;
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::quarantine;
-use heronbend_gateway::quarantine::evidence;
-use heronbend_gateway::quarantine::news;
+use heronbend_gateway::quarantine::crash_detection;
+use heronbend_gateway::quarantine::gossip;
 use heronbend_gateway::quarantine::record;
 use heronbend_gateway::quarantine::Pass;
 use heronbend_gateway::quarantine::Refused;
@@ -73,7 +73,7 @@
 /// Servers end under a request.
 fn end_servers(gateway: &Rc<Gateway>, count: usize) {
     for number in 0..count {
-        evidence::note_break(gateway, &server(&format!("s{number}")), &outgoing(), 0);
+        crash_detection::note_break(gateway, &server(&format!("s{number}")), &outgoing(), 0);
     }
 }
 
@@ -82,7 +82,7 @@
     let request = outgoing().fingerprint(gateway.dialect.headers());
     let ending = |server: &&str| Ending { server: (*server).to_owned(), is_excused: false };
     let endings = servers.iter().map(ending).collect();
-    news::learn(gateway, vec![Report { request, endings }]);
+    gossip::learn(gateway, vec![Report { request, endings }]);
 }
 
 fn record_of(store: &MemoryStore, gateway: &Gateway) -> bool {
--- a/crates/heronbend-gateway/tests/versions.rs
+++ b/crates/heronbend-gateway/tests/versions.rs
@@ -8,11 +8,11 @@
 
 use heronbend::identity::NodeName;
 use heronbend_gateway::directory::Server;
-use heronbend_gateway::versions::board::VersionBoard;
 use heronbend_gateway::versions::lease::{LeaseHold, LeaseRecord, LEASE_DURATION};
 use heronbend_gateway::versions::plan::{
     loads_at_once, loads_due, EngineState, Load, ModelState, Urgency, STEP_BEGUN,
 };
+use heronbend_gateway::versions::published::VersionBoard;
 use support::server;
 
 const PAUSE: Duration = Duration::from_secs(3);
