--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -37,7 +37,7 @@
 use crate::quarantine::admitted_request;
 use crate::quarantine::crash_detection;
 use crate::quarantine::Isolation;
-use crate::quarantine::Pass;
+use crate::quarantine::SendMode;
 
 /// Longest silence before the first event. A request may wait in the server's queue.
 const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2500);
@@ -146,14 +146,14 @@
             };
             let need = self.need(&configuration, &route, &service);
             let urgency = self.urgency(&configuration, &route);
-            let Some(pass) = self.admit(&route).await else {
+            let Some(mode) = self.admit(&route).await else {
                 continue;
             };
-            self.keep_apart(pass, &route);
+            self.set_isolation(mode, &route);
             let history = self.history.clone();
             let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
             // What is known may have changed while it waited for a place.
-            if pass != Pass::Probe && self.is_barred(&route) {
+            if mode != SendMode::Probe && self.is_barred(&route) {
                 continue;
             }
             let before = self.last_event();
@@ -194,12 +194,12 @@
 
     /// How the item may be sent to engines; nothing after a rest, where it may not yet. It is not
     /// terminated: its caller has been promised that it waits until it can be run.
-    async fn admit(&mut self, route: &Route) -> Option<Pass> {
+    async fn admit(&mut self, route: &Route) -> Option<SendMode> {
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
-            Ok(pass) => {
+            Ok(mode) => {
                 self.is_held = false;
-                return Some(pass);
+                return Some(mode);
             }
             Err(refused) => refused,
         };
@@ -216,15 +216,15 @@
         None
     }
 
-    fn keep_apart(&mut self, pass: Pass, route: &Route) {
+    fn set_isolation(&mut self, mode: SendMode, route: &Route) {
         let mut history = std::mem::take(&mut self.history);
-        quarantine::keep_apart(self.gateway, pass, || self.fingerprint(route), &mut history);
+        quarantine::set_isolation(self.gateway, mode, || self.fingerprint(route), &mut history);
         self.history = history;
     }
 
     /// Whether the item, which was admitted, may not be sent to engines by now.
     fn is_barred(&self, route: &Route) -> bool {
-        !quarantine::may_go_on(self.gateway, || self.fingerprint(route))
+        !quarantine::may_retry(self.gateway, || self.fingerprint(route))
     }
 
     /// What tells that the item has come before.
@@ -337,7 +337,7 @@
             Err(failure) => {
                 self.log_attempt(server, &format!("{failure:?}"), 0);
                 if matches!(failure, AttemptFailure::BrokenOff) {
-                    crash_detection::note_break(self.gateway, server, &outgoing, 0);
+                    crash_detection::note_broken_connection(self.gateway, server, &outgoing, 0);
                 }
                 counted.fail(&failure);
                 return RunEnd::Again;
@@ -345,7 +345,7 @@
         };
         if exchange.status != StatusCode::OK {
             let status = exchange.status;
-            quarantine::note_answer(self.gateway, &outgoing, status);
+            quarantine::note_response(self.gateway, &outgoing, status);
             self.log_attempt(server, status.as_str(), 0);
             // A server that fails at all it gets is always free, and would get ever more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
@@ -367,7 +367,7 @@
             Ok(()) => {
                 let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
                 counted.end(AttemptEnd::Answered(per_event));
-                quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
+                quarantine::note_response(self.gateway, &outgoing, StatusCode::OK);
                 RunEnd::Whole
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
@@ -378,7 +378,12 @@
             Err(reason) => {
                 self.log_attempt(server, reason, events);
                 if exchange::is_break(reason) {
-                    crash_detection::note_break(self.gateway, server, &outgoing, events);
+                    crash_detection::note_broken_connection(
+                        self.gateway,
+                        server,
+                        &outgoing,
+                        events,
+                    );
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
                 RunEnd::Again
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -108,14 +108,14 @@
     let exchange = match gateway.servers.send(server.address, request).await {
         Ok(exchange) => exchange,
         Err(error) if error.is_not_sent() => {
-            crash_detection::look_at(gateway, server);
+            crash_detection::probe_server(gateway, server);
             return Err(AttemptFailure::NotSent);
         }
         Err(_) => return Err(AttemptFailure::BrokenOff),
     };
     if is_another_server(gateway, outgoing, &exchange) {
         log::info!("event=server_replaced server={} id={}", server.id, outgoing.id);
-        crash_detection::note_gone(gateway, &server.id);
+        crash_detection::note_server_gone(gateway, &server.id);
     }
     judge_head(gateway, outgoing, exchange)
 }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -28,7 +28,7 @@
 use crate::quarantine;
 use crate::quarantine::admitted_request;
 use crate::quarantine::crash_detection;
-use crate::quarantine::Passage;
+use crate::quarantine::AdmittedRequest;
 use crate::quarantine::Refused;
 use crate::wait;
 
@@ -116,7 +116,7 @@
     /// When its wait for a server began.
     begun: Moment,
     /// How it may be sent to servers, for what is known of requests like it.
-    passage: Passage,
+    admitted_request: AdmittedRequest,
     /// Attempts that may have run it.
     spent: u32,
     open: Vec<Task<()>>,
@@ -145,8 +145,8 @@
     allowance: Allowance,
 ) -> Result<WholeAnswer, ForwardError> {
     gateway.retries.borrow_mut().deposit(RETRY_SHARE);
-    let admitted = Passage::begin(gateway, &outgoing).await;
-    let passage = admitted.map_err(ForwardError::Quarantined)?;
+    let admitted = AdmittedRequest::admit(gateway, &outgoing).await;
+    let admitted_request = admitted.map_err(ForwardError::Quarantined)?;
     let forwarding = Forwarding {
         gateway: gateway.clone(),
         outgoing: Rc::new(outgoing),
@@ -154,7 +154,7 @@
         allowance,
         history: History::default(),
         begun: gateway.now(),
-        passage,
+        admitted_request,
         spent: 0,
         open: Vec::new(),
         is_answered: Rc::default(),
@@ -234,7 +234,7 @@
         let may_repeat = self.spent == 0 || self.allowance.is_repeatable;
         within_budget
             && may_repeat
-            && self.passage.is_open(&self.gateway, &self.outgoing)
+            && self.admitted_request.may_send(&self.gateway, &self.outgoing)
             && self.gateway.now() < self.allowance.deadline
     }
 
@@ -249,7 +249,7 @@
 
     /// Starts an attempt at the best server that has not been tried.
     fn start_one(&mut self, sender: &Sender<Result<WholeAnswer, AttemptFailure>>) -> Start {
-        self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
+        self.admitted_request.set_isolation(&self.gateway, &self.outgoing, &mut self.history);
         let choice = match self.decide() {
             Answer::Place(choice) => choice,
             Answer::Wait(rest) => return Start::Wait(rest),
@@ -300,7 +300,7 @@
 
     /// Takes an attempt's end in; the answer if it is to be passed on.
     fn take(&mut self, result: Result<WholeAnswer, AttemptFailure>) -> Option<WholeAnswer> {
-        self.passage.note_attempt(result.as_ref().err());
+        self.admitted_request.note_attempt(result.as_ref().err());
         match result {
             Ok(answer) if answer.status.is_server_error() && self.allowance.is_repeatable => {
                 self.last_failure = Some(answer);
@@ -393,16 +393,21 @@
         let (outgoing, is_answered) = (self.outgoing.clone(), self.is_answered.clone());
         move || {
             if !is_answered.get() {
-                crash_detection::note_left(&gateway, &server, &outgoing);
+                crash_detection::note_caller_disconnect(&gateway, &server, &outgoing);
             }
         }
     }
 
     fn note_evidence(&self, result: &Result<WholeAnswer, AttemptFailure>) {
         match result {
-            Ok(answer) => quarantine::note_answer(&self.gateway, &self.outgoing, answer.status),
+            Ok(answer) => quarantine::note_response(&self.gateway, &self.outgoing, answer.status),
             Err(AttemptFailure::BrokenOff) => {
-                crash_detection::note_break(&self.gateway, &self.server, &self.outgoing, 0);
+                crash_detection::note_broken_connection(
+                    &self.gateway,
+                    &self.server,
+                    &self.outgoing,
+                    0,
+                );
             }
             Err(_) => {}
         }
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -257,7 +257,7 @@
                 book.learn(&daemon, window, &counts.into_iter().collect());
             }
         }
-        Hint::RequestsSuspected { reports } => gossip::learn(gateway, reports),
+        Hint::RequestsSuspected { reports } => gossip::merge_reports(gateway, reports),
         Hint::UsageReported { window } => {
             if let Some(book) = &gateway.usage {
                 book.note_reported(window);
@@ -319,7 +319,7 @@
             ownership_duty::confirm_owner(&gateway, &job, revision)
         }
         PeerRequest::Borrow { server, permits } => permits::answer(&gateway, &server, permits),
-        PeerRequest::Isolate { server, is_over } => isolation::answer(&gateway, &server, is_over),
+        PeerRequest::Isolate { server, is_over } => isolation::handle(&gateway, &server, is_over),
         PeerRequest::ReadResults { job, from, wait_millis } => {
             let wait = Duration::from_millis(wait_millis);
             reading::answer_peer(&gateway, &job, from, wait).await
--- a/crates/heronbend-gateway/src/peers/introduction.rs
+++ b/crates/heronbend-gateway/src/peers/introduction.rs
@@ -222,7 +222,7 @@
     };
     gateway.members.learn(members).await;
     learn_jobs(gateway, jobs);
-    gossip::learn(gateway, suspects);
+    gossip::merge_reports(gateway, suspects);
     for (known, renewal) in [(&gateway.versions.lease, lease), (&gateway.duty_lease, duty_lease)] {
         if let Some(LeaseRenewal { revision, record }) = renewal {
             known.tell(gateway.now(), revision, record);
@@ -272,7 +272,7 @@
         return false;
     };
     learn_jobs(gateway, jobs);
-    gossip::learn(gateway, suspects);
+    gossip::merge_reports(gateway, suspects);
     knows_jobs
 }
 
@@ -306,7 +306,7 @@
         knows_jobs: gateway.jobs.is_listed.get(),
         lease: gateway.versions.lease.told().map(renewal),
         duty_lease: gateway.duty_lease.told().map(renewal),
-        suspects: gossip::reports(gateway),
+        suspects: gossip::all_reports(gateway),
         time_millis: time.and_then(|millis| u64::try_from(millis).ok()),
         kinds: if is_old { dissemination::states(gateway) } else { Vec::new() },
         packed_kinds: dissemination::packed_states(gateway, &kinds),
--- a/crates/heronbend-gateway/src/quarantine/admitted_request.rs
+++ b/crates/heronbend-gateway/src/quarantine/admitted_request.rs
@@ -6,8 +6,8 @@
 
 use super::isolation::Busy;
 use super::Isolation;
-use super::Pass;
 use super::Refused;
+use super::SendMode;
 use crate::directory::Server;
 use crate::exchange::AttemptFailure;
 use crate::exchange::Outgoing;
@@ -15,38 +15,38 @@
 
 /// How one request may be sent to servers.
 #[derive(Debug, Clone, Copy)]
-pub struct Passage {
-    pass: Pass,
+pub struct AdmittedRequest {
+    mode: SendMode,
     /// Whether an attempt reached a server: a probe is one run.
-    has_reached: bool,
+    was_sent: bool,
 }
 
-impl Passage {
+impl AdmittedRequest {
     /// Admits a request.
-    pub async fn begin(gateway: &Rc<Gateway>, outgoing: &Outgoing) -> Result<Self, Refused> {
+    pub async fn admit(gateway: &Rc<Gateway>, outgoing: &Outgoing) -> Result<Self, Refused> {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
-        let pass = super::admit(gateway, fingerprint).await?;
-        Ok(Self { pass, has_reached: false })
+        let mode = super::admit(gateway, fingerprint).await?;
+        Ok(Self { mode, was_sent: false })
     }
 
     /// Whether it may be sent to one more server, for all that is known of requests like it.
-    pub fn is_open(&self, gateway: &Gateway, outgoing: &Outgoing) -> bool {
-        if self.pass == Pass::Probe {
-            return !self.has_reached;
+    pub fn may_send(&self, gateway: &Gateway, outgoing: &Outgoing) -> bool {
+        if self.mode == SendMode::Probe {
+            return !self.was_sent;
         }
-        super::may_go_on(gateway, || outgoing.fingerprint(gateway.dialect.headers()))
+        super::may_retry(gateway, || outgoing.fingerprint(gateway.dialect.headers()))
     }
 
     /// Notes in a request's history how it is kept apart from others.
-    pub fn keep_apart(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut History) {
+    pub fn set_isolation(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut History) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
-        super::keep_apart(gateway, self.pass, fingerprint, history);
+        super::set_isolation(gateway, self.mode, fingerprint, history);
     }
 
     /// Notes how an attempt ended.
     pub fn note_attempt(&mut self, failure: Option<&AttemptFailure>) {
-        let is_unsent = matches!(failure, Some(AttemptFailure::NotSent | AttemptFailure::Held));
-        self.has_reached |= !is_unsent;
+        let never_sent = matches!(failure, Some(AttemptFailure::NotSent | AttemptFailure::Held));
+        self.was_sent |= !never_sent;
     }
 }
 
@@ -61,5 +61,5 @@
         return Ok(None);
     }
     let request = outgoing.fingerprint(gateway.dialect.headers());
-    Isolation::begin(gateway, &server.id, request).await.map(Some)
+    Isolation::acquire(gateway, &server.id, request).await.map(Some)
 }
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -12,8 +12,8 @@
 use heronbend::placement::AttemptEnd;
 use smol::Timer;
 
-use super::note;
-use super::By;
+use super::on_change;
+use super::Origin;
 use crate::directory::Server;
 use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
@@ -21,17 +21,22 @@
 
 /// Rests before the looks at a server's address: at once, and when the last of its sockets is closed
 /// even on a busy machine.
-const LOOKS: [Duration; 3] =
+const PROBE_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(60), Duration::from_millis(400)];
 
 /// Notes that a request's connection to a server broke after `events` of its answer. A request that
 /// had some went on well at that server: the next one goes on behind them, so that one which ends its
 /// servers at a later event has its first one there.
-pub fn note_break(gateway: &Rc<Gateway>, server: &Rc<Server>, outgoing: &Outgoing, events: u64) {
+pub fn note_broken_connection(
+    gateway: &Rc<Gateway>,
+    server: &Rc<Server>,
+    outgoing: &Outgoing,
+    events: u64,
+) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
-    let beside = gateway.directory.borrow().placer.in_flight(&server.id).saturating_sub(1);
+    let others = gateway.directory.borrow().placer.in_flight(&server.id).saturating_sub(1);
     log::info!(
-        "event=attempt_broken id={} request={request} server={} beside={beside} events={events}",
+        "event=attempt_broken id={} request={request} server={} beside={others} events={events}",
         outgoing.id,
         server.id
     );
@@ -39,40 +44,40 @@
         return;
     }
     gateway.quarantine.table.borrow_mut().doubt(gateway.now(), request, &server.id);
-    look_at(gateway, server);
+    probe_server(gateway, server);
 }
 
 /// Notes that the caller of a request left while a server had it: the connection is closed, and nothing
 /// here will tell what becomes of the server. Whoever finds it gone later on does.
-pub fn note_left(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
+pub fn note_caller_disconnect(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
     gateway.quarantine.table.borrow_mut().leave(gateway.now(), request, &server.id);
 }
 
 /// Looks whether a server is gone. One series of looks is enough for all that ran there.
-pub fn look_at(gateway: &Rc<Gateway>, server: &Server) {
-    if gateway.quarantine.looking.borrow_mut().insert(server.id.clone()) {
-        let looking = look(gateway.clone(), server.id.clone(), server.address);
-        gateway.executor.spawn(looking).detach();
+pub fn probe_server(gateway: &Rc<Gateway>, server: &Server) {
+    if gateway.quarantine.probing.borrow_mut().insert(server.id.clone()) {
+        let probes = run_probes(gateway.clone(), server.id.clone(), server.address);
+        gateway.executor.spawn(probes).detach();
     }
 }
 
-async fn look(gateway: Rc<Gateway>, server: String, address: SocketAddr) {
-    for rest in LOOKS {
-        Timer::after(rest).await;
+async fn run_probes(gateway: Rc<Gateway>, server: String, address: SocketAddr) {
+    for delay in PROBE_DELAYS {
+        Timer::after(delay).await;
         let reach = gateway.servers.probe(address).await;
         log::info!("event=server_looked_at server={server} new_connection={}", reach.name());
         if reach == Reach::Refused {
-            note_gone(&gateway, &server);
+            note_server_gone(&gateway, &server);
             break;
         }
     }
-    gateway.quarantine.looking.borrow_mut().remove(&server);
+    gateway.quarantine.probing.borrow_mut().remove(&server);
 }
 
 /// Notes that a server is gone without having said that it would leave. Its entry may take seconds to
 /// lapse.
-pub fn note_gone(gateway: &Rc<Gateway>, server: &str) {
+pub fn note_server_gone(gateway: &Rc<Gateway>, server: &str) {
     let now = gateway.now();
     gateway.directory.borrow_mut().placer.note(now, server, AttemptEnd::Ended);
     if gateway.quarantine.is_empty() {
@@ -84,6 +89,6 @@
         log::info!("event=server_ended server={server} requests={}", confirmed.len());
     }
     for (request, change) in confirmed {
-        note(gateway, request, change, By::Here);
+        on_change(gateway, request, change, Origin::Here);
     }
 }
--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -8,52 +8,52 @@
 use smol::Timer;
 
 use super::crash_detection;
-use super::note;
-use super::By;
+use super::on_change;
+use super::Origin;
 use crate::gateway::Gateway;
 use crate::peers::Hint;
 
 /// Requests whose server goes break off within this of each other: one datagram tells of them.
-const GATHERING: Duration = Duration::from_millis(15);
+const BATCHING_WINDOW: Duration = Duration::from_millis(15);
 /// Reports in one datagram of 8 KiB; one with some endings takes 100 bytes.
-const MOST_REPORTS: usize = 30;
+const MAX_REPORTS_PER_DATAGRAM: usize = 30;
 
 /// Tells the other daemons in a moment what is known of a request.
-pub fn tell(gateway: &Rc<Gateway>, request: Fingerprint) {
-    let mut untold = gateway.quarantine.untold.borrow_mut();
-    let is_first = untold.is_empty();
-    untold.insert(request);
-    if is_first {
-        gateway.executor.spawn(tell_gathered(gateway.clone())).detach();
+pub fn announce(gateway: &Rc<Gateway>, request: Fingerprint) {
+    let mut unsent = gateway.quarantine.unsent.borrow_mut();
+    let is_first_unsent = unsent.is_empty();
+    unsent.insert(request);
+    if is_first_unsent {
+        gateway.executor.spawn(send_batch(gateway.clone())).detach();
     }
 }
 
-async fn tell_gathered(gateway: Rc<Gateway>) {
-    Timer::after(GATHERING).await;
-    let untold = gateway.quarantine.untold.take();
+async fn send_batch(gateway: Rc<Gateway>) {
+    Timer::after(BATCHING_WINDOW).await;
+    let unsent = gateway.quarantine.unsent.take();
     let reports: Vec<Report> = {
         let table = gateway.quarantine.table.borrow();
-        untold.into_iter().map(|request| table.report(request)).collect()
+        unsent.into_iter().map(|request| table.report(request)).collect()
     };
-    for reports in reports.chunks(MOST_REPORTS) {
+    for reports in reports.chunks(MAX_REPORTS_PER_DATAGRAM) {
         gateway.members.tell_all(Hint::RequestsSuspected { reports: reports.to_vec() });
     }
 }
 
 /// Takes in what another daemon tells.
-pub fn learn(gateway: &Rc<Gateway>, reports: Vec<Report>) {
+pub fn merge_reports(gateway: &Rc<Gateway>, reports: Vec<Report>) {
     for Report { request, endings } in reports {
         // A server that went under one request went under those that ran beside it.
         for ending in endings.iter().filter(|ending| !ending.is_excused) {
-            crash_detection::note_gone(gateway, &ending.server);
+            crash_detection::note_server_gone(gateway, &ending.server);
         }
         let now = gateway.now();
         let change = gateway.quarantine.table.borrow_mut().join(now, request, &endings);
-        note(gateway, request, change, By::Peer);
+        on_change(gateway, request, change, Origin::Peer);
     }
 }
 
 /// What a daemon that starts is told.
-pub fn reports(gateway: &Gateway) -> Vec<Report> {
+pub fn all_reports(gateway: &Gateway) -> Vec<Report> {
     gateway.quarantine.table.borrow().reports()
 }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -23,29 +23,29 @@
 
 /// How long a server is kept for one suspect unless it is given back before: a request that ends its
 /// server as it begins has done so by then.
-const HELD: Duration = Duration::from_secs(2);
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Rest of a suspect that found its server kept for another one: longer than most runs.
-const BUSY_REST: Duration = Duration::from_millis(50);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Servers that are kept for one suspect each, where this daemon is asked.
 #[derive(Default)]
-pub struct Keeper {
+pub struct Reservations {
     until: RefCell<HashMap<String, Moment>>,
 }
 
-impl Keeper {
+impl Reservations {
     /// Keeps a server; false while it is kept for another one.
-    fn take(&self, now: Moment, server: &str) -> bool {
+    fn try_reserve(&self, now: Moment, server: &str) -> bool {
         let mut until = self.until.borrow_mut();
         until.retain(|_, until| now < *until);
         if until.contains_key(server) {
             return false;
         }
-        until.insert(server.to_owned(), now + HELD);
+        until.insert(server.to_owned(), now + RESERVATION_TIMEOUT);
         true
     }
 
-    fn give_back(&self, server: &str) {
+    fn release(&self, server: &str) {
         self.until.borrow_mut().remove(server);
     }
 }
@@ -58,24 +58,24 @@
 pub struct Isolation {
     gateway: Rc<Gateway>,
     server: String,
-    is_kept: bool,
+    is_reserved: bool,
 }
 
 impl Isolation {
     /// Keeps others from a server, where a request that is sent there is suspect.
-    pub async fn begin(
+    pub async fn acquire(
         gateway: &Rc<Gateway>,
         server: &str,
         request: Fingerprint,
     ) -> Result<Self, Busy> {
         gateway.directory.borrow_mut().placer.isolate(server);
         let mut isolation =
-            Self { gateway: gateway.clone(), server: server.to_owned(), is_kept: false };
+            Self { gateway: gateway.clone(), server: server.to_owned(), is_reserved: false };
         let is_last_run = gateway.quarantine.table.borrow().is_last_run(request);
         if is_last_run {
-            isolation.is_kept = keep(gateway, server).await;
-            if !isolation.is_kept {
-                Timer::after(BUSY_REST).await;
+            isolation.is_reserved = reserve(gateway, server).await;
+            if !isolation.is_reserved {
+                Timer::after(BUSY_RETRY_DELAY).await;
                 return Err(Busy);
             }
         }
@@ -86,16 +86,16 @@
 impl Drop for Isolation {
     fn drop(&mut self) {
         self.gateway.directory.borrow_mut().placer.end_isolation(&self.server);
-        if self.is_kept {
+        if self.is_reserved {
             let (gateway, server) = (self.gateway.clone(), std::mem::take(&mut self.server));
-            let giving_back = async move { give_back(&gateway, &server).await };
-            self.gateway.executor.spawn(giving_back).detach();
+            let releasing = async move { release(&gateway, &server).await };
+            self.gateway.executor.spawn(releasing).detach();
         }
     }
 }
 
 /// The other daemon that keeps a server; nothing where it is this one.
-fn keeper(gateway: &Gateway, server: &str) -> Option<NodeId> {
+fn remote_coordinator(gateway: &Gateway, server: &str) -> Option<NodeId> {
     let name = gateway.permits.lender(server);
     if name == gateway.identity.node.name {
         return None;
@@ -103,38 +103,38 @@
     gateway.members.named(&name)
 }
 
-async fn keep(gateway: &Gateway, server: &str) -> bool {
-    let Some(keeper) = keeper(gateway, server) else {
-        return gateway.quarantine.keeper.take(gateway.now(), server);
+async fn reserve(gateway: &Gateway, server: &str) -> bool {
+    let Some(coordinator) = remote_coordinator(gateway, server) else {
+        return gateway.quarantine.reservations.try_reserve(gateway.now(), server);
     };
     let request = PeerRequest::Isolate { server: server.to_owned(), is_over: false };
-    match client::call(gateway, &keeper, &request, Duration::ZERO).await {
+    match client::call(gateway, &coordinator, &request, Duration::ZERO).await {
         Some(PeerReply::Isolated { is_granted }) => is_granted,
         reply => {
             log::info!(
-                "event=isolation_unanswered server={server} keeper={keeper} reply={reply:?}"
+                "event=isolation_unanswered server={server} keeper={coordinator} reply={reply:?}"
             );
             true
         }
     }
 }
 
-async fn give_back(gateway: &Gateway, server: &str) {
-    let Some(keeper) = keeper(gateway, server) else {
-        gateway.quarantine.keeper.give_back(server);
+async fn release(gateway: &Gateway, server: &str) {
+    let Some(coordinator) = remote_coordinator(gateway, server) else {
+        gateway.quarantine.reservations.release(server);
         return;
     };
     let request = PeerRequest::Isolate { server: server.to_owned(), is_over: true };
     // What is not given back is free again after a while.
-    let _ = client::call(gateway, &keeper, &request, Duration::ZERO).await;
+    let _ = client::call(gateway, &coordinator, &request, Duration::ZERO).await;
 }
 
 /// Answers a daemon that wants a server kept, or gives it back.
-pub fn answer(gateway: &Gateway, server: &str, is_over: bool) -> PeerReply {
-    let keeper = &gateway.quarantine.keeper;
+pub fn handle(gateway: &Gateway, server: &str, is_over: bool) -> PeerReply {
+    let reservations = &gateway.quarantine.reservations;
     if is_over {
-        keeper.give_back(server);
+        reservations.release(server);
         return PeerReply::Isolated { is_granted: false };
     }
-    PeerReply::Isolated { is_granted: keeper.take(gateway.now(), server) }
+    PeerReply::Isolated { is_granted: reservations.try_reserve(gateway.now(), server) }
 }
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -30,26 +30,26 @@
 use http::StatusCode;
 use smol::Timer;
 
-use self::isolation::Keeper;
+use self::isolation::Reservations;
 use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 
-pub use self::admitted_request::Passage;
+pub use self::admitted_request::AdmittedRequest;
 pub use self::isolation::Isolation;
 
 /// Time between two looks for what is to be forgotten, or not recorded yet.
-const UPKEEP: Duration = Duration::from_secs(5);
+const MAINTENANCE_PERIOD: Duration = Duration::from_secs(5);
 
 /// What this daemon knows of requests that servers ended under.
 pub struct Quarantine {
     table: RefCell<Table>,
     /// Servers whose addresses are being looked at.
-    looking: RefCell<BTreeSet<String>>,
+    probing: RefCell<BTreeSet<String>>,
     /// Requests of which the others are told in a moment.
-    untold: RefCell<BTreeSet<Fingerprint>>,
+    unsent: RefCell<BTreeSet<Fingerprint>>,
     /// Requests whose records are being written.
-    recording: RefCell<BTreeSet<Fingerprint>>,
-    keeper: Keeper,
+    writing: RefCell<BTreeSet<Fingerprint>>,
+    reservations: Reservations,
 }
 
 impl Quarantine {
@@ -57,10 +57,10 @@
     pub fn new(limits: Limits) -> Self {
         Self {
             table: RefCell::new(Table::new(limits)),
-            looking: RefCell::default(),
-            untold: RefCell::default(),
-            recording: RefCell::default(),
-            keeper: Keeper::default(),
+            probing: RefCell::default(),
+            unsent: RefCell::default(),
+            writing: RefCell::default(),
+            reservations: Reservations::default(),
         }
     }
 
@@ -77,11 +77,11 @@
 
 /// How a request may be sent to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pass {
+pub enum SendMode {
     /// Like any other.
-    Free,
+    Normal,
     /// To one server at a time, with nothing else there if that can be.
-    Alone,
+    Isolated,
     /// The same, and only once.
     Probe,
 }
@@ -97,12 +97,12 @@
 pub async fn admit(
     gateway: &Rc<Gateway>,
     request: impl Fn() -> Fingerprint,
-) -> Result<Pass, Refused> {
+) -> Result<SendMode, Refused> {
     let refused = match admission(gateway, &request) {
-        Admission::Free => return Ok(Pass::Free),
-        Admission::Alone => return Ok(Pass::Alone),
+        Admission::Free => return Ok(SendMode::Normal),
+        Admission::Alone => return Ok(SendMode::Isolated),
         Admission::Probe => match record::grant_probe(gateway, request()).await {
-            Ok(()) => return Ok(Pass::Probe),
+            Ok(()) => return Ok(SendMode::Probe),
             Err(refused) => refused,
         },
         Admission::Refused { come_back } => Refused { come_back },
@@ -112,19 +112,19 @@
 }
 
 /// Whether a request that was admitted may be sent to one more server.
-pub fn may_go_on(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
+pub fn may_retry(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
     matches!(admission(gateway, request), Admission::Free | Admission::Alone)
 }
 
 /// How a request is kept apart from others, and from the last server, for what is known of it.
-pub fn keep_apart(
+pub fn set_isolation(
     gateway: &Gateway,
-    pass: Pass,
+    mode: SendMode,
     request: impl Fn() -> Fingerprint,
     history: &mut History,
 ) {
     let is_suspect = admission(gateway, &request) != Admission::Free;
-    history.is_alone = pass != Pass::Free || is_suspect;
+    history.is_alone = mode != SendMode::Normal || is_suspect;
     let table = gateway.quarantine.table.borrow();
     history.spares_last = is_suspect && table.is_last_run(request());
 }
@@ -139,18 +139,18 @@
 
 /// Whether an answer shows that a server ran the request. One that fails at all it gets, or sheds load,
 /// answers without.
-fn shows_run(status: StatusCode) -> bool {
-    let promises_not_run = [
+fn proves_execution(status: StatusCode) -> bool {
+    let not_executed = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    !status.is_server_error() && !promises_not_run.contains(&status)
+    !status.is_server_error() && !not_executed.contains(&status)
 }
 
 /// Notes a whole answer to a request: whatever ended servers under it, it was not this.
-pub fn note_answer(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
-    if gateway.quarantine.is_empty() || !shows_run(status) {
+pub fn note_response(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
+    if gateway.quarantine.is_empty() || !proves_execution(status) {
         return;
     }
     let request = outgoing.fingerprint(gateway.dialect.headers());
@@ -158,7 +158,7 @@
     if !gateway.quarantine.table.borrow_mut().clear(request) {
         return;
     }
-    note(gateway, request, Change::Cleared, By::Here);
+    on_change(gateway, request, Change::Cleared, Origin::Here);
     if was_recorded {
         record::remove(gateway, request);
     }
@@ -166,7 +166,7 @@
 
 /// Who has learnt something of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum By {
+enum Origin {
     /// This daemon.
     Here,
     /// Another one.
@@ -176,7 +176,7 @@
 }
 
 /// Logs what has changed for a request, and tells others of what was learnt here.
-fn note(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, by: By) {
+fn on_change(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, by: Origin) {
     match change {
         Change::None => return,
         Change::Suspected(endings) => {
@@ -191,13 +191,14 @@
     let is_quarantined = matches!(change, Change::Quarantined(_));
     // News may have been lost on its way to whoever told the rest: only those who know both parts know
     // that it is quarantined, and the few who saw one of the endings make that known.
-    let completes =
-        by == By::Peer && is_quarantined && gateway.quarantine.table.borrow().is_witnessed(request);
-    if by == By::Here || completes {
+    let completed_here = by == Origin::Peer
+        && is_quarantined
+        && gateway.quarantine.table.borrow().is_witnessed(request);
+    if by == Origin::Here || completed_here {
         if is_quarantined {
-            record::ensure(gateway, request);
+            record::ensure_recorded(gateway, request);
         }
-        gossip::tell(gateway, request);
+        gossip::announce(gateway, request);
     }
 }
 
@@ -208,31 +209,31 @@
 
 /// Forgets what is old, and records what is not recorded yet, until the daemon ends. Each daemon does
 /// its part of what one of them has to do.
-pub async fn keep_up(gateway: Rc<Gateway>) {
+pub async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
-        Timer::after(UPKEEP).await;
+        Timer::after(MAINTENANCE_PERIOD).await;
         if gateway.quarantine.is_empty() {
             continue;
         }
         let expired = gateway.quarantine.table.borrow_mut().expire(gateway.now());
-        let (quarantined, in_vain): (Vec<Fingerprint>, Vec<Fingerprint>) = {
+        let (quarantined, stale): (Vec<Fingerprint>, Vec<Fingerprint>) = {
             let table = gateway.quarantine.table.borrow();
             (table.quarantined().collect(), table.recorded_in_vain().collect())
         };
-        for request in in_vain {
-            if record::falls_here(&gateway) {
+        for request in stale {
+            if record::is_randomly_chosen(&gateway) {
                 log::info!("event=request_explained request={request}");
                 record::remove(&gateway, request);
             }
         }
         for request in quarantined {
-            if !record::falls_here(&gateway) {
+            if !record::is_randomly_chosen(&gateway) {
                 continue;
             }
             if expired.contains(&request) {
                 record::remove(&gateway, request);
             } else if gateway.quarantine.table.borrow().record(request).is_none() {
-                record::ensure(&gateway, request);
+                record::ensure_recorded(&gateway, request);
             }
         }
         count_quarantined(&gateway);
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -19,8 +19,8 @@
 use serde_json::json;
 use smol::Timer;
 
-use super::note;
-use super::By;
+use super::on_change;
+use super::Origin;
 use super::Refused;
 use crate::gateway::Gateway;
 use crate::mirror;
@@ -34,43 +34,43 @@
 /// Kind of the records.
 pub const KIND: &str = "heronbend-quarantine";
 /// Records that come within this time cost one call.
-const GATHERING: Duration = Duration::from_millis(100);
+const BATCHING_WINDOW: Duration = Duration::from_millis(100);
 /// Longest time that a caller waits for a probe to be granted.
-const GRANT_LIMIT: Duration = Duration::from_millis(500);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 /// When a caller is to come back whose probe was not granted: another one has been, most likely.
-const NOT_GRANTED: Duration = Duration::from_secs(5);
+const DENIED_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Rest after a write that failed, doubled by each further one.
-const FIRST_REST: Duration = Duration::from_millis(300);
-const MAX_REST_DOUBLINGS: u32 = 4;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Tries to remove a record.
-const REMOVALS: u32 = 8;
+const MAX_REMOVE_ATTEMPTS: u32 = 8;
 
 /// A record as it stands in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct Content {
+struct RecordContent {
     endings: Vec<Ending>,
     probes: usize,
 }
 
-impl Content {
-    fn of(gateway: &Gateway, request: Fingerprint, probes: usize) -> Self {
+impl RecordContent {
+    fn new(gateway: &Gateway, request: Fingerprint, probes: usize) -> Self {
         let endings = gateway.quarantine.table.borrow().report(request).endings;
         Self { endings, probes }
     }
 }
 
 /// Whether something that one daemon has to do falls to this one now: by chance, to each as often.
-pub(super) fn falls_here(gateway: &Gateway) -> bool {
+pub(super) fn is_randomly_chosen(gateway: &Gateway) -> bool {
     let daemons = u32::try_from(gateway.members.count_alive() + 1).unwrap_or(u32::MAX);
     rand::rng().random_ratio(1, daemons)
 }
 
-fn rest(failures: u32) -> Duration {
-    FIRST_REST * 2_u32.pow(failures.min(MAX_REST_DOUBLINGS))
+fn backoff(failures: u32) -> Duration {
+    INITIAL_BACKOFF * 2_u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS))
 }
 
 /// Takes in a record; an older one than is known tells nothing.
-fn take(gateway: &Rc<Gateway>, object: &Object) -> Option<Fingerprint> {
+fn apply_record(gateway: &Rc<Gateway>, object: &Object) -> Option<Fingerprint> {
     let request = match object.name.parse::<Fingerprint>() {
         Ok(request) => request,
         Err(error) => {
@@ -78,7 +78,7 @@
             return None;
         }
     };
-    let content = match Content::deserialize(&object.content) {
+    let content = match RecordContent::deserialize(&object.content) {
         Ok(content) => content,
         Err(error) => {
             log::warn!("event=quarantine_malformed name={request} error=\"{error}\"");
@@ -92,7 +92,7 @@
         let change = table.join(now, request, &content.endings);
         (change, table.set_record(now, request, record))
     };
-    note(gateway, request, change, By::Store);
+    on_change(gateway, request, change, Origin::Store);
     if is_newer {
         log::info!(
             "event=quarantine_recorded request={request} revision={} probes={}",
@@ -105,39 +105,39 @@
 }
 
 /// Has a quarantined request recorded, however long that takes.
-pub(super) fn ensure(gateway: &Rc<Gateway>, request: Fingerprint) {
-    if !gateway.quarantine.recording.borrow_mut().insert(request) {
+pub(super) fn ensure_recorded(gateway: &Rc<Gateway>, request: Fingerprint) {
+    if !gateway.quarantine.writing.borrow_mut().insert(request) {
         return;
     }
     let gateway = gateway.clone();
     let executor = gateway.executor.clone();
-    let recording = async move {
-        write(&gateway, request).await;
-        gateway.quarantine.recording.borrow_mut().remove(&request);
+    let writing = async move {
+        write_record(&gateway, request).await;
+        gateway.quarantine.writing.borrow_mut().remove(&request);
     };
-    executor.spawn(recording).detach();
+    executor.spawn(writing).detach();
 }
 
-async fn write(gateway: &Rc<Gateway>, request: Fingerprint) {
+async fn write_record(gateway: &Rc<Gateway>, request: Fingerprint) {
     let is_quarantined = || gateway.quarantine.table.borrow().is_quarantined(request);
     let is_recorded = || gateway.quarantine.table.borrow().record(request).is_some();
     let mut failures = 0;
     while is_quarantined() && !is_recorded() {
-        let content = json!(Content::of(gateway, request, 0));
+        let content = json!(RecordContent::new(gateway, request, 0));
         match gateway.store.create(KIND, &request.to_string(), content).await {
             // An answer to it came meanwhile. That the record is known already says nothing: the watch
             // may tell of it before the store answers here.
             Ok(_) if !is_quarantined() => remove(gateway, request),
             Ok(object) => {
-                take(gateway, &object);
+                apply_record(gateway, &object);
             }
             Err(StoreError::Conflict(Some(object))) => {
-                take(gateway, &object);
+                apply_record(gateway, &object);
             }
-            Err(StoreError::Conflict(None)) => read(gateway, request).await,
+            Err(StoreError::Conflict(None)) => fetch_record(gateway, request).await,
             Err(error) => {
                 log::warn!("event=quarantine_not_recorded request={request} error=\"{error}\"");
-                Timer::after(rest(failures)).await;
+                Timer::after(backoff(failures)).await;
                 failures += 1;
             }
         }
@@ -145,15 +145,15 @@
 }
 
 /// Takes in the record that another daemon has written.
-async fn read(gateway: &Rc<Gateway>, request: Fingerprint) {
+async fn fetch_record(gateway: &Rc<Gateway>, request: Fingerprint) {
     match gateway.store.get(KIND, &request.to_string()).await {
         Ok(Some(object)) => {
-            take(gateway, &object);
+            apply_record(gateway, &object);
         }
         Ok(None) => {}
         Err(error) => {
             log::warn!("event=quarantine_not_read request={request} error=\"{error}\"");
-            Timer::after(FIRST_REST).await;
+            Timer::after(INITIAL_BACKOFF).await;
         }
     }
 }
@@ -163,17 +163,17 @@
     gateway: &Rc<Gateway>,
     request: Fingerprint,
 ) -> Result<(), Refused> {
-    let refused = Refused { come_back: NOT_GRANTED };
+    let refused = Refused { come_back: DENIED_RETRY_AFTER };
     let record = gateway.quarantine.table.borrow().record(request).ok_or(refused)?;
-    let content = json!(Content::of(gateway, request, record.probes + 1));
+    let content = json!(RecordContent::new(gateway, request, record.probes + 1));
     let name = request.to_string();
     let condition = Condition::At(record.revision);
     let written = gateway.store.replace(KIND, &name, content, condition);
-    let late = async {
-        Timer::after(GRANT_LIMIT).await;
+    let timeout = async {
+        Timer::after(GRANT_TIMEOUT).await;
         Err(StoreError::Unknown("no answer in time".to_owned()))
     };
-    let granted = written.or(late).await;
+    let granted = written.or(timeout).await;
     let outcome = match &granted {
         Ok(_) => "granted".to_owned(),
         Err(error) => error.to_string(),
@@ -184,11 +184,11 @@
     );
     match granted {
         Ok(object) => {
-            take(gateway, &object);
+            apply_record(gateway, &object);
             Ok(())
         }
         Err(StoreError::Conflict(Some(object))) => {
-            take(gateway, &object);
+            apply_record(gateway, &object);
             Err(refused)
         }
         Err(_) => Err(refused),
@@ -200,7 +200,7 @@
     let gateway = gateway.clone();
     let executor = gateway.executor.clone();
     let removal = async move {
-        for failures in 0..REMOVALS {
+        for failures in 0..MAX_REMOVE_ATTEMPTS {
             match gateway.store.remove(KIND, &request.to_string()).await {
                 Ok(()) => {
                     log::info!("event=quarantine_record_removed request={request}");
@@ -210,7 +210,7 @@
                     log::warn!("event=quarantine_not_removed request={request} error=\"{error}\"");
                 }
             }
-            Timer::after(rest(failures)).await;
+            Timer::after(backoff(failures)).await;
         }
     };
     executor.spawn(removal).detach();
@@ -218,7 +218,7 @@
 
 /// A request that is quarantined, as the store holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Quarantined {
+pub struct QuarantinedRequest {
     /// The request.
     pub request: Fingerprint,
     /// Servers that ended while they ran it.
@@ -228,13 +228,13 @@
 }
 
 /// All requests that the store holds quarantined, for an operator.
-pub async fn list(store: &dyn ObjectStore) -> Result<Vec<Quarantined>, StoreError> {
+pub async fn list(store: &dyn ObjectStore) -> Result<Vec<QuarantinedRequest>, StoreError> {
     let mut quarantined = Vec::new();
     let mut after: Option<String> = None;
     loop {
         let page = store.list(KIND, after.as_deref()).await?;
         for object in &page.objects {
-            quarantined.push(read_record(object)?);
+            quarantined.push(parse_record(object)?);
         }
         after = page.objects.last().map(|object| object.name.clone());
         if !page.more || after.is_none() {
@@ -243,12 +243,12 @@
     }
 }
 
-fn read_record(object: &Object) -> Result<Quarantined, StoreError> {
+fn parse_record(object: &Object) -> Result<QuarantinedRequest, StoreError> {
     let malformed = |error: &dyn ToString| StoreError::Malformed(error.to_string());
     let request = object.name.parse::<Fingerprint>().map_err(|error| malformed(&error))?;
-    let content = Content::deserialize(&object.content).map_err(|error| malformed(&error))?;
+    let content = RecordContent::deserialize(&object.content).map_err(|error| malformed(&error))?;
     let servers = content.endings.into_iter().map(|ending| ending.server).collect();
-    Ok(Quarantined { request, servers, probes: content.probes })
+    Ok(QuarantinedRequest { request, servers, probes: content.probes })
 }
 
 /// Releases a request at all daemons, for an operator.
@@ -258,39 +258,39 @@
 
 /// Follows the records until the daemon ends.
 pub async fn follow(gateway: Rc<Gateway>) {
-    let sink = Sink { gateway: gateway.clone(), listed: RefCell::default() };
-    mirror::follow(gateway, KIND, Source::Watchers, GATHERING, sink).await;
+    let sink = RecordSink { gateway: gateway.clone(), seen: RefCell::default() };
+    mirror::follow(gateway, KIND, Source::Watchers, BATCHING_WINDOW, sink).await;
 }
 
-struct Sink {
+struct RecordSink {
     gateway: Rc<Gateway>,
     /// Requests whose records were heard of by this way. A list may be older than a record that this
     /// daemon wrote itself.
-    listed: RefCell<BTreeSet<Fingerprint>>,
+    seen: RefCell<BTreeSet<Fingerprint>>,
 }
 
-impl Sink {
+impl RecordSink {
     fn release(&self, request: Fingerprint) {
-        self.listed.borrow_mut().remove(&request);
-        let was_held = self.gateway.quarantine.table.borrow_mut().release(request);
-        if was_held {
+        self.seen.borrow_mut().remove(&request);
+        let was_quarantined = self.gateway.quarantine.table.borrow_mut().release(request);
+        if was_quarantined {
             log::info!("event=request_released request={request}");
         }
         super::count_quarantined(&self.gateway);
     }
 }
 
-impl MirrorSink for Sink {
+impl MirrorSink for RecordSink {
     fn keep(&self, names: &BTreeSet<String>) {
         let named: BTreeSet<Fingerprint> =
             names.iter().filter_map(|name| name.parse().ok()).collect();
-        let known = self.listed.borrow().clone();
+        let known = self.seen.borrow().clone();
         known.difference(&named).for_each(|request| self.release(*request));
     }
 
     fn put(&self, object: &Object) {
-        if let Some(request) = take(&self.gateway, object) {
-            self.listed.borrow_mut().insert(request);
+        if let Some(request) = apply_record(&self.gateway, object) {
+            self.seen.borrow_mut().insert(request);
         }
     }
 
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -223,7 +223,7 @@
         spawn(Box::pin(evacuations::follow(gateway.clone())));
     }
     spawn(Box::pin(quarantine::record::follow(gateway.clone())));
-    spawn(Box::pin(quarantine::keep_up(gateway.clone())));
+    spawn(Box::pin(quarantine::run_maintenance(gateway.clone())));
     spawn(Box::pin(peers::introduction::run(gateway.clone())));
     spawn(Box::pin(mirror::probe_store(gateway.clone())));
     spawn(Box::pin(log_counts(gateway.clone())));
@@ -403,16 +403,16 @@
             known.incarnation
         );
         self.gateway.metrics.servers_restarted.inc();
-        self.note_gone(&server.id);
+        self.note_server_gone(&server.id);
         self.gateway.servers.close_idle(known.address);
     }
 
     /// A server whose entry went, and that had not said that it would leave: where connections to it
     /// broke a moment ago, it has ended.
-    fn note_gone(&self, id: &str) {
+    fn note_server_gone(&self, id: &str) {
         let state = self.gateway.directory.borrow().get(id).map(|server| server.state);
         if state == Some(ServerState::Ready) {
-            crash_detection::note_gone(&self.gateway, id);
+            crash_detection::note_server_gone(&self.gateway, id);
         }
     }
 }
@@ -422,7 +422,7 @@
         let gateway = &self.gateway;
         let known: Vec<String> =
             gateway.directory.borrow().all().map(|server| server.id.clone()).collect();
-        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.note_gone(id));
+        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.note_server_gone(id));
         gateway.directory.borrow_mut().retain(gateway.now(), names);
         self.malformed.borrow_mut().retain(|name| names.contains(name));
     }
@@ -448,7 +448,7 @@
 
     fn remove(&self, name: &str) {
         log::info!("event=server_gone server={name}");
-        self.note_gone(name);
+        self.note_server_gone(name);
         self.malformed.borrow_mut().remove(name);
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
     }
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -48,8 +48,8 @@
 use crate::quarantine;
 use crate::quarantine::admitted_request;
 use crate::quarantine::crash_detection;
+use crate::quarantine::AdmittedRequest;
 use crate::quarantine::Isolation;
-use crate::quarantine::Passage;
 use crate::wait;
 
 /// Silence before the first event after which a resumable stream is moved. A request may wait in
@@ -120,7 +120,7 @@
     /// Servers that were sent the request.
     history: History,
     /// How it may be sent to servers, for what is known of requests like it.
-    passage: Passage,
+    admitted_request: AdmittedRequest,
     /// Servers that may have run it.
     spent: u32,
     run: Option<Run>,
@@ -139,8 +139,8 @@
     is_resumable: bool,
 ) -> Result<Opened, ForwardError> {
     let names = gateway.dialect.headers();
-    let admitted = Passage::begin(gateway, &outgoing).await;
-    let passage = admitted.map_err(ForwardError::Quarantined)?;
+    let admitted = AdmittedRequest::admit(gateway, &outgoing).await;
+    let admitted_request = admitted.map_err(ForwardError::Quarantined)?;
     let last_event = headers::text(&outgoing.headers, &names.last_event);
     let model = headers::text(&outgoing.headers, &names.model).map(|model| (model, 0));
     let is_engine = |configuration: &Configuration| {
@@ -159,7 +159,7 @@
         has_begun: false,
         version: None,
         history: History::default(),
-        passage,
+        admitted_request,
         spent: 0,
         run: None,
         head: None,
@@ -301,7 +301,7 @@
     fn finish(&mut self, run: Run) {
         let per_event = run.counted.elapsed() / run.events.max(1);
         run.counted.end(AttemptEnd::Answered(per_event));
-        quarantine::note_answer(&self.gateway, &self.outgoing, run.exchange.status);
+        quarantine::note_response(&self.gateway, &self.outgoing, run.exchange.status);
         run.exchange.keep();
         self.log_end("whole");
     }
@@ -317,7 +317,12 @@
         );
         if exchange::is_break(reason) {
             let events = u64::from(run.events);
-            crash_detection::note_break(&self.gateway, &run.server, &self.outgoing, events);
+            crash_detection::note_broken_connection(
+                &self.gateway,
+                &run.server,
+                &self.outgoing,
+                events,
+            );
         }
         run.counted.fail(&AttemptFailure::Unknown(reason));
         if self.may_run_again() {
@@ -342,7 +347,7 @@
         let within_budget = self.spent < self.allowance.max_attempts;
         within_budget
             && (self.spent == 0 || self.is_resumable)
-            && self.passage.is_open(&self.gateway, &self.outgoing)
+            && self.admitted_request.may_send(&self.gateway, &self.outgoing)
             && self.gateway.now() < self.allowance.deadline
     }
 
@@ -353,7 +358,7 @@
                 let is_late = self.gateway.now() >= self.allowance.deadline;
                 return Err(Break::Failed(self.reason_to_give_up(is_late, SPENT)));
             }
-            self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
+            self.admitted_request.set_isolation(&self.gateway, &self.outgoing, &mut self.history);
             let Choice { server: key, fitness } = match self.decide() {
                 Answer::Place(choice) => choice,
                 Answer::Wait(rest) => {
@@ -382,10 +387,10 @@
             counted.on_drop({
                 let (gateway, server) = (self.gateway.clone(), server.clone());
                 let outgoing = self.outgoing.clone();
-                move || crash_detection::note_left(&gateway, &server, &outgoing)
+                move || crash_detection::note_caller_disconnect(&gateway, &server, &outgoing)
             });
             let sent = self.send(&server, fitness).await;
-            self.passage.note_attempt(sent.as_ref().err());
+            self.admitted_request.note_attempt(sent.as_ref().err());
             match sent {
                 Ok(exchange) if exchange.status == StatusCode::OK => {
                     self.unplaced_since = None;
@@ -406,7 +411,12 @@
                 Ok(exchange) => self.take_failure(exchange, counted).await?,
                 Err(failure) => {
                     if matches!(failure, AttemptFailure::BrokenOff) {
-                        crash_detection::note_break(&self.gateway, &server, &self.outgoing, 0);
+                        crash_detection::note_broken_connection(
+                            &self.gateway,
+                            &server,
+                            &self.outgoing,
+                            0,
+                        );
                     }
                     self.take_attempt(failure, counted)?;
                 }
@@ -445,7 +455,7 @@
             Ok(answer) => answer,
             Err(failure) => return self.take_attempt(failure, counted),
         };
-        quarantine::note_answer(&self.gateway, &self.outgoing, answer.status);
+        quarantine::note_response(&self.gateway, &self.outgoing, answer.status);
         counted.end(AttemptEnd::Abandoned);
         if is_retried && self.may_run_again() {
             return Ok(());
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -18,8 +18,8 @@
 use heronbend_gateway::quarantine::crash_detection;
 use heronbend_gateway::quarantine::gossip;
 use heronbend_gateway::quarantine::record;
-use heronbend_gateway::quarantine::Pass;
 use heronbend_gateway::quarantine::Refused;
+use heronbend_gateway::quarantine::SendMode;
 use http::Method;
 use http::StatusCode;
 use smol::Timer;
@@ -65,7 +65,7 @@
     }
 }
 
-async fn admit(gateway: &Rc<Gateway>) -> Result<Pass, Refused> {
+async fn admit(gateway: &Rc<Gateway>) -> Result<SendMode, Refused> {
     let fingerprint = || outgoing().fingerprint(gateway.dialect.headers());
     quarantine::admit(gateway, fingerprint).await
 }
@@ -73,7 +73,12 @@
 /// Servers end under a request.
 fn end_servers(gateway: &Rc<Gateway>, count: usize) {
     for number in 0..count {
-        crash_detection::note_break(gateway, &server(&format!("s{number}")), &outgoing(), 0);
+        crash_detection::note_broken_connection(
+            gateway,
+            &server(&format!("s{number}")),
+            &outgoing(),
+            0,
+        );
     }
 }
 
@@ -82,7 +87,7 @@
     let request = outgoing().fingerprint(gateway.dialect.headers());
     let ending = |server: &&str| Ending { server: (*server).to_owned(), is_excused: false };
     let endings = servers.iter().map(ending).collect();
-    gossip::learn(gateway, vec![Report { request, endings }]);
+    gossip::merge_reports(gateway, vec![Report { request, endings }]);
 }
 
 fn record_of(store: &MemoryStore, gateway: &Gateway) -> bool {
@@ -133,8 +138,8 @@
             executor.spawn(record::follow(gateway.clone())).detach();
             end_servers(&gateway, 3);
             wait_until("it is recorded", || record_of(&store, &gateway)).await;
-            quarantine::note_answer(&gateway, &outgoing(), StatusCode::OK);
-            assert_eq!(admit(&gateway).await, Ok(Pass::Free));
+            quarantine::note_response(&gateway, &outgoing(), StatusCode::OK);
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Normal));
             wait_until("its record is gone", || !record_of(&store, &gateway)).await;
         })
     });
@@ -148,7 +153,7 @@
             let gateway = gateway("a", &store, &executor);
             end_servers(&gateway, 2);
             wait_until("both are found gone", || gateway.metrics.servers_ended.get() == 2).await;
-            assert_eq!(admit(&gateway).await, Ok(Pass::Alone));
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Isolated));
         })
     });
 }
@@ -198,12 +203,12 @@
             wait_until("it is recorded", || record_of(&store, &gateway)).await;
             for status in [500, 503, 504, 429, 421, 408] {
                 let status = StatusCode::from_u16(status).unwrap();
-                quarantine::note_answer(&gateway, &outgoing(), status);
+                quarantine::note_response(&gateway, &outgoing(), status);
                 assert!(admit(&gateway).await.is_err(), "{status}");
             }
             // An error of the request's own does.
-            quarantine::note_answer(&gateway, &outgoing(), StatusCode::UNPROCESSABLE_ENTITY);
-            assert_eq!(admit(&gateway).await, Ok(Pass::Free));
+            quarantine::note_response(&gateway, &outgoing(), StatusCode::UNPROCESSABLE_ENTITY);
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Normal));
         })
     });
 }
