--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -51,7 +51,7 @@
 use crate::relayed_store::RelayedStore;
 use crate::replica::Replica;
 use crate::split::Splitter;
-use crate::versions::published::VersionBoard;
+use crate::versions::published::PublishedVersions;
 
 /// Longest wait for a connection to a server.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -165,7 +165,7 @@
     /// The lease for duties towards the provider.
     pub duty_lease: LeaseNews,
     /// Named versions and orders under way.
-    pub versions: VersionBoard,
+    pub versions: PublishedVersions,
     /// Peer addresses of some other daemons, for as long as nobody is known.
     pub seeds: RefCell<Vec<SocketAddr>>,
     tuning: Cell<Tuning>,
@@ -258,7 +258,7 @@
             }),
             usage,
             duty_lease: LeaseNews::default(),
-            versions: VersionBoard::default(),
+            versions: PublishedVersions::default(),
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
             tree: RefCell::default(),
--- a/crates/heronbend-gateway/src/lease_keeper.rs
+++ b/crates/heronbend-gateway/src/lease_keeper.rs
@@ -51,7 +51,7 @@
 
     /// Notes that nothing may be done until the lease is renewed.
     pub fn lost_track(&self) {
-        self.hold.borrow_mut().lost_track();
+        self.hold.borrow_mut().invalidate();
     }
 
     /// Reads the lease's object.
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -30,7 +30,7 @@
 use crate::quarantine::gossip;
 use crate::quarantine::isolation;
 use crate::replica::Checking;
-use crate::versions::dispatcher::note_order_taken;
+use crate::versions::dispatcher::note_command_accepted;
 
 const TICK: Duration = Duration::from_millis(100);
 /// Ticks between two greetings of seeds, while nobody is known.
@@ -247,7 +247,7 @@
 fn take_hint(gateway: &Rc<Gateway>, hint: Hint) {
     match hint {
         Hint::OrderTaken { holder, server, model, version, incarnation } => {
-            note_order_taken(gateway, holder, (&server, incarnation), &model, version);
+            note_command_accepted(gateway, holder, (&server, incarnation), &model, version);
         }
         Hint::LeaseRenewed { lease, revision, record } => {
             gateway.lease_news(lease).tell(gateway.now(), revision, record);
--- a/crates/heronbend-gateway/src/ports/dialect.rs
+++ b/crates/heronbend-gateway/src/ports/dialect.rs
@@ -9,7 +9,7 @@
 use crate::batch::{JobSpecification, ResultsPage};
 use crate::configuration::Configuration;
 use crate::directory::Server;
-use crate::versions::{EngineReport, NamedVersion, VersionOrder};
+use crate::versions::{EngineReport, PublishedVersion, VersionCommand};
 
 /// A body or an object that cannot be understood.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -130,7 +130,7 @@
     /// A server's entry.
     fn server(&self, id: &str, content: &Value) -> Result<Server, DialectError>;
     /// A version of weights that a trainer named.
-    fn named_version(&self, content: &Value) -> Result<NamedVersion, DialectError>;
+    fn published_version(&self, content: &Value) -> Result<PublishedVersion, DialectError>;
     /// A batch job as handed in.
     fn job(&self, id: &str, body: &[u8]) -> Result<JobSpecification, DialectError>;
     /// The answer to a reader of results.
@@ -140,7 +140,7 @@
     /// A server's state.
     fn report(&self, body: &[u8]) -> Result<EngineReport, DialectError>;
     /// Orders a server to load a version.
-    fn order_call(&self, order: &VersionOrder) -> ServerCall;
+    fn command_call(&self, order: &VersionCommand) -> ServerCall;
     /// The status that says a machine holds nothing any more.
     fn retired_status(&self) -> Value;
     /// Whether a status says so.
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -229,7 +229,7 @@
     spawn(Box::pin(log_counts(gateway.clone())));
     spawn(Box::pin(ownership_duty::follow(gateway.clone())));
     spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
-    spawn(Box::pin(versions::watch::follow_versions(gateway.clone())));
+    spawn(Box::pin(versions::watch::watch_versions(gateway.clone())));
     spawn(Box::pin(versions::dispatcher::run(gateway.clone())));
     start_provider_duties(gateway);
 }
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -18,8 +18,8 @@
 
 use super::lease::LEASE_DURATION;
 use super::plan::{self, EngineState, Load, ModelState, Urgency};
-use super::watch::{candidates, is_candidate, newest_job, place_in_line};
-use super::{EngineReport, SwapMode, VersionOrder};
+use super::watch::{candidates, is_candidate, newest_job, takeover_position};
+use super::{EngineReport, SwapMode, VersionCommand};
 use crate::configuration::{Destination, RouteKind};
 use crate::directory::{Server, ServerState};
 use crate::gateway::Gateway;
@@ -32,28 +32,28 @@
 use crate::wait;
 
 /// How long a daemon waits for the one before it in line, when no order is seen to be taken.
-const STALL: Duration = Duration::from_millis(2500);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(2500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time after which a report shows whether an order was taken.
-const REPORT_LAG: Duration = Duration::from_millis(150);
+const REPORT_DELAY: Duration = Duration::from_millis(150);
 /// First look at a server that is loading, and the time between further ones.
-const FIRST_REPORT: Duration = Duration::from_millis(960);
-const REPORT_PERIOD: Duration = Duration::from_millis(60);
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(960);
+const POLL_PERIOD: Duration = Duration::from_millis(60);
 /// Time from a load's begin after which it takes no part of what loads share. That it is over shows
 /// some tenths of a second later.
-const LOAD_SHARED: Duration = Duration::from_millis(1000);
+const TRANSFER_TIME: Duration = Duration::from_millis(1000);
 /// How long a load is followed.
-const LOAD_LIMIT: Duration = Duration::from_secs(6);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 /// Rest after an order failed.
-const FAILED_REST: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 const IDLE_WAIT: Duration = Duration::from_millis(500);
 /// Rest after a look at what is due, in times that it took: among thousands of servers something changes
 /// all the time, and the looks take a tenth of the processor at most.
-const PLAN_RESTS: u32 = 9;
+const PLANNING_PAUSE_FACTOR: u32 = 9;
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// Notes an order that some daemon has given to a run of a server.
-pub fn note_order_taken(
+pub fn note_command_accepted(
     gateway: &Rc<Gateway>,
     holder: NodeName,
     (server, incarnation): (&str, Incarnation),
@@ -68,7 +68,7 @@
         directory.placer.order_taken(now, server, model, version);
     }
     drop(directory);
-    gateway.versions.order_taken(now, holder);
+    gateway.versions.note_command_accepted(now, holder);
     gateway.places.changed.notify(usize::MAX);
     wake_when_loaded(gateway);
 }
@@ -94,73 +94,74 @@
     })
 }
 
-/// Tells of an order whoever has to know: the daemons that run jobs, which send texts to the server, and
+/// Tells of an order whoever has to know: the daemons that run jobs, which send step_items to the server, and
 /// those that may give the next orders. Where clients' streams go to such servers, all daemons.
 ///
 /// Told to all, the orders of one version for some hundred servers were some hundred thousand datagrams
 /// among a thousand daemons, all from one.
-fn tell_of_order(gateway: &Gateway, order: Hint) {
+fn announce_command(gateway: &Gateway, hint: Hint) {
     if serves_streams(gateway) {
-        gateway.members.tell_all(order);
+        gateway.members.tell_all(hint);
         return;
     }
     let jobs = gateway.jobs.all();
-    let open = jobs.iter().filter(|job| !job.ended.get());
-    let mut concerned: BTreeSet<NodeId> = open.map(|job| job.owner()).collect();
-    concerned.extend(candidates(gateway));
-    concerned.remove(&gateway.identity.node);
-    gateway.members.tell(concerned.into_iter().collect(), order);
+    let active = jobs.iter().filter(|job| !job.ended.get());
+    let mut recipients: BTreeSet<NodeId> = active.map(|job| job.owner()).collect();
+    recipients.extend(candidates(gateway));
+    recipients.remove(&gateway.identity.node);
+    gateway.members.tell(recipients.into_iter().collect(), hint);
 }
 
 /// A load that this daemon orders, or has ordered.
 #[derive(Debug, Clone)]
-struct Begun {
+struct StartedLoad {
     model: String,
     version: u64,
     since: Moment,
 }
 
-struct Duty {
+struct Dispatcher {
     gateway: Rc<Gateway>,
     lease: LeaseKeeper,
     /// Servers that an order is being given to, or that rest after one failed.
-    busy: RefCell<HashMap<String, Option<Begun>>>,
+    busy: RefCell<HashMap<String, Option<StartedLoad>>>,
     /// Time that the last looks at what is due took.
-    plan_took: Cell<Duration>,
+    planning_time: Cell<Duration>,
 }
 
 /// Runs until the daemon ends.
 pub async fn run(gateway: Rc<Gateway>) {
     let lease = LeaseKeeper::new(gateway.clone(), LeaseName::Orders);
-    let duty = Rc::new(Duty {
+    let dispatcher = Rc::new(Dispatcher {
         gateway: gateway.clone(),
         lease,
         busy: RefCell::default(),
-        plan_took: Cell::default(),
+        planning_time: Cell::default(),
     });
     gateway.members.introduction.wait().await;
     // The others were told of the holder, and hear of its renewals.
     if is_candidate(&gateway) || !gateway.members.introduction.is_complete() {
-        duty.lease.read().await;
+        dispatcher.lease.read().await;
     }
     loop {
         // Until others have been heard of, nobody can tell who of them is alive.
         Timer::after(INTRODUCTION.saturating_sub(gateway.now())).await;
         let changed = gateway.versions.changed.listen();
-        for load in duty.loads_to_order().await {
+        for load in dispatcher.next_loads().await {
             let (model, version, since) = (load.model.clone(), load.version, gateway.now());
-            let begun = Begun { model, version, since };
-            duty.busy.borrow_mut().insert(load.server.clone(), Some(begun));
-            gateway.executor.spawn(duty.clone().carry_out(load)).detach();
+            let started = StartedLoad { model, version, since };
+            dispatcher.busy.borrow_mut().insert(load.server.clone(), Some(started));
+            gateway.executor.spawn(dispatcher.clone().execute(load)).detach();
         }
-        Timer::after((duty.plan_took.take() * PLAN_RESTS).min(IDLE_WAIT)).await;
+        Timer::after((dispatcher.planning_time.take() * PLANNING_PAUSE_FACTOR).min(IDLE_WAIT))
+            .await;
         wait::at_most(IDLE_WAIT, changed).await;
     }
 }
 
-impl Duty {
+impl Dispatcher {
     /// The loads that this daemon is to order now.
-    async fn loads_to_order(&self) -> Vec<Load> {
+    async fn next_loads(&self) -> Vec<Load> {
         let due = self.loads_due();
         let is_waiting = self.lease.waits_until().is_some();
         if due.is_empty() || is_waiting || !self.is_my_turn() {
@@ -175,36 +176,42 @@
     }
 
     fn loads_due(&self) -> Vec<Load> {
-        let named = self.gateway.versions.named();
-        if named.is_empty() {
+        let newest = self.gateway.versions.newest();
+        if newest.is_empty() {
             return Vec::new();
         }
         let now = self.gateway.now();
         let configuration = self.gateway.configuration();
-        let is_cut_by_loads = configuration.is_some_and(|configuration| {
+        let requires_single_version = configuration.is_some_and(|configuration| {
             configuration.routes.iter().any(|route| route.single_version)
         });
         let serves_streams = serves_streams(&self.gateway);
-        let models = named
+        let models = newest
             .into_iter()
             .map(|(model, (version, since))| {
                 let job = newest_job(&self.gateway, &model);
-                let (demand, texts) = job.map_or((0, 0), |job| {
+                let (demand, step_items) = job.map_or((0, 0), |job| {
                     let ownership = &job.ownership.borrow().0;
                     (ownership.expected_tokens, ownership.total)
                 });
                 // How many streams come is not known beforehand: all servers take part.
-                let texts = if serves_streams { 0 } else { texts };
-                let is_pressed = self.gateway.versions.is_pressed(&model);
-                let named_for = now.saturating_sub(since);
-                let state =
-                    ModelState { version, demand, texts, is_pressed, named_for, is_cut_by_loads };
+                let step_items = if serves_streams { 0 } else { step_items };
+                let has_slow_steps = self.gateway.versions.has_slow_steps(&model);
+                let published_for = now.saturating_sub(since);
+                let state = ModelState {
+                    version,
+                    demand,
+                    step_items,
+                    has_slow_steps,
+                    published_for,
+                    requires_single_version,
+                };
                 (model, state)
             })
             .collect();
         let due = plan::loads_due(&models, &self.engines());
-        let took = self.gateway.now().saturating_sub(now);
-        self.plan_took.set(self.plan_took.get() + took);
+        let elapsed = self.gateway.now().saturating_sub(now);
+        self.planning_time.set(self.planning_time.get() + elapsed);
         due
     }
 
@@ -216,30 +223,30 @@
         let Some(configuration) = self.gateway.configuration() else {
             return Vec::new();
         };
-        let trains = |server: &&Rc<Server>| {
+        let is_eligible = |server: &&Rc<Server>| {
             let is_ready = server.state == ServerState::Ready && !server.models.is_empty();
             let is_known = configuration.services.contains_key(&server.service);
             is_ready && is_known && !evacuated.contains(&server.zone)
         };
         directory
             .all()
-            .filter(trains)
+            .filter(is_eligible)
             .map(|server| {
                 let placer = &directory.placer;
                 let open = placer.open_order(now, &server.id);
-                let open = open.map(|order| Begun {
+                let open = open.map(|order| StartedLoad {
                     model: placer.model_name(order.model).to_owned(),
                     version: order.version,
                     since: order.since,
                 });
                 let loading = busy.get(&server.id).cloned().flatten().or(open);
-                let is_under_way =
-                    loading.as_ref().is_some_and(|load| now < load.since + LOAD_SHARED);
+                let is_transferring =
+                    loading.as_ref().is_some_and(|load| now < load.since + TRANSFER_TIME);
                 EngineState {
                     server: server.clone(),
                     is_loading: busy.contains_key(&server.id) || loading.is_some(),
                     loading: loading.map(|load| (load.model, load.version)),
-                    is_under_way,
+                    is_transferring,
                     in_flight: placer.in_flight(&server.id),
                 }
             })
@@ -253,7 +260,7 @@
     /// store without the others knowing.
     fn is_my_turn(&self) -> bool {
         let gateway = &self.gateway;
-        let mut before = 0;
+        let mut ahead = 0;
         let holder = gateway.versions.lease.last_holder().map(|(holder, _)| holder);
         if let Some(holder) = &holder {
             if *holder == gateway.identity.node.name {
@@ -263,11 +270,11 @@
                 return false;
             }
             if !gateway.members.is_name_lost(gateway.now(), holder) {
-                before += 1;
+                ahead += 1;
             }
         }
-        before += place_in_line(gateway, holder.as_ref());
-        self.stalled_for() >= STALL * u32::try_from(before).unwrap_or(u32::MAX)
+        ahead += takeover_position(gateway, holder.as_ref());
+        self.idle_time() >= TAKEOVER_DELAY * u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
     /// Time for which orders could have been given and were not.
@@ -275,35 +282,36 @@
     /// Not counted are the time before the newest version was named, that in which the holder has
     /// to wait for the one before it, and that in which the store was out of reach: nobody can
     /// renew the lease then, and to change the holder costs a pause.
-    fn stalled_for(&self) -> Duration {
+    fn idle_time(&self) -> Duration {
         let versions = &self.gateway.versions;
-        let named = versions.named();
-        let newest = named.values().map(|(_, since)| *since).max();
+        let newest = versions.newest();
+        let newest = newest.values().map(|(_, since)| *since).max();
         let takeover = LEASE_DURATION + self.gateway.tuning().lease_pause;
-        let holder_acts = versions.lease.last_holder().map(|(_, since)| since + takeover);
+        let holder_active = versions.lease.last_holder().map(|(_, since)| since + takeover);
         let store_reached = Some(self.gateway.store_reached_since.get());
-        let begun = [newest, versions.last_order(), holder_acts, store_reached].into_iter().max();
-        self.gateway.now().saturating_sub(begun.flatten().unwrap_or_default())
+        let started =
+            [newest, versions.last_command(), holder_active, store_reached].into_iter().max();
+        self.gateway.now().saturating_sub(started.flatten().unwrap_or_default())
     }
 
     /// Gives an order and follows it until the server shows the version.
-    async fn carry_out(self: Rc<Self>, load: Load) {
-        let done = self.order_and_follow(&load).await;
+    async fn execute(self: Rc<Self>, load: Load) {
+        let done = self.command_and_await(&load).await;
         if !done {
             // Whatever became of it, the server is looked at anew after a rest.
             self.busy.borrow_mut().insert(load.server.clone(), None);
-            Timer::after(FAILED_REST).await;
+            Timer::after(RETRY_DELAY).await;
         }
         self.busy.borrow_mut().remove(&load.server);
         self.gateway.versions.changed.notify(usize::MAX);
     }
 
-    async fn order_and_follow(&self, load: &Load) -> bool {
+    async fn command_and_await(&self, load: &Load) -> bool {
         let gateway = &self.gateway;
         let Some(server) = gateway.directory.borrow().get(&load.server).cloned() else {
             return false;
         };
-        let Some(report) = self.report(&server).await else {
+        let Some(report) = self.fetch_report(&server).await else {
             return false;
         };
         if report.incarnation > server.incarnation {
@@ -323,7 +331,7 @@
         let Some(fence) = self.lease.token() else {
             return false;
         };
-        let order = VersionOrder {
+        let command = VersionCommand {
             model: load.model.clone(),
             version: load.version,
             mode: SwapMode::Continue,
@@ -332,7 +340,7 @@
             expected_sequence: report.sequence,
         };
         gateway.metrics.orders.inc();
-        let answer = self.call(&server, gateway.dialect.order_call(&order)).await;
+        let answer = self.call(&server, gateway.dialect.command_call(&command)).await;
         let status = answer.as_ref().map(|answer| answer.status);
         log::info!(
             "event=order_given server={} model={} version={} urgency={:?} fence={fence} expected={} status={}",
@@ -350,18 +358,18 @@
             Some(_) => return false,
         }
         if status.is_none() {
-            Timer::after(REPORT_LAG).await;
-            let report = self.report(&server).await;
-            let is_taken =
-                report.is_some_and(|now| now.busy || now.sequence != order.expected_sequence);
-            if !is_taken {
+            Timer::after(REPORT_DELAY).await;
+            let report = self.fetch_report(&server).await;
+            let is_accepted =
+                report.is_some_and(|now| now.busy || now.sequence != command.expected_sequence);
+            if !is_accepted {
                 // The next order expects the same sequence, so that only one of them counts.
                 return false;
             }
         } else {
             let holder = gateway.identity.node.name.clone();
             let run = (server.id.as_str(), server.incarnation);
-            note_order_taken(gateway, holder.clone(), run, &load.model, load.version);
+            note_command_accepted(gateway, holder.clone(), run, &load.model, load.version);
             let hint = Hint::OrderTaken {
                 holder,
                 server: server.id.clone(),
@@ -369,30 +377,30 @@
                 version: load.version,
                 incarnation: server.incarnation,
             };
-            tell_of_order(gateway, hint);
+            announce_command(gateway, hint);
         }
-        self.follow(&server, load).await
+        self.await_load(&server, load).await
     }
 
     /// Looks at a server until it has loaded; false when it has not.
-    async fn follow(&self, server: &Server, load: &Load) -> bool {
-        let begun = self.gateway.now();
-        let mut rest = FIRST_REPORT;
-        while self.gateway.now() < begun + LOAD_LIMIT {
-            Timer::after(rest).await;
-            rest = REPORT_PERIOD;
-            if !self.is_listed(server) {
+    async fn await_load(&self, server: &Server, load: &Load) -> bool {
+        let started = self.gateway.now();
+        let mut delay = FIRST_POLL_DELAY;
+        while self.gateway.now() < started + LOAD_TIMEOUT {
+            Timer::after(delay).await;
+            delay = POLL_PERIOD;
+            if !self.is_registered(server) {
                 return false;
             }
-            let Some(report) = self.report(server).await else {
+            let Some(report) = self.fetch_report(server).await else {
                 continue;
             };
-            let held = report.models.get(&load.model).copied().unwrap_or(0);
-            if held >= load.version {
+            let loaded = report.models.get(&load.model).copied().unwrap_or(0);
+            if loaded >= load.version {
                 self.note_loaded(server, &report);
-                let millis = (self.gateway.now() - begun).as_millis();
+                let millis = (self.gateway.now() - started).as_millis();
                 log::info!(
-                    "event=version_loaded server={} model={} version={held} after_ms={millis}",
+                    "event=version_loaded server={} model={} version={loaded} after_ms={millis}",
                     server.id,
                     load.model
                 );
@@ -407,14 +415,14 @@
     }
 
     /// Whether this very run of a server is listed.
-    fn is_listed(&self, server: &Server) -> bool {
+    fn is_registered(&self, server: &Server) -> bool {
         let directory = self.gateway.directory.borrow();
         directory.get(&server.id).is_some_and(|known| known.incarnation == server.incarnation)
     }
 
     /// Takes a server's own word for its versions ahead of its entry.
     fn note_loaded(&self, server: &Server, report: &EngineReport) {
-        if !self.is_listed(server) || report.incarnation > server.incarnation {
+        if !self.is_registered(server) || report.incarnation > server.incarnation {
             return;
         }
         let mut directory = self.gateway.directory.borrow_mut();
@@ -424,15 +432,15 @@
         let mut updated = Server::clone(known);
         let models = Rc::make_mut(&mut updated.models);
         for (model, version) in &report.models {
-            let held = models.entry(model.clone()).or_default();
-            *held = (*held).max(*version);
+            let loaded = models.entry(model.clone()).or_default();
+            *loaded = (*loaded).max(*version);
         }
         directory.insert(self.gateway.now(), updated);
         drop(directory);
         self.gateway.places.changed.notify(usize::MAX);
     }
 
-    async fn report(&self, server: &Server) -> Option<EngineReport> {
+    async fn fetch_report(&self, server: &Server) -> Option<EngineReport> {
         let answer = self.call(server, self.gateway.dialect.report_call()).await?;
         if answer.status != StatusCode::OK {
             return None;
--- a/crates/heronbend-gateway/src/versions/lease.rs
+++ b/crates/heronbend-gateway/src/versions/lease.rs
@@ -134,7 +134,7 @@
     }
 
     /// Notes that a renewal's outcome is unknown: nothing may be done until the object is read.
-    pub fn lost_track(&mut self) {
+    pub fn invalidate(&mut self) {
         self.acts_until = Moment::ZERO;
     }
 }
--- a/crates/heronbend-gateway/src/versions/mod.rs
+++ b/crates/heronbend-gateway/src/versions/mod.rs
@@ -19,7 +19,7 @@
 
 /// A version that a trainer has named for a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedVersion {
+pub struct PublishedVersion {
     /// The model.
     pub model: String,
     /// The version.
@@ -54,7 +54,7 @@
 
 /// An order to load a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionOrder {
+pub struct VersionCommand {
     /// The model.
     pub model: String,
     /// The version to load.
--- a/crates/heronbend-gateway/src/versions/plan.rs
+++ b/crates/heronbend-gateway/src/versions/plan.rs
@@ -5,14 +5,14 @@
 //! while the other loads, and a load is spent only every second version. A model whose steps take
 //! long gets every version on all its servers.
 //!
-//! A step of a pressed model begins at the very moment at which its version is named, and its texts
-//! need all places then. A server takes nothing new while it loads, but what runs there goes on at the
-//! same pace. So servers that can run the step load a little later, once its texts have begun: half of
-//! them loading at once had a tenth of a step's texts wait for most of a second.
+//! A step of a pressed model begins at the very moment at which its version is named, and its step_items
+//! need all slots then. A server takes nothing new while it loads, but what runs there goes on at the
+//! same pace. So servers that can run the step load a little later, once its step_items have begun: half of
+//! them loading at once had a tenth of a step's step_items wait for most of a second.
 //!
 //! A fleet may have many more servers than the steps of all trainers can use. Each order costs its server
-//! a pause and its holder some calls, so only as many servers follow a model as its owed texts need:
-//! twice those that have places for the texts of two steps, since one half may be loading. The others
+//! a pause and its holder some calls, so only as many servers follow a model as its owed step_items need:
+//! twice those that have slots for the step_items of two steps, since one half may be loading. The others
 //! keep what they have until one that follows the model is lost.
 
 use std::collections::BTreeMap;
@@ -25,23 +25,23 @@
 use crate::directory::Server;
 
 /// Of so many servers one may load at a time without slowing another one's load.
-const SERVERS_FOR_A_LOAD: usize = 5;
+const SERVERS_PER_LOAD: usize = 5;
 /// Loads at a time with however few servers.
-const MIN_LOADS_AT_ONCE: usize = 2;
-/// Steps of one trainer whose texts may be owed at the same time: the next one is handed in when the
-/// version of the one before it is named, while late texts of that one still run.
-const STEPS_AT_ONCE: usize = 2;
-/// Servers that follow a model for each one that its owed texts fill: one half may be loading, or a
-/// zone be lost, and the other half still has places for all of them.
-const RESERVE: usize = 2;
+const MIN_CONCURRENT_LOADS: usize = 2;
+/// Steps of one trainer whose step_items may be owed at the same time: the next one is handed in when the
+/// version of the one before it is named, while late step_items of that one still run.
+const CONCURRENT_STEPS: usize = 2;
+/// Servers that follow a model for each one that its owed step_items fill: one half may be loading, or a
+/// zone be lost, and the other half still has slots for all of them.
+const CAPACITY_FACTOR: usize = 2;
 
-/// Time from a version's naming after which the texts of a pressed model's step have begun: most take
+/// Time from a version's naming after which the step_items of a pressed model's step have begun: most take
 /// less than a second, and those that found no place at first have one by then.
-pub const STEP_BEGUN: Duration = Duration::from_millis(1500);
+pub const STEP_START_DELAY: Duration = Duration::from_millis(1500);
 
 /// Loads that may be under way at the same time.
-pub fn loads_at_once(servers: usize) -> usize {
-    (servers / SERVERS_FOR_A_LOAD).max(MIN_LOADS_AT_ONCE)
+pub fn max_concurrent_loads(servers: usize) -> usize {
+    (servers / SERVERS_PER_LOAD).max(MIN_CONCURRENT_LOADS)
 }
 
 /// A server as the plan sees it.
@@ -54,7 +54,7 @@
     /// The model and version that it is loading, or has loaded without its entry showing it.
     pub loading: Option<(String, u64)>,
     /// Whether the load may take a part of what loads share.
-    pub is_under_way: bool,
+    pub is_transferring: bool,
     /// Requests that are known to run there.
     pub in_flight: u32,
 }
@@ -65,7 +65,7 @@
     }
 
     /// The version of a model that its entry shows; 0 where it does not hold the model.
-    fn held(&self, model: &str) -> u64 {
+    fn loaded(&self, model: &str) -> u64 {
         self.server.models.get(model).copied().unwrap_or(0)
     }
 
@@ -84,22 +84,22 @@
     /// Tokens that its last step was expected to make; servers are shared out by this.
     pub demand: u64,
     /// Texts of its last step; 0 where none is known.
-    pub texts: usize,
+    pub step_items: usize,
     /// Whether its steps take so long that half of its servers are not enough.
-    pub is_pressed: bool,
+    pub has_slow_steps: bool,
     /// How long ago the newest version was named.
-    pub named_for: Duration,
+    pub published_for: Duration,
     /// Whether a text that runs through a load is of no use: all of it must come from one version.
-    pub is_cut_by_loads: bool,
+    pub requires_single_version: bool,
 }
 
 impl ModelState {
-    /// Servers of so many places that its trainer's texts need; all there are where no step is known.
-    fn servers_needed(&self, places: usize) -> usize {
-        if self.texts == 0 {
+    /// Servers of so many slots that its trainer's step_items need; all there are where no step is known.
+    fn servers_needed(&self, slots: usize) -> usize {
+        if self.step_items == 0 {
             return usize::MAX;
         }
-        (self.texts * STEPS_AT_ONCE).div_ceil(places.max(1)) * RESERVE
+        (self.step_items * CONCURRENT_STEPS).div_ceil(slots.max(1)) * CAPACITY_FACTOR
     }
 }
 
@@ -140,14 +140,14 @@
 
 impl Queue {
     /// What is taken first: urgent loads, and among them those of the model whose servers lag most.
-    fn rank(&self) -> Option<(Urgency, usize)> {
+    fn priority(&self) -> Option<(Urgency, usize)> {
         let next = self.due.last()?;
-        Some((next.urgency, self.ready * RANK_SCALE / self.hosts.max(1)))
+        Some((next.urgency, self.ready * READY_SHARE_SCALE / self.hosts.max(1)))
     }
 }
 
 /// Steps in which the share of servers that are ready is told apart.
-const RANK_SCALE: usize = 1000;
+const READY_SHARE_SCALE: usize = 1000;
 
 /// The loads that are to be ordered now, or when their servers are idle; the most urgent first. As
 /// many as may be under way at once, shared out so that no model's servers lag behind the others'.
@@ -159,15 +159,15 @@
             queue(model, state, &hosts.remove(model.as_str()).unwrap_or_default())
         })
         .collect();
-    let under_way = engines.iter().filter(|engine| engine.is_under_way).count();
-    let free = loads_at_once(engines.len()).saturating_sub(under_way);
+    let transferring = engines.iter().filter(|engine| engine.is_transferring).count();
+    let free = max_concurrent_loads(engines.len()).saturating_sub(transferring);
     let mut due = Vec::new();
     while due.len() < free {
-        let neediest = queues
+        let next = queues
             .iter_mut()
-            .filter_map(|queue| Some((queue.rank()?, queue)))
-            .min_by_key(|(rank, _)| *rank);
-        let Some((_, queue)) = neediest else {
+            .filter_map(|queue| Some((queue.priority()?, queue)))
+            .min_by_key(|(priority, _)| *priority);
+        let Some((_, queue)) = next else {
             break;
         };
         queue.ready += 1;
@@ -181,8 +181,8 @@
     due.sort_by_key(|load| load.urgency);
     due.reverse();
     let is_ready = |engine: &&&EngineState| {
-        let held = engine.held(model).max(engine.loading(model).unwrap_or(0));
-        held + 1 >= state.version
+        let loaded = engine.loaded(model).max(engine.loading(model).unwrap_or(0));
+        loaded + 1 >= state.version
     };
     Queue { due, ready: hosts.iter().filter(is_ready).count(), hosts: hosts.len() }
 }
@@ -190,23 +190,24 @@
 /// The loads of a model's newest version, those of the oldest versions first.
 fn due_for_model(model: &str, state: &ModelState, hosts: &[&EngineState]) -> Vec<Load> {
     let version = state.version;
-    let held = |engine: &EngineState| engine.held(model);
-    let is_loading_it =
+    let loaded = |engine: &EngineState| engine.loaded(model);
+    let is_loading_version =
         |engine: &EngineState| engine.loading(model).is_some_and(|loading| loading >= version);
-    let at_version = hosts.iter().filter(|engine| held(engine) >= version || is_loading_it(engine));
-    let mut missing_in_half = hosts.len().div_ceil(2).saturating_sub(at_version.count());
+    let current =
+        hosts.iter().filter(|engine| loaded(engine) >= version || is_loading_version(engine));
+    let mut missing_in_half = hosts.len().div_ceil(2).saturating_sub(current.count());
     let mut candidates: Vec<&&EngineState> =
-        hosts.iter().filter(|engine| !engine.is_loading && held(engine) < version).collect();
-    candidates.sort_by_key(|engine| (held(engine), engine.in_flight, engine.id()));
+        hosts.iter().filter(|engine| !engine.is_loading && loaded(engine) < version).collect();
+    candidates.sort_by_key(|engine| (loaded(engine), engine.in_flight, engine.id()));
     let mut due = Vec::new();
     for engine in candidates {
-        let cannot_serve = held(engine) + 1 < version;
-        let fills_half = missing_in_half > 0;
+        let is_too_old = loaded(engine) + 1 < version;
+        let completes_half = missing_in_half > 0;
         missing_in_half = missing_in_half.saturating_sub(1);
-        let urgency = if cannot_serve || (fills_half && !state.is_pressed) {
+        let urgency = if is_too_old || (completes_half && !state.has_slow_steps) {
             Urgency::Now
-        } else if state.is_pressed && state.named_for >= STEP_BEGUN {
-            if state.is_cut_by_loads && !fills_half {
+        } else if state.has_slow_steps && state.published_for >= STEP_START_DELAY {
+            if state.requires_single_version && !completes_half {
                 Urgency::WhenIdle
             } else {
                 Urgency::Soon
@@ -222,11 +223,11 @@
 
 /// How well a server suits a model: the least comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Bid {
+struct Candidate {
     /// Versions that the server lags behind the newest one.
     lag: u64,
     /// Spreads models over servers that lag alike.
-    tie: u64,
+    tie_breaker: u64,
     engine: usize,
     model: usize,
 }
@@ -240,51 +241,56 @@
     let names: BTreeSet<&str> =
         engines.iter().flat_map(|engine| engine.server.models.keys().map(String::as_str)).collect();
     let names: Vec<&str> = names.into_iter().collect();
-    let mut left = shares(models, &names, engines);
-    let wanted = left.iter().sum();
-    let mut bids: Vec<Bid> = Vec::new();
+    let mut remaining = shares(models, &names, engines);
+    let total = remaining.iter().sum();
+    let mut candidates: Vec<Candidate> = Vec::new();
     for (model, name) in names.iter().enumerate() {
         let newest = models.get(*name).map_or(1, |state| state.version);
-        bids.extend(best_bids(model, name, newest, engines, wanted));
+        candidates.extend(best_candidates(model, name, newest, engines, total));
     }
-    bids.sort_unstable();
-    let mut is_taken = vec![false; engines.len()];
+    candidates.sort_unstable();
+    let mut is_assigned = vec![false; engines.len()];
     let mut hosts: BTreeMap<&str, Vec<&EngineState>> = BTreeMap::new();
-    for bid in bids {
-        if !is_taken[bid.engine] && left[bid.model] > 0 {
-            left[bid.model] -= 1;
-            is_taken[bid.engine] = true;
-            hosts.entry(names[bid.model]).or_default().push(&engines[bid.engine]);
+    for candidate in candidates {
+        if !is_assigned[candidate.engine] && remaining[candidate.model] > 0 {
+            remaining[candidate.model] -= 1;
+            is_assigned[candidate.engine] = true;
+            hosts.entry(names[candidate.model]).or_default().push(&engines[candidate.engine]);
         }
     }
     hosts
 }
 
-/// The best bids for a model. All models together take `wanted` servers, so no model's further ones can
+/// The best candidates for a model. All models together take `total` servers, so no model's further ones can
 /// matter, and thousands of servers need not be put in order.
-fn best_bids(
+fn best_candidates(
     model: usize,
     name: &str,
     newest: u64,
     engines: &[EngineState],
-    wanted: usize,
-) -> Vec<Bid> {
+    total: usize,
+) -> Vec<Candidate> {
     let key = rapidhash_v3(name.as_bytes());
-    let mut bids: Vec<Bid> = Vec::new();
+    let mut candidates: Vec<Candidate> = Vec::new();
     for (index, engine) in engines.iter().enumerate() {
-        let Some(held) = engine.server.models.get(name) else {
+        let Some(loaded) = engine.server.models.get(name) else {
             continue;
         };
-        let held = engine.loading(name).unwrap_or(*held);
+        let loaded = engine.loading(name).unwrap_or(*loaded);
         let server = rapidhash_v3(engine.id().as_bytes());
-        let tie = rapidhash_v3(&(key ^ server).to_le_bytes());
-        bids.push(Bid { lag: newest.saturating_sub(held), tie, engine: index, model });
+        let tie_breaker = rapidhash_v3(&(key ^ server).to_le_bytes());
+        candidates.push(Candidate {
+            lag: newest.saturating_sub(loaded),
+            tie_breaker,
+            engine: index,
+            model,
+        });
     }
-    if wanted < bids.len() {
-        bids.select_nth_unstable(wanted);
-        bids.truncate(wanted);
+    if total < candidates.len() {
+        candidates.select_nth_unstable(total);
+        candidates.truncate(total);
     }
-    bids
+    candidates
 }
 
 /// How many servers each model gets: its part by demand, and no more than it needs.
@@ -296,10 +302,10 @@
     let state = |name: &&str| models.get(*name);
     let demands: Vec<u64> =
         names.iter().map(|name| state(name).map_or(0, |state| state.demand)).collect();
-    let places: usize = engines.iter().map(|engine| engine.server.slots as usize).sum();
-    let places = places / engines.len().max(1);
+    let slots: usize = engines.iter().map(|engine| engine.server.slots as usize).sum();
+    let slots = slots / engines.len().max(1);
     let parts = divide(engines.len(), &demands);
-    let needed = |name| state(name).map_or(usize::MAX, |state| state.servers_needed(places));
+    let needed = |name| state(name).map_or(usize::MAX, |state| state.servers_needed(slots));
     parts.into_iter().zip(names).map(|(part, name)| part.min(needed(name))).collect()
 }
 
@@ -321,8 +327,8 @@
     let mut shares: Vec<usize> = vec![at_least_one; demands.len()];
     for _ in 0..spread {
         let missing = |index: &usize| exact[*index] - shares[*index] as f64;
-        let neediest = (0..shares.len()).max_by(|a, b| missing(a).total_cmp(&missing(b)));
-        if let Some(index) = neediest {
+        let next = (0..shares.len()).max_by(|a, b| missing(a).total_cmp(&missing(b)));
+        if let Some(index) = next {
             shares[index] += 1;
         }
     }
--- a/crates/heronbend-gateway/src/versions/published.rs
+++ b/crates/heronbend-gateway/src/versions/published.rs
@@ -12,16 +12,16 @@
 use crate::lease_news::LeaseNews;
 
 /// A step that takes longer, with its training, needs more than half of its model's servers.
-const SLOW_STEP: Duration = Duration::from_millis(4200);
+const SLOW_STEP_THRESHOLD: Duration = Duration::from_millis(4200);
 /// Steps of a model that are looked at for this.
 const RECENT_STEPS: usize = 2;
 
 /// What is known of versions.
 #[derive(Default)]
-pub struct VersionBoard {
-    named: RefCell<HashMap<String, (u64, Moment)>>,
+pub struct PublishedVersions {
+    newest: RefCell<HashMap<String, (u64, Moment)>>,
     /// When the last order that is known of was taken.
-    last_order: Cell<Option<Moment>>,
+    last_command: Cell<Option<Moment>>,
     /// Times that a model's newest steps took, from hand-in to the version that came of it.
     step_times: RefCell<HashMap<String, VecDeque<Duration>>>,
     /// The lease for orders.
@@ -30,20 +30,20 @@
     pub changed: Event,
 }
 
-impl VersionBoard {
+impl PublishedVersions {
     /// Notes a named version; versions only rise. Whether it was news.
-    pub fn name(&self, now: Moment, model: &str, version: u64) -> bool {
-        let mut named = self.named.borrow_mut();
-        let known = named.get(model).map_or(0, |(known, _)| *known);
+    pub fn observe(&self, now: Moment, model: &str, version: u64) -> bool {
+        let mut newest = self.newest.borrow_mut();
+        let known = newest.get(model).map_or(0, |(known, _)| *known);
         if version > known {
-            named.insert(model.to_owned(), (version, now));
+            newest.insert(model.to_owned(), (version, now));
             self.changed.notify(usize::MAX);
         }
         version > known
     }
 
     /// Notes how long a model's step took.
-    pub fn step_took(&self, model: &str, time: Duration) {
+    pub fn record_step_time(&self, model: &str, time: Duration) {
         let mut times = self.step_times.borrow_mut();
         let times = times.entry(model.to_owned()).or_default();
         times.push_back(time);
@@ -53,25 +53,25 @@
     }
 
     /// Whether a model's steps take so long that half of its servers are not enough for them.
-    pub fn is_pressed(&self, model: &str) -> bool {
+    pub fn has_slow_steps(&self, model: &str) -> bool {
         let times = self.step_times.borrow();
-        times.get(model).is_some_and(|times| times.iter().any(|time| *time > SLOW_STEP))
+        times.get(model).is_some_and(|times| times.iter().any(|time| *time > SLOW_STEP_THRESHOLD))
     }
 
     /// Named versions by model, with the time since which this daemon knows them.
-    pub fn named(&self) -> HashMap<String, (u64, Moment)> {
-        self.named.borrow().clone()
+    pub fn newest(&self) -> HashMap<String, (u64, Moment)> {
+        self.newest.borrow().clone()
     }
 
     /// Notes that a server has taken an order.
-    pub fn order_taken(&self, now: Moment, holder: NodeName) {
+    pub fn note_command_accepted(&self, now: Moment, holder: NodeName) {
         self.lease.set_holder(now, holder);
-        self.last_order.set(Some(now));
+        self.last_command.set(Some(now));
         self.changed.notify(usize::MAX);
     }
 
     /// When the last order that is known of was taken.
-    pub fn last_order(&self) -> Option<Moment> {
-        self.last_order.get()
+    pub fn last_command(&self) -> Option<Moment> {
+        self.last_command.get()
     }
 }
--- a/crates/heronbend-gateway/src/versions/watch.rs
+++ b/crates/heronbend-gateway/src/versions/watch.rs
@@ -22,9 +22,9 @@
 /// Daemons that are ready to take the lease.
 const CANDIDATES: usize = 3;
 /// Longest time between two looks whether this daemon is one of them.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Versions that are named within this time cost one call.
-const GATHERING: Duration = Duration::from_millis(5);
+const BATCHING_WINDOW: Duration = Duration::from_millis(5);
 
 /// Takes in the versions that trainers name.
 pub struct VersionSink(pub Rc<Gateway>);
@@ -35,18 +35,20 @@
     }
 
     fn put(&self, object: &Object) {
-        match self.0.dialect.named_version(&object.content) {
-            Ok(named) => {
+        match self.0.dialect.published_version(&object.content) {
+            Ok(published) => {
                 log::info!(
                     "event=version_named model={} version={} revision={}",
-                    named.model,
-                    named.version,
+                    published.model,
+                    published.version,
                     object.revision
                 );
                 let now = self.0.now();
-                let is_news = self.0.versions.name(now, &named.model, named.version);
-                if let Some(job) = newest_job(&self.0, &named.model).filter(|_| is_news) {
-                    self.0.versions.step_took(&named.model, now.saturating_sub(job.known_since));
+                let is_new = self.0.versions.observe(now, &published.model, published.version);
+                if let Some(job) = newest_job(&self.0, &published.model).filter(|_| is_new) {
+                    self.0
+                        .versions
+                        .record_step_time(&published.model, now.saturating_sub(job.known_since));
                 }
             }
             Err(error) => log::warn!("event=version_malformed error=\"{error}\""),
@@ -67,52 +69,52 @@
 
 /// Follows the versions that trainers name, while this daemon is among the first in line for the
 /// lease: the others have no use for them, and each watch has a price.
-pub async fn follow_versions(gateway: Rc<Gateway>) {
+pub async fn watch_versions(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().versions;
     gateway.members.introduction.wait().await;
     loop {
         let changed = gateway.members.changed.listen();
         if !is_candidate(&gateway) {
-            changed.or(rest()).await;
+            changed.or(wait_for_check()).await;
             continue;
         }
         let sink = VersionSink(gateway.clone());
-        let follow = mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, sink);
-        let dismissed = async {
+        let follow = mirror::follow(gateway.clone(), kind, Source::Store, BATCHING_WINDOW, sink);
+        let demoted = async {
             while is_candidate(&gateway) {
-                gateway.members.changed.listen().or(rest()).await;
+                gateway.members.changed.listen().or(wait_for_check()).await;
             }
         };
-        follow.or(dismissed).await;
+        follow.or(demoted).await;
     }
 }
 
-async fn rest() {
-    Timer::after(LOOK).await;
+async fn wait_for_check() {
+    Timer::after(CHECK_PERIOD).await;
 }
 
 /// Whether this daemon is the holder of the lease, or among the first of those that are alive.
 pub(super) fn is_candidate(gateway: &Gateway) -> bool {
-    let me = &gateway.identity.node;
+    let local = &gateway.identity.node;
     let is_holder =
-        gateway.versions.lease.last_holder().is_some_and(|(holder, _)| holder == me.name);
-    is_holder || place_in_line(gateway, None) < CANDIDATES
+        gateway.versions.lease.last_holder().is_some_and(|(holder, _)| holder == local.name);
+    is_holder || takeover_position(gateway, None) < CANDIDATES
 }
 
 /// The first in line for the lease.
 pub(super) fn candidates(gateway: &Gateway) -> Vec<NodeId> {
-    let mut line = gateway.members.alive();
-    line.push(gateway.identity.node.clone());
-    line.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object(), node)));
-    line.truncate(CANDIDATES);
-    line
+    let mut nodes = gateway.members.alive();
+    nodes.push(gateway.identity.node.clone());
+    nodes.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object(), node)));
+    nodes.truncate(CANDIDATES);
+    nodes
 }
 
 /// How many daemons that are alive come before this one, without `holder`.
-pub(super) fn place_in_line(gateway: &Gateway, holder: Option<&NodeName>) -> usize {
-    let me = &gateway.identity.node;
-    let mut line: Vec<NodeId> = gateway.members.alive();
-    line.push(me.clone());
-    line.retain(|node| Some(&node.name) != holder);
-    ownership::place_in_line(LeaseName::Orders.object(), me, &line)
+pub(super) fn takeover_position(gateway: &Gateway, holder: Option<&NodeName>) -> usize {
+    let local = &gateway.identity.node;
+    let mut nodes: Vec<NodeId> = gateway.members.alive();
+    nodes.push(local.clone());
+    nodes.retain(|node| Some(&node.name) != holder);
+    ownership::place_in_line(LeaseName::Orders.object(), local, &nodes)
 }
--- a/crates/heronbend-gateway/tests/support/own_dialect.rs
+++ b/crates/heronbend-gateway/tests/support/own_dialect.rs
@@ -7,7 +7,7 @@
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::ports::dialect::ServerCall;
 use heronbend_gateway::ports::{Call, Dialect, DialectError, HeaderNames, OperatorKinds};
-use heronbend_gateway::versions::{EngineReport, NamedVersion, VersionOrder};
+use heronbend_gateway::versions::{EngineReport, PublishedVersion, VersionCommand};
 use http::{HeaderName, Method};
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
@@ -76,7 +76,7 @@
         from_value("server", content)
     }
 
-    fn named_version(&self, content: &Value) -> Result<NamedVersion, DialectError> {
+    fn published_version(&self, content: &Value) -> Result<PublishedVersion, DialectError> {
         from_value("version", content)
     }
 
@@ -97,7 +97,7 @@
         serde_json::from_slice(body).map_err(|error| DialectError::new("report", error))
     }
 
-    fn order_call(&self, order: &VersionOrder) -> ServerCall {
+    fn command_call(&self, order: &VersionCommand) -> ServerCall {
         let body = json!(order).to_string().into();
         ServerCall { method: Method::POST, path: "/orders".to_owned(), body }
     }
--- a/crates/heronbend-gateway/tests/versions.rs
+++ b/crates/heronbend-gateway/tests/versions.rs
@@ -10,9 +10,9 @@
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::versions::lease::{LeaseHold, LeaseRecord, LEASE_DURATION};
 use heronbend_gateway::versions::plan::{
-    loads_at_once, loads_due, EngineState, Load, ModelState, Urgency, STEP_BEGUN,
+    loads_due, max_concurrent_loads, EngineState, Load, ModelState, Urgency, STEP_START_DELAY,
 };
-use heronbend_gateway::versions::published::VersionBoard;
+use heronbend_gateway::versions::published::PublishedVersions;
 use support::server;
 
 const PAUSE: Duration = Duration::from_secs(3);
@@ -94,7 +94,7 @@
     let mut second = hold("b");
     second.observed(5, record("a", true), SECOND);
     renew(&mut second, 6, SECOND, Duration::ZERO);
-    second.lost_track();
+    second.invalidate();
     second.observed(7, record("b", false), SECOND * 2);
     renew(&mut second, 8, SECOND * 2, Duration::ZERO);
     assert_eq!(second.token(SECOND * 2), None);
@@ -136,7 +136,7 @@
         server: Rc::new(Server { models: models.into(), ..server(id, "engines") }),
         is_loading: false,
         loading: None,
-        is_under_way: false,
+        is_transferring: false,
         in_flight: 0,
     }
 }
@@ -147,13 +147,13 @@
 }
 
 fn models(states: &[(&str, u64, u64, bool)]) -> BTreeMap<String, ModelState> {
-    let state = |version, demand, is_pressed| ModelState {
+    let state = |version, demand, has_slow_steps| ModelState {
         version,
         demand,
-        texts: 0,
-        is_pressed,
-        named_for: STEP_BEGUN,
-        is_cut_by_loads: false,
+        step_items: 0,
+        has_slow_steps,
+        published_for: STEP_START_DELAY,
+        requires_single_version: false,
     };
     states.iter().map(|(name, v, d, p)| ((*name).to_owned(), state(*v, *d, *p))).collect()
 }
@@ -181,7 +181,7 @@
     assert_eq!(loads_due(&models, &engines).len(), 2);
     engines[0].is_loading = true;
     engines[0].loading = Some(("m".to_owned(), 2));
-    engines[0].is_under_way = true;
+    engines[0].is_transferring = true;
     assert_eq!(loads_due(&models, &engines).len(), 1);
 }
 
@@ -197,22 +197,23 @@
 
 #[test]
 fn a_pressed_model_gets_every_version_on_all_hosts_once_its_step_has_begun() {
-    let urgencies = |named_for, is_cut_by_loads| {
+    let urgencies = |published_for, requires_single_version| {
         let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 1)])).collect();
         let mut models = models(&[("m", 2, 100, true)]);
         let state = models.get_mut("m").unwrap();
-        (state.named_for, state.is_cut_by_loads) = (named_for, is_cut_by_loads);
+        (state.published_for, state.requires_single_version) =
+            (published_for, requires_single_version);
         let loads = load_all(&models, &mut engines);
         loads.iter().map(|load| load.urgency).collect::<Vec<Urgency>>()
     };
     // A step begins when its version is named, and needs the servers that can run it.
-    assert_eq!(urgencies(STEP_BEGUN - Duration::from_millis(1), false), []);
-    assert_eq!(urgencies(STEP_BEGUN, false), [Urgency::Soon; 4]);
+    assert_eq!(urgencies(STEP_START_DELAY - Duration::from_millis(1), false), []);
+    assert_eq!(urgencies(STEP_START_DELAY, false), [Urgency::Soon; 4]);
     // Where a load spoils what runs, half of the hosts wait until they are idle. Were all to wait, none
     // of a busy model's would be ready for the next version, which would find them all too old at the
     // same moment.
     let cut = [Urgency::Soon, Urgency::Soon, Urgency::WhenIdle, Urgency::WhenIdle];
-    assert_eq!(urgencies(STEP_BEGUN, true), cut);
+    assert_eq!(urgencies(STEP_START_DELAY, true), cut);
 }
 
 #[test]
@@ -220,7 +221,7 @@
     let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 2)])).collect();
     hold_version(&mut engines[0], "m", 1);
     let mut models = models(&[("m", 3, 100, true)]);
-    models.get_mut("m").unwrap().named_for = Duration::ZERO;
+    models.get_mut("m").unwrap().published_for = Duration::ZERO;
     let loads = loads_due(&models, &engines);
     assert_eq!(loads.len(), 1);
     assert_eq!((loads[0].server.as_str(), loads[0].urgency), ("e0", Urgency::Now));
@@ -245,23 +246,23 @@
 
 #[test]
 fn a_model_is_pressed_while_one_of_its_last_steps_took_long() {
-    let board = VersionBoard::default();
-    assert!(!board.is_pressed("m"));
-    board.step_took("m", SECOND * 6);
-    assert!(board.is_pressed("m"));
-    board.step_took("m", SECOND * 3);
-    assert!(board.is_pressed("m"));
-    board.step_took("m", SECOND * 3);
-    assert!(!board.is_pressed("m"));
-    assert!(!board.is_pressed("other"));
+    let published = PublishedVersions::default();
+    assert!(!published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 6);
+    assert!(published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 3);
+    assert!(published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 3);
+    assert!(!published.has_slow_steps("m"));
+    assert!(!published.has_slow_steps("other"));
 }
 
 #[test]
 fn versions_only_rise() {
-    let board = VersionBoard::default();
-    assert!(board.name(SECOND, "m", 3));
-    assert!(!board.name(SECOND * 2, "m", 2));
-    assert_eq!(board.named()["m"], (3, SECOND));
+    let published = PublishedVersions::default();
+    assert!(published.observe(SECOND, "m", 3));
+    assert!(!published.observe(SECOND * 2, "m", 2));
+    assert_eq!(published.newest()["m"], (3, SECOND));
 }
 
 /// Servers that all hold the first version of three models.
@@ -273,7 +274,7 @@
 
 #[test]
 fn more_servers_load_at_a_time_where_there_are_more() {
-    assert_eq!([8, 9, 14, 35].map(loads_at_once), [2, 2, 2, 7]);
+    assert_eq!([8, 9, 14, 35].map(max_concurrent_loads), [2, 2, 2, 7]);
     let models = models(&[("a", 3, 100, false)]);
     assert_eq!(loads_due(&models, &many_engines(35)).len(), 7);
 }
@@ -315,15 +316,19 @@
 
 /// Eight trainers whose steps have 72 to 128 texts.
 fn trainers(version: u64) -> BTreeMap<String, ModelState> {
-    let texts = [72, 128, 112, 80, 112, 128, 96, 120];
-    let state = |texts| ModelState {
+    let step_items = [72, 128, 112, 80, 112, 128, 96, 120];
+    let state = |step_items| ModelState {
         version,
         demand: 100,
-        texts,
-        named_for: STEP_BEGUN,
+        step_items,
+        published_for: STEP_START_DELAY,
         ..ModelState::default()
     };
-    texts.iter().enumerate().map(|(number, texts)| (format!("m{number}"), state(*texts))).collect()
+    step_items
+        .iter()
+        .enumerate()
+        .map(|(number, step_items)| (format!("m{number}"), state(*step_items)))
+        .collect()
 }
 
 /// Loads of eight versions, beginning where all servers hold the first one.
@@ -351,8 +356,8 @@
                 let has = |engine: &&EngineState| engine.server.models[&model] >= allowed;
                 engines.iter().filter(has).map(|engine| engine.server.slots as usize).sum::<usize>()
             };
-            assert!(holds(version) >= 2 * state.texts, "{model} at {version}");
-            assert!(holds(version - 1) >= 4 * state.texts, "{model} at {version}");
+            assert!(holds(version) >= 2 * state.step_items, "{model} at {version}");
+            assert!(holds(version - 1) >= 4 * state.step_items, "{model} at {version}");
         }
     }
 }
@@ -384,6 +389,6 @@
     load_all(&trainers(5), &mut engines);
     for (model, state) in trainers(5) {
         let fit = engines.iter().filter(|engine| engine.server.models[&model] >= 5);
-        assert!(fit.count() * 6 >= 2 * state.texts, "{model}");
+        assert!(fit.count() * 6 >= 2 * state.step_items, "{model}");
     }
 }
