--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -303,9 +303,9 @@
 
 /// Where a caller's request is counted, if it is.
 fn billing(gateway: &Rc<Gateway>, caller: &Caller) -> Option<Billing> {
-    let (book, tenant) = (gateway.usage.clone()?, caller.tenant()?);
+    let (usage, tenant) = (gateway.usage.clone()?, caller.tenant()?);
     let clock = gateway.clone();
-    Some(Billing::new(book, tenant, move || clock.now()))
+    Some(Billing::new(usage, tenant, move || clock.now()))
 }
 
 async fn pass_on_stream(
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -10,7 +10,7 @@
 use smol::Timer;
 
 use super::takeover;
-use super::usage::Book;
+use super::usage::UsageTracker;
 use crate::gateway::Gateway;
 use crate::lease_keeper::LeaseKeeper;
 use crate::mirror::backoff;
@@ -30,43 +30,43 @@
 const RECORD_NAME: &str = "settled";
 /// Share of the time for a report that passes between a window's end and its settling: requests of
 /// that window still end, and daemons tell of them.
-const SETTLE_SHARE: f64 = 0.25;
+const SETTLE_DELAY_RATIO: f64 = 0.25;
 /// How long a daemon waits for the one before it in line, after it could have reported.
-const STALL: Duration = Duration::from_secs(3);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 /// Time between two looks whose turn it is.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 /// Time without a success after which another daemon had better try: this one may be cut off. Most
 /// outages of the provider are shorter, and a change of the holder takes as long.
 const YIELD_AFTER: Duration = Duration::from_secs(6);
 /// Time for which a daemon that has yielded waits behind all others.
-const YIELD: Duration = Duration::from_secs(12);
+const YIELD_DURATION: Duration = Duration::from_secs(12);
 
 struct Reporter {
     gateway: Rc<Gateway>,
-    book: Rc<Book>,
+    usage: Rc<UsageTracker>,
     provider: Rc<dyn Provider>,
     lease: Rc<LeaseKeeper>,
     failures: u32,
     failing_since: Moment,
-    yields_until: Moment,
+    yielded_until: Moment,
 }
 
 /// Runs until the daemon ends.
 pub async fn run(
     gateway: Rc<Gateway>,
-    book: Rc<Book>,
+    usage: Rc<UsageTracker>,
     provider: Rc<dyn Provider>,
     lease: Rc<LeaseKeeper>,
 ) {
     gateway.members.introduction.wait().await;
     let mut reporter = Reporter {
         gateway,
-        book,
+        usage,
         provider,
         lease,
         failures: 0,
         failing_since: Moment::ZERO,
-        yields_until: Moment::ZERO,
+        yielded_until: Moment::ZERO,
     };
     loop {
         let ready_at = reporter.ready_at();
@@ -76,7 +76,7 @@
             continue;
         }
         if !reporter.is_my_turn() {
-            Timer::after(LOOK).await;
+            Timer::after(CHECK_PERIOD).await;
             continue;
         }
         reporter.step().await;
@@ -86,13 +86,13 @@
 impl Reporter {
     /// Time after a window's end at which it is settled.
     fn settle_delay(&self) -> Duration {
-        self.book.terms().due.mul_f64(SETTLE_SHARE)
+        self.usage.schedule().deadline.mul_f64(SETTLE_DELAY_RATIO)
     }
 
     /// When the next window can be settled.
     fn ready_at(&self) -> Moment {
-        let due = self.book.settlement.borrow().next_unreported();
-        self.book.end(due) + self.settle_delay()
+        let next = self.usage.settlement.borrow().next_unreported();
+        self.usage.end(next) + self.settle_delay()
     }
 
     fn is_my_turn(&self) -> bool {
@@ -101,21 +101,22 @@
         if !gateway.store.is_reached() || now < INTRODUCTION {
             return false;
         }
-        let line = takeover::here(gateway);
-        let mut place = takeover::place(&line, &gateway.identity.node);
-        if now < self.yields_until {
-            place = line.len();
+        let order = takeover::current_order(gateway);
+        let mut position = takeover::position(&order, &gateway.identity.node);
+        if now < self.yielded_until {
+            position = order.len();
         }
         let since = self.ready_at().max(gateway.store_reached_since.get());
-        if place == 0 {
+        if position == 0 {
             return now >= since;
         }
         // Who has just taken the lease has to wait for the one before it. To take it away meanwhile
         // would make both wait anew.
-        let holder_acts = gateway.duty_lease.last_renewal().unwrap_or_default()
+        let holder_active = gateway.duty_lease.last_renewal().unwrap_or_default()
             + LEASE_DURATION
             + gateway.tuning().lease_pause;
-        now >= since.max(holder_acts) + STALL * u32::try_from(place).unwrap_or(u32::MAX)
+        now >= since.max(holder_active)
+            + TAKEOVER_DELAY * u32::try_from(position).unwrap_or(u32::MAX)
     }
 
     /// Does what is due next; rests after a failure.
@@ -126,7 +127,7 @@
             return;
         }
         if let Some(until) = self.lease.waits_until() {
-            Timer::after(until.saturating_sub(self.gateway.now()).min(LOOK)).await;
+            Timer::after(until.saturating_sub(self.gateway.now()).min(CHECK_PERIOD)).await;
             return;
         }
         if self.failures == 0 {
@@ -136,7 +137,7 @@
         if self.gateway.now() >= self.failing_since + YIELD_AFTER {
             log::warn!("event=duty_yielded duty=usage failures={}", self.failures);
             self.failures = 0;
-            self.yields_until = self.gateway.now() + YIELD;
+            self.yielded_until = self.gateway.now() + YIELD_DURATION;
             return;
         }
         Timer::after(backoff(self.failures + 1)).await;
@@ -149,9 +150,9 @@
         if !self.settle().await {
             return false;
         }
-        let report = self.book.settlement.borrow().next_report().cloned();
+        let report = self.usage.settlement.borrow().next_report().cloned();
         match report {
-            Some(report) => self.send(&report).await,
+            Some(report) => self.send_report(&report).await,
             None => true,
         }
     }
@@ -159,14 +160,14 @@
     /// The last window that can be settled now.
     fn last_closed(&self) -> Window {
         let settled_until = self.gateway.now().saturating_sub(self.settle_delay());
-        self.book.window(settled_until).before(1)
+        self.usage.window(settled_until).before(1)
     }
 
     /// Settles what has closed; false when the record is not known afterwards.
     async fn settle(&self) -> bool {
         let proposal = {
-            let settlement = self.book.settlement.borrow();
-            settlement.proposal(self.last_closed(), |window| self.book.total(window))
+            let settlement = self.usage.settlement.borrow();
+            settlement.proposal(self.last_closed(), |window| self.usage.total(window))
         };
         let Some(proposal) = proposal else {
             return true;
@@ -179,31 +180,31 @@
         };
         match written {
             Ok(object) => {
-                let through = proposal.settled.last_window().unwrap_or_default();
+                let last = proposal.settled.last_window().unwrap_or_default();
                 log::info!(
                     "event=usage_settled through={} requests={} revision={}",
-                    through.0,
-                    self.book.total(through).total(),
+                    last.0,
+                    self.usage.total(last).total(),
                     object.revision
                 );
-                self.learn(&object)
+                self.apply_record(&object)
             }
             // Another daemon has settled meanwhile; what it settled is what is reported.
-            Err(StoreError::Conflict(Some(object))) => self.learn(&object),
+            Err(StoreError::Conflict(Some(object))) => self.apply_record(&object),
             Err(error) => {
                 log::warn!("event=usage_not_settled error=\"{error}\"");
                 if !error.is_not_done() {
-                    self.book.settlement.borrow_mut().invalidate();
+                    self.usage.settlement.borrow_mut().invalidate();
                 }
                 false
             }
         }
     }
 
-    fn learn(&self, object: &Object) -> bool {
+    fn apply_record(&self, object: &Object) -> bool {
         match serde_json::from_value::<SettledWindows>(object.content.clone()) {
             Ok(settled) => {
-                self.book.settlement.borrow_mut().update_record(object.revision, settled);
+                self.usage.settlement.borrow_mut().update_record(object.revision, settled);
                 true
             }
             Err(error) => {
@@ -213,19 +214,19 @@
         }
     }
 
-    async fn send(&self, report: &Report) -> bool {
+    async fn send_report(&self, report: &Report) -> bool {
         let Some(fence) = self.lease.token() else {
             return false;
         };
         let actor = Actor { holder: self.gateway.identity.node.name.clone(), fence };
-        let begun = self.gateway.now();
+        let started = self.gateway.now();
         let sent = self.provider.report_usage(report, &actor).await;
         self.gateway.metrics.duty_called("usage", sent.is_ok());
         log::info!(
             "event=usage_reported window={} requests={} fence={fence} ms={} outcome={}",
             report.window.0,
             report.counts.total(),
-            self.gateway.now().saturating_sub(begun).as_millis(),
+            self.gateway.now().saturating_sub(started).as_millis(),
             sent.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
         );
         match sent {
@@ -238,7 +239,7 @@
             }
             Err(_) => return false,
         }
-        self.book.note_reported(report.window);
+        self.usage.mark_reported(report.window);
         self.gateway.members.tell_all(Hint::UsageReported { window: report.window });
         true
     }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -36,17 +36,17 @@
 /// Kind of the records of what was ordered; their names are those of the services.
 const RECORD_KIND: &str = "heronbend-scaling";
 /// Time between two looks at what is to be ordered. Servers take longer to start.
-const LOOK: Duration = Duration::from_secs(1);
+const PLANNING_PERIOD: Duration = Duration::from_secs(1);
 /// Time after the start, or after the store answers again, in which nothing is ordered: entries of
 /// servers come back within two seconds.
-const SETTLING: Duration = Duration::from_secs(5);
+const STABILIZATION_TIME: Duration = Duration::from_secs(5);
 /// Steps that ended within this time are looked at.
-const RECENT: Duration = Duration::from_secs(10);
+const RECENT_STEP_WINDOW: Duration = Duration::from_secs(10);
 /// How many revocable servers are ordered.
 const POLICY: Policy = Policy::Hold;
 
 /// What is known of the orders of one service.
-struct Plan {
+struct ServicePlan {
     planner: Planner,
     revision: Option<Revision>,
 }
@@ -55,20 +55,20 @@
     gateway: Rc<Gateway>,
     provider: Rc<dyn Provider>,
     lease: Rc<LeaseKeeper>,
-    plans: BTreeMap<String, Plan>,
+    plans: BTreeMap<String, ServicePlan>,
     /// When a step was last seen to be near its limit.
-    pressed: Moment,
+    last_pressure: Moment,
 }
 
 /// Runs until the daemon ends.
 pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseKeeper>) {
     gateway.members.introduction.wait().await;
     let mut scaler =
-        Scaler { gateway, provider, lease, plans: BTreeMap::new(), pressed: Moment::ZERO };
+        Scaler { gateway, provider, lease, plans: BTreeMap::new(), last_pressure: Moment::ZERO };
     loop {
-        Timer::after(LOOK).await;
-        if scaler.is_settled() && takeover::is_first(&scaler.gateway) {
-            scaler.look().await;
+        Timer::after(PLANNING_PERIOD).await;
+        if scaler.is_stable() && takeover::is_first(&scaler.gateway) {
+            scaler.scale_all().await;
         } else {
             // Whoever orders meanwhile writes what it ordered.
             scaler.plans.clear();
@@ -77,28 +77,35 @@
 }
 
 impl Scaler {
-    fn is_settled(&self) -> bool {
+    fn is_stable(&self) -> bool {
         let gateway = &self.gateway;
         let since = gateway.store_reached_since.get();
-        gateway.is_ready() && gateway.store.is_reached() && gateway.now() >= since + SETTLING
+        gateway.is_ready()
+            && gateway.store.is_reached()
+            && gateway.now() >= since + STABILIZATION_TIME
     }
 
-    async fn look(&mut self) {
+    async fn scale_all(&mut self) {
         let Some(configuration) = self.gateway.configuration() else {
             return;
         };
         for service in configuration.services.values() {
             if let Some(scaling) = &service.scaling {
-                self.look_at(&configuration, &service.name, scaling).await;
+                self.scale_service(&configuration, &service.name, scaling).await;
             }
         }
     }
 
-    async fn look_at(&mut self, configuration: &Configuration, service: &str, scaling: &Scaling) {
+    async fn scale_service(
+        &mut self,
+        configuration: &Configuration,
+        service: &str,
+        scaling: &Scaling,
+    ) {
         let zones = self.zones(service, scaling);
         let demand = self.demand(configuration, service);
         if !self.plans.contains_key(service) {
-            let Some(plan) = self.read(service).await else {
+            let Some(plan) = self.load_plan(service).await else {
                 return;
             };
             self.plans.insert(service.to_owned(), plan);
@@ -116,11 +123,11 @@
             if !self.lease.ensure().await {
                 break;
             }
-            let reply = self.give(service, &order, &zones, demand).await;
+            let reply = self.send_order(service, &order, &zones, demand).await;
             plan.planner.note(self.gateway.now(), &order, reply);
             has_changed |= reply == Reply::Taken && order.is_revocable;
         }
-        if !has_changed || self.write(service, &mut plan).await {
+        if !has_changed || self.save_plan(service, &mut plan).await {
             self.plans.insert(service.to_owned(), plan);
         }
     }
@@ -128,11 +135,11 @@
     /// The servers of a service by zone, as they are listed.
     fn zones(&self, service: &str, scaling: &Scaling) -> Vec<Zone> {
         let directory = self.gateway.directory.borrow();
-        let listed = directory
+        let ready = directory
             .all()
             .filter(|server| server.service == service && server.state == ServerState::Ready);
         let mut zones: BTreeMap<&str, Zone> = BTreeMap::new();
-        for server in listed {
+        for server in ready {
             let zone = zones.entry(&server.zone).or_insert_with(|| Zone {
                 name: server.zone.clone(),
                 price: scaling.zone_prices.get(&server.zone).copied().unwrap_or(1.0),
@@ -151,7 +158,7 @@
     /// How near to their limit the steps of a service are.
     fn demand(&mut self, configuration: &Configuration, service: &str) -> Demand {
         let now = self.gateway.now();
-        let due = configuration
+        let deadline = configuration
             .routes
             .iter()
             .filter(|route| route.kind == RouteKind::Rollout)
@@ -160,14 +167,21 @@
             .min();
         let jobs = self.gateway.jobs.all();
         let times = jobs.iter().filter_map(|job| step_time(job, now));
-        let slowest_step = due.zip(times.max()).map(|(due, time)| time.div_duration_f64(due));
+        let slowest_step =
+            deadline.zip(times.max()).map(|(deadline, time)| time.div_duration_f64(deadline));
         if slowest_step.is_some_and(|share| share > NEAR_LIMIT) {
-            self.pressed = now;
+            self.last_pressure = now;
         }
-        Demand { slowest_step, calm_for: now.saturating_sub(self.pressed) }
+        Demand { slowest_step, calm_for: now.saturating_sub(self.last_pressure) }
     }
 
-    async fn give(&self, service: &str, order: &Order, zones: &[Zone], demand: Demand) -> Reply {
+    async fn send_order(
+        &self,
+        service: &str,
+        order: &Order,
+        zones: &[Zone],
+        demand: Demand,
+    ) -> Reply {
         let Some(fence) = self.lease.token() else {
             return Reply::Failed;
         };
@@ -178,23 +192,23 @@
             count: order.count,
             is_revocable: order.is_revocable,
         };
-        let given = self.provider.order_servers(&call, &actor).await;
-        self.gateway.metrics.duty_called("scale", given.is_ok());
-        let there = zones.iter().find(|zone| zone.name == order.zone);
+        let result = self.provider.order_servers(&call, &actor).await;
+        self.gateway.metrics.duty_called("scale", result.is_ok());
+        let zone = zones.iter().find(|zone| zone.name == order.zone);
         log::info!(
             "event=servers_ordered service={service} zone={} revocable={} count={} on_demand={} revocable_there={} slowest_step={:.2} fence={fence} outcome={}",
             order.zone,
             order.is_revocable,
             order.count,
-            there.map_or(0, |zone| zone.on_demand),
-            there.map_or(0, |zone| zone.revocable),
+            zone.map_or(0, |zone| zone.on_demand),
+            zone.map_or(0, |zone| zone.revocable),
             demand.slowest_step.unwrap_or_default(),
-            given.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
+            result.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
         );
-        match given {
+        match result {
             Ok(()) => Reply::Taken,
             // It would be refused again: the same rest as where there are none.
-            Err(ProviderError::NoneToBeHad | ProviderError::Refused(_)) => Reply::NoneToBeHad,
+            Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => Reply::NoneToBeHad,
             Err(ProviderError::Fenced) => {
                 self.lease.lost_track();
                 Reply::Failed
@@ -204,13 +218,13 @@
     }
 
     /// What was ordered before; nothing where the store does not tell.
-    async fn read(&self, service: &str) -> Option<Plan> {
+    async fn load_plan(&self, service: &str) -> Option<ServicePlan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
                 let planner = Planner::new(POLICY, Memory::default());
-                Some(Plan { planner, revision: None })
+                Some(ServicePlan { planner, revision: None })
             }
-            Ok(Some(object)) => plan_of(&object),
+            Ok(Some(object)) => parse_plan(&object),
             Err(error) => {
                 log::warn!("event=scaling_not_read service={service} error=\"{error}\"");
                 None
@@ -219,7 +233,7 @@
     }
 
     /// Writes what was ordered; false when it has to be read again.
-    async fn write(&self, service: &str, plan: &mut Plan) -> bool {
+    async fn save_plan(&self, service: &str, plan: &mut ServicePlan) -> bool {
         let content = serde_json::json!(plan.planner.memory());
         let store = &self.gateway.store;
         let written = match plan.revision {
@@ -240,11 +254,11 @@
     }
 }
 
-fn plan_of(object: &Object) -> Option<Plan> {
+fn parse_plan(object: &Object) -> Option<ServicePlan> {
     match serde_json::from_value::<Memory>(object.content.clone()) {
         Ok(memory) => {
             let planner = Planner::new(POLICY, memory);
-            Some(Plan { planner, revision: Some(object.revision) })
+            Some(ServicePlan { planner, revision: Some(object.revision) })
         }
         Err(error) => {
             log::error!("event=scaling_malformed service={} error=\"{error}\"", object.name);
@@ -257,7 +271,7 @@
 fn step_time(job: &Job, now: Moment) -> Option<Duration> {
     job.ownership.borrow().0.model.as_ref()?;
     match job.ended_since.get() {
-        Some(ended) if now.saturating_sub(ended) > RECENT => None,
+        Some(ended) if now.saturating_sub(ended) > RECENT_STEP_WINDOW => None,
         Some(ended) => Some(ended.saturating_sub(job.known_since)),
         None => Some(now.saturating_sub(job.known_since)),
     }
--- a/crates/heronbend-gateway/src/duties/takeover.rs
+++ b/crates/heronbend-gateway/src/duties/takeover.rs
@@ -10,32 +10,32 @@
 use crate::gateway::Gateway;
 
 /// What the order of the daemons goes by.
-const ORDER_KEY: &str = "duties";
+const HASH_KEY: &str = "duties";
 
 /// The daemons `alive` in the order in which they take the duties over.
-pub fn line(mut alive: Vec<NodeId>, holder: Option<&NodeName>) -> Vec<NodeId> {
+pub fn takeover_order(mut alive: Vec<NodeId>, holder: Option<&NodeName>) -> Vec<NodeId> {
     alive.sort_by_cached_key(|node| {
-        let rank = rapidhash_v3(format!("{ORDER_KEY}/{}", node.name).as_bytes());
-        (Some(&node.name) != holder, rank, node.clone())
+        let hash = rapidhash_v3(format!("{HASH_KEY}/{}", node.name).as_bytes());
+        (Some(&node.name) != holder, hash, node.clone())
     });
     alive
 }
 
 /// The daemons that may carry the duties out now, in order, as this daemon sees it.
-pub fn here(gateway: &Gateway) -> Vec<NodeId> {
+pub fn current_order(gateway: &Gateway) -> Vec<NodeId> {
     let mut alive = gateway.members.alive();
     if !gateway.draining.get() {
         alive.push(gateway.identity.node.clone());
     }
-    line(alive, gateway.duty_lease.holder().as_ref())
+    takeover_order(alive, gateway.duty_lease.holder().as_ref())
 }
 
 /// Whether the duties fall to this daemon now.
 pub fn is_first(gateway: &Gateway) -> bool {
-    here(gateway).first() == Some(&gateway.identity.node)
+    current_order(gateway).first() == Some(&gateway.identity.node)
 }
 
 /// The place of `me` in a line, counted from 0; behind all where it is not in it.
-pub fn place(line: &[NodeId], me: &NodeId) -> usize {
-    line.iter().position(|node| node == me).unwrap_or(line.len())
+pub fn position(order: &[NodeId], node: &NodeId) -> usize {
+    order.iter().position(|other| other == node).unwrap_or(order.len())
 }
--- a/crates/heronbend-gateway/src/duties/usage.rs
+++ b/crates/heronbend-gateway/src/duties/usage.rs
@@ -15,21 +15,21 @@
 use heronbend::Moment;
 
 /// Windows whose counts are kept after their end: those that may still be settled.
-const KEPT_WINDOWS: u64 = 60;
+const RETAINED_WINDOWS: u64 = 60;
 
 /// How usage is to be reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct ReportingSchedule {
     /// Length of a window.
     pub window: Duration,
     /// Time after a window's end within which it is to be reported.
-    pub due: Duration,
+    pub deadline: Duration,
 }
 
 /// The usage that one daemon knows.
-pub struct Book {
-    terms: Terms,
-    me: NodeId,
+pub struct UsageTracker {
+    schedule: ReportingSchedule,
+    local_node: NodeId,
     clock: RefCell<WindowClock>,
     ledger: RefCell<Ledger>,
     /// Windows that are settled and reported.
@@ -45,14 +45,14 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-impl Book {
+impl UsageTracker {
     /// An empty book of a daemon whose steady clock reads `now`.
-    pub fn new(me: NodeId, terms: Terms, now: Moment) -> Self {
-        let clock = WindowClock::new(terms.window, now, wall_clock());
+    pub fn new(local_node: NodeId, schedule: ReportingSchedule, now: Moment) -> Self {
+        let clock = WindowClock::new(schedule.window, now, wall_clock());
         let first = clock.window(now);
         Self {
-            terms,
-            me,
+            schedule,
+            local_node,
             clock: RefCell::new(clock),
             ledger: RefCell::default(),
             settlement: RefCell::new(Settlement::new(first)),
@@ -62,8 +62,8 @@
     }
 
     /// How usage is to be reported.
-    pub fn terms(&self) -> Terms {
-        self.terms
+    pub fn schedule(&self) -> ReportingSchedule {
+        self.schedule
     }
 
     /// Time since the Unix epoch, as windows follow it.
@@ -72,9 +72,9 @@
     }
 
     /// Takes over the time of a daemon that has run for longer.
-    pub fn hear_time(&self, now: Moment, theirs: Duration) {
-        if self.clock.borrow_mut().adopt_peer_time(now, theirs) {
-            log::warn!("event=wall_clock_differs theirs_ms={}", theirs.as_millis());
+    pub fn adopt_peer_time(&self, now: Moment, peer_time: Duration) {
+        if self.clock.borrow_mut().adopt_peer_time(now, peer_time) {
+            log::warn!("event=wall_clock_differs theirs_ms={}", peer_time.as_millis());
         }
     }
 
@@ -89,33 +89,36 @@
     }
 
     /// Counts a request of a tenant that a server began at `at`.
-    pub fn count(&self, now: Moment, at: Moment, tenant: &str) {
+    pub fn record_request(&self, now: Moment, at: Moment, tenant: &str) {
         // Keeps the clock's course known.
         self.time(now);
         let window = self.window(at);
-        self.note_late(window, &self.me);
-        self.ledger.borrow_mut().increment(&self.me, window, tenant);
+        self.warn_if_reported(window, &self.local_node);
+        self.ledger.borrow_mut().increment(&self.local_node, window, tenant);
         self.counted.notify(usize::MAX);
     }
 
     /// Takes in what another daemon has counted; a daemon's counts only grow.
-    pub fn learn(&self, daemon: &NodeId, window: Window, counts: &Counts) {
+    pub fn merge(&self, daemon: &NodeId, window: Window, counts: &Counts) {
         if self.ledger.borrow_mut().merge(daemon, window, counts) {
-            self.note_late(window, daemon);
+            self.warn_if_reported(window, daemon);
         }
     }
 
     /// What was counted in a settled window is never added to its report.
-    fn note_late(&self, window: Window, daemon: &NodeId) {
+    fn warn_if_reported(&self, window: Window, daemon: &NodeId) {
         if self.settlement.borrow().is_reported(window) {
             log::warn!("event=usage_late window={} daemon={daemon}", window.0);
         }
     }
 
     /// The counts of this daemon, by window.
-    pub fn own(&self) -> Vec<(Window, Counts)> {
+    pub fn local_counts(&self) -> Vec<(Window, Counts)> {
         let ledger = self.ledger.borrow();
-        ledger.counts_of(&self.me).map(|(window, counts)| (window, counts.clone())).collect()
+        ledger
+            .counts_of(&self.local_node)
+            .map(|(window, counts)| (window, counts.clone()))
+            .collect()
     }
 
     /// What all daemons together have counted in a window.
@@ -124,9 +127,9 @@
     }
 
     /// Notes that a report of a window was accepted.
-    pub fn note_reported(&self, window: Window) {
+    pub fn mark_reported(&self, window: Window) {
         self.settlement.borrow_mut().mark_reported(window);
-        self.ledger.borrow_mut().forget_before(window.before(KEPT_WINDOWS));
+        self.ledger.borrow_mut().forget_before(window.before(RETAINED_WINDOWS));
         self.reported.notify(usize::MAX);
     }
 }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -363,7 +363,7 @@
         counted.on_drop(self.leaving());
         let begun = gateway.now();
         if let Some(billing) = self.outgoing.billing.as_deref() {
-            billing.sent(begun);
+            billing.mark_sent(begun);
         }
         let result = self.exchange().await;
         drop(isolation);
@@ -418,9 +418,9 @@
             return;
         };
         match result {
-            Ok(_) => billing.began(begun),
+            Ok(_) => billing.mark_started(begun),
             Err(AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held) => {
-                billing.not_run(begun);
+                billing.mark_not_run(begun);
             }
             // It may be answered by another server, which counts as the same request.
             Err(AttemptFailure::BrokenOff | AttemptFailure::Unknown(_)) => {}
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -32,8 +32,8 @@
 use crate::configuration::Configuration;
 use crate::directory::Directory;
 use crate::dissemination::Telling;
-use crate::duties::usage::Book;
-use crate::duties::usage::Terms;
+use crate::duties::usage::ReportingSchedule;
+use crate::duties::usage::UsageTracker;
 use crate::homes;
 use crate::http::client::ConnectionPool;
 use crate::lease_news::LeaseName;
@@ -87,7 +87,7 @@
     /// Time within which a configuration has to be in force everywhere.
     pub configuration_notice: Duration,
     /// How usage is to be reported, if it is.
-    pub usage: Option<Terms>,
+    pub usage: Option<ReportingSchedule>,
     /// Time without news of the configuration after which callers with keys are refused; never
     /// where there is none.
     pub closes_after: Option<Duration>,
@@ -161,7 +161,7 @@
     /// Batch jobs.
     pub jobs: JobRegistry,
     /// What tenants use, where that is to be reported.
-    pub usage: Option<Rc<Book>>,
+    pub usage: Option<Rc<UsageTracker>>,
     /// The lease for duties towards the provider.
     pub duty_lease: LeaseNews,
     /// Named versions and orders under way.
@@ -220,8 +220,9 @@
         directory.placer.set_region(&identity.zone, &identity.region);
         directory.placer.set_here(&identity.zone);
         let usage = tuning.usage.filter(|_| provider.is_some());
-        let usage =
-            usage.map(|terms| Rc::new(Book::new(identity.node.clone(), terms, Moment::ZERO)));
+        let usage = usage.map(|schedule| {
+            Rc::new(UsageTracker::new(identity.node.clone(), schedule, Moment::ZERO))
+        });
         let gateway = Rc::new(Self {
             identity,
             store: RelayedStore::new(store, metrics.clone(), clock.clone()),
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -253,14 +253,14 @@
             gateway.lease_news(lease).tell(gateway.now(), revision, record);
         }
         Hint::UsageCounted { daemon, window, counts } => {
-            if let Some(book) = &gateway.usage {
-                book.learn(&daemon, window, &counts.into_iter().collect());
+            if let Some(usage) = &gateway.usage {
+                usage.merge(&daemon, window, &counts.into_iter().collect());
             }
         }
         Hint::RequestsSuspected { reports } => gossip::merge_reports(gateway, reports),
         Hint::UsageReported { window } => {
-            if let Some(book) = &gateway.usage {
-                book.note_reported(window);
+            if let Some(usage) = &gateway.usage {
+                usage.mark_reported(window);
             }
         }
         Hint::JobOwned { job, ownership, revision, is_new } => {
--- a/crates/heronbend-gateway/src/peers/introduction.rs
+++ b/crates/heronbend-gateway/src/peers/introduction.rs
@@ -228,8 +228,8 @@
             known.tell(gateway.now(), revision, record);
         }
     }
-    if let (Some(book), Some(millis)) = (&gateway.usage, time_millis) {
-        book.hear_time(gateway.now(), Duration::from_millis(millis));
+    if let (Some(usage), Some(millis)) = (&gateway.usage, time_millis) {
+        usage.adopt_peer_time(gateway.now(), Duration::from_millis(millis));
     }
     let knows_objects = !kinds.is_empty() || !packed_kinds.is_empty() || has_many_objects;
     kinds.into_iter().for_each(|state| keep(gateway, state));
@@ -290,7 +290,7 @@
         JobEntry { job: job.id.clone(), ownership, revision }
     };
     let renewal = |(revision, record, _)| LeaseRenewal { revision, record };
-    let time = gateway.usage.as_ref().map(|book| book.time(gateway.now()).as_millis());
+    let time = gateway.usage.as_ref().map(|usage| usage.time(gateway.now()).as_millis());
     let is_old = wanted.objects && !wanted.takes_packed;
     let mut kinds = Vec::new();
     if wanted.objects && wanted.takes_packed {
--- a/crates/heronbend-gateway/src/ports/provider.rs
+++ b/crates/heronbend-gateway/src/ports/provider.rs
@@ -35,7 +35,7 @@
     NotDone(String),
     /// There are no such servers to be had now.
     #[error("none are to be had now")]
-    NoneToBeHad,
+    NoCapacity,
     /// A later holder has acted.
     #[error("a later holder has acted")]
     Fenced,
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -243,11 +243,11 @@
         let scaling = duties::scaling::run(gateway.clone(), provider.clone(), lease.clone());
         gateway.executor.spawn(scaling).detach();
     }
-    if let Some(book) = gateway.usage.clone() {
+    if let Some(usage) = gateway.usage.clone() {
         let spawn = |task| gateway.executor.spawn::<()>(task).detach();
-        let telling = duties::usage_broadcast::run(gateway.clone(), book.clone());
-        spawn(Box::pin(telling) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
-        spawn(Box::pin(duties::reporting::run(gateway.clone(), book, provider, lease)));
+        let broadcast = duties::usage_broadcast::run(gateway.clone(), usage.clone());
+        spawn(Box::pin(broadcast) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
+        spawn(Box::pin(duties::reporting::run(gateway.clone(), usage, provider, lease)));
     }
 }
 
@@ -496,8 +496,8 @@
     while gateway.now() < limit && (callers.connections() > 0 || runs_jobs(gateway)) {
         Timer::after(STOP_POLL).await;
     }
-    if let Some(book) = &gateway.usage {
-        duties::usage_broadcast::tell_last(gateway, book);
+    if let Some(usage) = &gateway.usage {
+        duties::usage_broadcast::send_final(gateway, usage);
     }
     // The others need not find out by probes, and take its jobs over at once.
     wait::at_most(LEAVE_LIMIT, gateway.members.leave()).await;
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-use crate::duties::usage::Terms;
+use crate::duties::usage::ReportingSchedule;
 use crate::gateway::{Identity, Tuning};
 use crate::permits::ColdMargin;
 use crate::service::Addresses;
@@ -100,7 +100,7 @@
     /// Those duties.
     pub duties: Vec<Duty>,
     /// How usage is to be reported, if it is.
-    pub usage: Option<Terms>,
+    pub usage: Option<ReportingSchedule>,
     /// Whether callers with keys are refused while nobody can tell whether keys were taken away.
     pub fail_closed: bool,
     /// Time within which a key that is taken away has to be refused everywhere.
@@ -344,17 +344,20 @@
     }
 
     /// How usage is to be reported, where that is one of the duties.
-    fn usage(&mut self, duties: &[Duty]) -> Option<Terms> {
+    fn usage(&mut self, duties: &[Duty]) -> Option<ReportingSchedule> {
         let (window_field, due_field) = ("provider.usage_window_s", "provider.usage_due_s");
         self.known.extend([window_field.to_owned(), due_field.to_owned()]);
         if !duties.contains(&Duty::Usage) {
             return None;
         }
-        let terms = Terms { window: self.seconds(window_field), due: self.seconds(due_field) };
-        if terms.window.is_zero() && self.optional(window_field).is_some() {
+        let schedule = ReportingSchedule {
+            window: self.seconds(window_field),
+            deadline: self.seconds(due_field),
+        };
+        if schedule.window.is_zero() && self.optional(window_field).is_some() {
             self.report(window_field, "is zero");
         }
-        Some(terms)
+        Some(schedule)
     }
 
     /// Fields that are not settings are mistakes in this form.
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -261,7 +261,7 @@
             return Err("an event is missing or out of turn");
         }
         if let Some(billing) = self.outgoing.billing.as_ref().filter(|_| !events.is_empty()) {
-            billing.began(self.gateway.now());
+            billing.mark_started(self.gateway.now());
         }
         let mut bytes = BytesMut::new();
         for event in events {
