--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -11,7 +11,7 @@
 use heronbend::admission::{backoff, RetryBudget};
 use heronbend::external::engine::{ATTEMPT_HEADER, CALLER_REQUEST_HEADER, CODE_LEAVING};
 use heronbend::lifecycle::{Backend, BackendName, Phase, Signal, SignalSource, StatedPhase};
-use heronbend::quarantine::fingerprint::Traits;
+use heronbend::quarantine::fingerprint::FingerprintInput;
 use heronbend::quarantine::Fingerprint;
 use heronbend::routing::{Query, RouteRefusal, Router, Verdict};
 use heronbend::settings::policy::PoolPolicy;
@@ -83,7 +83,7 @@
 impl ApplicationRequest {
     /// What tells that the request has come before.
     fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(&Traits {
+        Fingerprint::of(&FingerprintInput {
             method: self.method.as_ref(),
             host: "",
             target: &self.target,
@@ -253,7 +253,7 @@
     /// Whether a request may be sent to a back end, for what is known of requests like it.
     pub fn admit(&self, request: impl FnOnce() -> Fingerprint) -> Result<(), DispatchError> {
         let admitted = self.inner.quarantine.admit(self.inner.shared.now(), request);
-        admitted.map_err(|refused| DispatchError::Quarantined(refused.come_back))
+        admitted.map_err(|refused| DispatchError::Quarantined(refused.retry_after))
     }
 
     /// Notes a whole answer to a request.
@@ -430,7 +430,7 @@
 pub fn retry_after(error: &DispatchError) -> Duration {
     match error {
         DispatchError::Full(_) => SECOND,
-        DispatchError::Quarantined(come_back) => *come_back,
+        DispatchError::Quarantined(retry_after) => *retry_after,
         DispatchError::NoBackend(_) | DispatchError::NotRun(_) | DispatchError::Unknown(_) => {
             SECOND * 2
         }
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -11,7 +11,7 @@
 use futures_lite::{AsyncBufReadExt, FutureExt};
 use heronbend::external::engine::{GenerateChunk, GenerateRequest, Resume};
 use heronbend::lifecycle::BackendName;
-use heronbend::quarantine::fingerprint::Traits;
+use heronbend::quarantine::fingerprint::FingerprintInput;
 use heronbend::quarantine::Fingerprint;
 use heronbend::rollout::sample::append_segment;
 use heronbend::rollout::{FinishReason, Segment};
@@ -53,7 +53,7 @@
 impl GenerationRequest {
     /// What tells that the request has come before, whatever its seed.
     fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(&Traits {
+        Fingerprint::of(&FingerprintInput {
             method: "POST",
             host: "",
             target: &self.model,
--- a/crates/heronbend-daemon/src/quarantine.rs
+++ b/crates/heronbend-daemon/src/quarantine.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
     /// Time after which it may.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// What one thread knows of requests that back ends ended under.
@@ -51,8 +51,8 @@
         }
         let request = request();
         match table.admission(now, request) {
-            Admission::Free | Admission::Alone => Ok(()),
-            Admission::Refused { come_back } => Err(Refused { come_back }),
+            Admission::Allowed | Admission::Isolated => Ok(()),
+            Admission::Refused { retry_after } => Err(Refused { retry_after }),
             Admission::Probe => {
                 let known = table.record(request).unwrap_or(Record { revision: 0, probes: 0 });
                 let record = Record { revision: known.revision + 1, probes: known.probes + 1 };
@@ -67,7 +67,7 @@
     /// the back end is gone.
     pub async fn note_break(&self, now: Moment, request: Fingerprint, backend: &Backend) {
         let run = self.run(backend);
-        self.table.borrow_mut().doubt(now, request, &run);
+        self.table.borrow_mut().note_broken_connection(now, request, &run);
         for rest in LOOKS {
             Timer::after(rest).await;
             if refuses(backend.address).await {
@@ -86,7 +86,7 @@
     fn note_end(&self, now: Moment, name: &BackendName, run: &str) {
         *self.ends.borrow_mut().entry(name.clone()).or_default() += 1;
         let mut table = self.table.borrow_mut();
-        for (request, change) in table.confirm(now, run) {
+        for (request, change) in table.note_server_gone(now, run) {
             log::info!("event=backend_ended backend={run} request={request} change={change:?}");
             if matches!(change, Change::Quarantined(_)) {
                 table.set_record(now, request, Record { revision: 1, probes: 0 });
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -209,10 +209,10 @@
                 self.job.id,
                 self.item.id,
                 self.fingerprint(route),
-                refused.come_back.as_millis()
+                refused.retry_after.as_millis()
             );
         }
-        Timer::after(refused.come_back.min(HELD_REST)).await;
+        Timer::after(refused.retry_after.min(HELD_REST)).await;
         None
     }
 
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -77,7 +77,7 @@
 /// Rest before the next round: longer where the call is kept from servers.
 fn rest(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
     match answer {
-        Err(ForwardError::Quarantined(refused)) => refused.come_back.clamp(REST, HELD_REST),
+        Err(ForwardError::Quarantined(refused)) => refused.retry_after.clamp(REST, HELD_REST),
         _ => REST,
     }
 }
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -398,7 +398,7 @@
 
 /// The answer to a request that is kept from servers since others like it ended theirs.
 fn quarantined(refused: Refused) -> Answer {
-    not_run_until("requests like this one ended the servers that ran them", refused.come_back)
+    not_run_until("requests like this one ended the servers that ran them", refused.retry_after)
 }
 
 async fn hand_in_job(
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use heronbend::placement::AttemptEnd;
 use heronbend::placement::ServerKey;
-use heronbend::quarantine::fingerprint::Traits;
+use heronbend::quarantine::fingerprint::FingerprintInput;
 use heronbend::quarantine::Fingerprint;
 use http::{HeaderMap, HeaderValue, Method, Request, StatusCode, Uri};
 use http_body_util::Full;
@@ -49,7 +49,7 @@
     /// What tells that the request has come before.
     pub fn fingerprint(&self, names: &HeaderNames) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            Fingerprint::of(&Traits {
+            Fingerprint::of(&FingerprintInput {
                 method: self.method.as_str(),
                 host: headers::text(&self.headers, &http::header::HOST).unwrap_or_default(),
                 target: self.target.path_and_query().map_or("", |target| target.as_str()),
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -38,7 +38,11 @@
     if events > 0 {
         return;
     }
-    gateway.quarantine.table.borrow_mut().doubt(gateway.now(), request, &server.id);
+    gateway.quarantine.table.borrow_mut().note_broken_connection(
+        gateway.now(),
+        request,
+        &server.id,
+    );
     look_at(gateway, server);
 }
 
@@ -46,7 +50,11 @@
 /// here will tell what becomes of the server. Whoever finds it gone later on does.
 pub fn note_left(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
-    gateway.quarantine.table.borrow_mut().leave(gateway.now(), request, &server.id);
+    gateway.quarantine.table.borrow_mut().note_caller_disconnect(
+        gateway.now(),
+        request,
+        &server.id,
+    );
 }
 
 /// Looks whether a server is gone. One series of looks is enough for all that ran there.
@@ -78,7 +86,7 @@
     if gateway.quarantine.is_empty() {
         return;
     }
-    let confirmed = gateway.quarantine.table.borrow_mut().confirm(now, server);
+    let confirmed = gateway.quarantine.table.borrow_mut().note_server_gone(now, server);
     if !confirmed.is_empty() {
         gateway.metrics.servers_ended.inc();
         log::info!("event=server_ended server={server} requests={}", confirmed.len());
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -71,7 +71,7 @@
         gateway.directory.borrow_mut().placer.isolate(server);
         let mut isolation =
             Self { gateway: gateway.clone(), server: server.to_owned(), is_kept: false };
-        let is_last_run = gateway.quarantine.table.borrow().is_last_run(request);
+        let is_last_run = gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
         if is_last_run {
             isolation.is_kept = keep(gateway, server).await;
             if !isolation.is_kept {
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
     /// Time after which it may.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Whether a request may be sent to servers. A probe is granted by the store before this returns.
@@ -99,13 +99,13 @@
     request: impl Fn() -> Fingerprint,
 ) -> Result<Pass, Refused> {
     let refused = match admission(gateway, &request) {
-        Admission::Free => return Ok(Pass::Free),
-        Admission::Alone => return Ok(Pass::Alone),
+        Admission::Allowed => return Ok(Pass::Free),
+        Admission::Isolated => return Ok(Pass::Alone),
         Admission::Probe => match record::grant_probe(gateway, request()).await {
             Ok(()) => return Ok(Pass::Probe),
             Err(refused) => refused,
         },
-        Admission::Refused { come_back } => Refused { come_back },
+        Admission::Refused { retry_after } => Refused { retry_after },
     };
     gateway.metrics.quarantine_refusals.inc();
     Err(refused)
@@ -113,7 +113,7 @@
 
 /// Whether a request that was admitted may be sent to one more server.
 pub fn may_go_on(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
-    matches!(admission(gateway, request), Admission::Free | Admission::Alone)
+    matches!(admission(gateway, request), Admission::Allowed | Admission::Isolated)
 }
 
 /// How a request is kept apart from others, and from the last server, for what is known of it.
@@ -123,16 +123,16 @@
     request: impl Fn() -> Fingerprint,
     history: &mut History,
 ) {
-    let is_suspect = admission(gateway, &request) != Admission::Free;
+    let is_suspect = admission(gateway, &request) != Admission::Allowed;
     history.is_alone = pass != Pass::Free || is_suspect;
     let table = gateway.quarantine.table.borrow();
-    history.spares_last = is_suspect && table.is_last_run(request());
+    history.spares_last = is_suspect && table.is_one_crash_from_quarantine(request());
 }
 
 /// What may become of a request. Most of the time nothing is known of any, and none is looked at.
 fn admission(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> Admission {
     if gateway.quarantine.is_empty() {
-        return Admission::Free;
+        return Admission::Allowed;
     }
     gateway.quarantine.table.borrow().admission(gateway.now(), request())
 }
@@ -191,8 +191,9 @@
     let is_quarantined = matches!(change, Change::Quarantined(_));
     // News may have been lost on its way to whoever told the rest: only those who know both parts know
     // that it is quarantined, and the few who saw one of the endings make that known.
-    let completes =
-        by == By::Peer && is_quarantined && gateway.quarantine.table.borrow().is_witnessed(request);
+    let completes = by == By::Peer
+        && is_quarantined
+        && gateway.quarantine.table.borrow().is_observed_locally(request);
     if by == By::Here || completes {
         if is_quarantined {
             record::ensure(gateway, request);
@@ -217,7 +218,7 @@
         let expired = gateway.quarantine.table.borrow_mut().expire(gateway.now());
         let (quarantined, in_vain): (Vec<Fingerprint>, Vec<Fingerprint>) = {
             let table = gateway.quarantine.table.borrow();
-            (table.quarantined().collect(), table.recorded_in_vain().collect())
+            (table.quarantined().collect(), table.stale_records().collect())
         };
         for request in in_vain {
             if record::falls_here(&gateway) {
--- a/crates/heronbend-gateway/src/quarantine/news.rs
+++ b/crates/heronbend-gateway/src/quarantine/news.rs
@@ -48,7 +48,7 @@
             evidence::note_gone(gateway, &ending.server);
         }
         let now = gateway.now();
-        let change = gateway.quarantine.table.borrow_mut().join(now, request, &endings);
+        let change = gateway.quarantine.table.borrow_mut().merge(now, request, &endings);
         note(gateway, request, change, By::Peer);
     }
 }
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use heronbend::quarantine::Ending;
+use heronbend::quarantine::Crash;
 use heronbend::quarantine::Fingerprint;
 use heronbend::quarantine::Record;
 use rand::Rng;
@@ -48,7 +48,7 @@
 /// A record as it stands in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Content {
-    endings: Vec<Ending>,
+    endings: Vec<Crash>,
     probes: usize,
 }
 
@@ -89,7 +89,7 @@
     let record = Record { revision: object.revision, probes: content.probes };
     let (change, is_newer) = {
         let mut table = gateway.quarantine.table.borrow_mut();
-        let change = table.join(now, request, &content.endings);
+        let change = table.merge(now, request, &content.endings);
         (change, table.set_record(now, request, record))
     };
     note(gateway, request, change, By::Store);
@@ -163,7 +163,7 @@
     gateway: &Rc<Gateway>,
     request: Fingerprint,
 ) -> Result<(), Refused> {
-    let refused = Refused { come_back: NOT_GRANTED };
+    let refused = Refused { retry_after: NOT_GRANTED };
     let record = gateway.quarantine.table.borrow().record(request).ok_or(refused)?;
     let content = json!(Content::of(gateway, request, record.probes + 1));
     let name = request.to_string();
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -303,20 +303,20 @@
     fn quarantine(&mut self) -> Limits {
         let default = Limits::default();
         let or = |duration: Duration| duration.as_secs_f64();
-        let endings = self.number_or("quarantine.endings", default.endings as f64);
-        let first_probe = self.number_or("quarantine.first_probe_s", or(default.first_probe));
+        let endings = self.number_or("quarantine.endings", default.crash_threshold as f64);
+        let first_probe = self.number_or("quarantine.first_probe_s", or(default.first_probe_delay));
         let retention = self.number_or("quarantine.retention_s", or(default.retention));
         let limits = Limits {
-            endings: endings as usize,
-            first_probe: Duration::try_from_secs_f64(first_probe).unwrap_or_default(),
+            crash_threshold: endings as usize,
+            first_probe_delay: Duration::try_from_secs_f64(first_probe).unwrap_or_default(),
             retention: Duration::try_from_secs_f64(retention).unwrap_or_default(),
         };
-        if limits.endings < FEWEST_ENDINGS || endings.fract() > 0.0 {
+        if limits.crash_threshold < FEWEST_ENDINGS || endings.fract() > 0.0 {
             let problem = format!("is not a whole number from {FEWEST_ENDINGS} on");
             self.report("quarantine.endings", problem);
         }
-        if limits.retention < limits.probing() {
-            let least = or(limits.probing());
+        if limits.retention < limits.total_probe_time() {
+            let least = or(limits.total_probe_time());
             let problem = format!("is below {least}, the time that all probes take");
             self.report("quarantine.retention_s", problem);
         }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use heronbend::identity::Incarnation;
-use heronbend::quarantine::Ending;
+use heronbend::quarantine::Crash;
 use heronbend::quarantine::Report;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
@@ -80,7 +80,7 @@
 /// Another daemon tells that servers ended under the request.
 fn learn_endings(gateway: &Rc<Gateway>, servers: &[&str]) {
     let request = outgoing().fingerprint(gateway.dialect.headers());
-    let ending = |server: &&str| Ending { server: (*server).to_owned(), is_excused: false };
+    let ending = |server: &&str| Crash { server: (*server).to_owned(), is_excused: false };
     let endings = servers.iter().map(ending).collect();
     news::learn(gateway, vec![Report { request, endings }]);
 }
--- a/crates/heronbend-gateway/tests/settings.rs
+++ b/crates/heronbend-gateway/tests/settings.rs
@@ -79,7 +79,7 @@
     assert_eq!(settings.quarantine, Limits::default());
     let set = format!("{GOOD}\n[quarantine]\nendings = 2\nfirst_probe_s = 0.5\nretention_s = 60\n");
     let limits = Settings::parse("node.toml", &set).unwrap().quarantine;
-    assert_eq!((limits.endings, limits.first_probe), (2, Duration::from_millis(500)));
+    assert_eq!((limits.crash_threshold, limits.first_probe_delay), (2, Duration::from_millis(500)));
     let bad = format!("{GOOD}\n[quarantine]\nendings = 1.5\nretention_s = 60\n");
     let findings = Settings::parse("node.toml", &bad).unwrap_err().to_string();
     for expected in [
--- a/crates/heronbend-gateway/tests/support/mod.rs
+++ b/crates/heronbend-gateway/tests/support/mod.rs
@@ -131,8 +131,8 @@
     evacuation_notice: None,
     cold_margin: ColdMargin { overshoot: 1.0, slack: 0.0 },
     quarantine: Limits {
-        endings: 3,
-        first_probe: Duration::from_secs(5),
+        crash_threshold: 3,
+        first_probe_delay: Duration::from_secs(5),
         retention: Duration::from_secs(900),
     },
 };
--- a/crates/heronbend/src/quarantine/fingerprint.rs
+++ b/crates/heronbend/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells that two requests are the same one, come again.
+//! Fingerprints that identify retries of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,15 +9,15 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Bytes of a fingerprint: two of a billion requests have the same one with odds of 1 in 10^20.
+/// Length of a fingerprint in bytes.
 const BYTES: usize = 16;
-/// Keeps these digests apart from all others that are made of the same bytes.
+/// Domain separator of the hash.
 const CONTEXT: &str = "heronbend request fingerprint v1";
 
-/// Stands for all requests with the same method, target, caller and body, whatever their identifiers.
+/// Digest of a request's method, host, target, tenant and body; request identifiers are not part of it.
 ///
-/// All daemons have to find the same one without a secret that they share, so that it is no keyed
-/// digest. The hash resists collisions, so that nobody can make a request that is taken for another.
+/// The hash is not keyed, since all daemons must compute the same fingerprint without a shared secret.
+/// It is collision resistant, so a caller cannot craft a request with the fingerprint of another one.
 #[derive(
     Clone,
     Copy,
@@ -35,33 +35,33 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Fingerprint([u8; BYTES]);
 
-/// What two requests have in common that are the same one.
+/// The parts of a request that its fingerprint covers.
 #[derive(Debug, Clone, Copy)]
-pub struct Traits<'a> {
-    /// Method.
+pub struct FingerprintInput<'a> {
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that the request names.
+    /// Host that the request is addressed to.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub target: &'a str,
-    /// The tenant on whose behalf it is made, if any.
+    /// Name of the tenant that sends it, if any.
     pub tenant: Option<&'a str>,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
-    pub fn of(request: &Traits) -> Self {
+    /// Computes the fingerprint of a request.
+    pub fn of(request: &FingerprintInput) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         let tenant = request.tenant.unwrap_or_default();
         let parts = [request.method, request.host, request.target, tenant].map(str::as_bytes);
         for part in parts.iter().chain([&request.body]) {
-            // Lengths keep what ends one part from beginning the next.
+            // Length prefixes make the concatenation unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        // No tenant is another caller than one without a name.
+        // Distinguishes no tenant from a tenant with an empty name.
         hasher.update(&[u8::from(request.tenant.is_some())]);
         let mut bytes = [0; BYTES];
         hasher.finalize_xof().fill(&mut bytes);
@@ -81,32 +81,32 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The text is not a valid fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("a fingerprint has {} hexadecimal digits", BYTES * 2)]
-pub struct Malformed;
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = Malformed;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
         let digits = text.as_bytes();
         if digits.len() != BYTES * 2 || !digits.iter().all(u8::is_ascii_hexdigit) {
-            return Err(Malformed);
+            return Err(ParseFingerprintError);
         }
         let mut bytes = [0; BYTES];
         for (byte, pair) in bytes.iter_mut().zip(text.as_bytes().chunks_exact(2)) {
-            let pair = std::str::from_utf8(pair).map_err(|_| Malformed)?;
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| Malformed)?;
+            let pair = std::str::from_utf8(pair).map_err(|_| ParseFingerprintError)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| ParseFingerprintError)?;
         }
         Ok(Self(bytes))
     }
 }
 
 impl TryFrom<String> for Fingerprint {
-    type Error = Malformed;
+    type Error = ParseFingerprintError;
 
-    fn try_from(text: String) -> Result<Self, Malformed> {
+    fn try_from(text: String) -> Result<Self, ParseFingerprintError> {
         text.parse()
     }
 }
--- a/crates/heronbend/src/quarantine/mod.rs
+++ b/crates/heronbend/src/quarantine/mod.rs
@@ -1,27 +1,24 @@
-//! Requests that end the servers that run them, without I/O.
+//! Quarantine of requests that crash the servers that run them, without I/O.
 //!
-//! A request may crash each server that begins it, and its caller comes again, at any daemon. It is the
-//! request that is sick, not the servers, so that avoiding servers makes it worse: what is known has to
-//! be kept by request, and by all daemons.
+//! A poisonous request crashes every server that starts it, and its caller retries it at any daemon.
+//! Avoiding the crashed servers only spreads the damage, so state is kept per request and shared by all
+//! daemons.
 //!
-//! - A server that goes while it runs requests is an *ending* for each of them. An ending needs
-//!   evidence that the server is gone; a connection that broke is no more than a *doubt*.
-//! - A request with an ending is *suspect*: it runs alone, so that little ends with it and the evidence
-//!   against it is plain. A whole answer to it clears it: whatever ended those servers, it was not this.
-//! - From a number of endings on it is *quarantined*: refused at once. A few spaced *probes* let one
-//!   come back that was blamed wrongly; each has to be granted, so that all daemons together make no
-//!   more of them.
+//! - A server that goes away while it runs requests counts as a *crash* for each of them. A broken
+//!   connection alone is an *unconfirmed crash*; it needs evidence that the server is gone.
+//! - A request with crashes is *suspect*: it runs isolated, which limits the damage and shows whether it
+//!   is the cause. A complete response clears it.
+//! - From a threshold of crashes on it is *quarantined*: refused immediately. A few spaced *probes* let a
+//!   wrongly blamed request recover; each is granted by the store, so that all daemons share one limit.
+//! - Of the requests that ran on a crashed server one is the cause. If one of them is quarantined, it
+//!   *explains* the crash, which then does not count against requests with fewer crashes.
 //!
-//! - A server that goes is an ending for each request that ran there, and one of them ended it. Where one
-//!   of them is quarantined, it *explains* the ending: that does not count against those with fewer
-//!   endings, for as long as they have few.
+//! The state of a request is a set of crashes, each of which may be excused later. Merging sets is
+//! commutative and idempotent, so the order and number of deliveries do not matter.
 //!
-//! What daemons know of a request is a set of endings, each of which may be excused later on. Sets are
-//! joined, so that it does not matter in which order news comes, how often, or by whom.
-//!
-//! - [`fingerprint`]: what tells that two requests are the same one, come again.
-//! - [`suspect`]: what is known of one request.
-//! - [`table`]: all of them, and what is decided by it.
+//! - [`fingerprint`]: identifies retries of the same request.
+//! - [`suspect`]: the state of one request.
+//! - [`table`]: the states of all requests, and the decisions based on them.
 
 pub mod fingerprint;
 pub mod suspect;
@@ -39,90 +36,88 @@
 pub use fingerprint::Fingerprint;
 pub use table::Table;
 
-/// Rests before the probes, in units of the first: a request that was blamed wrongly is back soon, one
-/// that ends each server has a minute and five of them where the first is five seconds.
-const PROBE_RESTS: [u32; 3] = [1, 12, 60];
+/// Delays before each probe, as multiples of the first one.
+const PROBE_DELAY_FACTORS: [u32; 3] = [1, 12, 60];
 
-/// What the decisions go by.
+/// Thresholds and delays of the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Endings from which on a request is quarantined. One or two come by chance where servers crash
-    /// for other reasons, three in a row without an answer hardly do.
-    pub endings: usize,
-    /// Rest before the first probe, counted from when the request was recorded. It is longer than a
-    /// server takes to start anew, so that the probe does not meet the last one that is left.
-    pub first_probe: Duration,
-    /// Time after the last ending or probe in which a request is remembered.
+    /// Number of crashes from which a request is quarantined.
+    pub crash_threshold: usize,
+    /// Delay from the creation of a request's record to its first probe. Longer than a server takes to
+    /// restart, so that the probe cannot crash the last server that is left.
+    pub first_probe_delay: Duration,
+    /// How long a request is kept after its last crash or probe.
     pub retention: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            endings: 3,
-            first_probe: Duration::from_secs(5),
+            crash_threshold: 3,
+            first_probe_delay: Duration::from_secs(5),
             retention: Duration::from_secs(900),
         }
     }
 }
 
 impl Limits {
-    /// Rest before a probe, counted from the one before; nothing where there is none any more.
-    pub fn probe_rest(&self, probes: usize) -> Option<Duration> {
-        PROBE_RESTS.get(probes).map(|rests| self.first_probe * *rests)
+    /// Delay before the next probe after `probes` probes; `None` if no probes are left.
+    pub fn probe_delay(&self, probes: usize) -> Option<Duration> {
+        PROBE_DELAY_FACTORS.get(probes).map(|factor| self.first_probe_delay * *factor)
     }
 
-    /// Endings from which on a request is quarantined even if others explain them, so that two which come
-    /// together end no more servers than this each.
-    pub fn most_endings(&self) -> usize {
-        2 * self.endings
+    /// Number of crashes from which a request is quarantined even if others explain them. Limits the
+    /// crashes caused by two poisonous requests that arrive together.
+    pub fn max_crashes(&self) -> usize {
+        2 * self.crash_threshold
     }
 
-    /// Time that all probes together take.
-    pub fn probing(&self) -> Duration {
-        self.first_probe * PROBE_RESTS.iter().sum()
+    /// Total duration of all probe delays.
+    pub fn total_probe_time(&self) -> Duration {
+        self.first_probe_delay * PROBE_DELAY_FACTORS.iter().sum()
     }
 }
 
-/// A server that went while it ran a request.
+/// The crash of a server while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
-pub struct Ending {
-    /// The run of the server.
+pub struct Crash {
+    /// Identifier of the server's run.
     pub server: String,
-    /// Whether an answer to the request has shown since that it was not the cause.
+    /// Whether a later response to the request has shown that it was not the cause.
     pub is_excused: bool,
 }
 
-/// What one daemon tells others of a request.
+/// What one daemon reports to others about a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct Report {
     /// The request.
     pub request: Fingerprint,
-    /// The servers that went while they ran it.
-    pub endings: Vec<Ending>,
+    /// Crashes of servers that ran it.
+    pub endings: Vec<Crash>,
 }
 
-/// What may become of a request.
+/// Decision on whether and how a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Nothing is held against it.
-    Free,
-    /// It may run at one server at a time, and with nothing else there if that can be.
-    Alone,
-    /// It may run once, if the next probe is granted.
+    /// It may run without restrictions.
+    Allowed,
+    /// It may run on one server at a time, preferably with no other requests there.
+    Isolated,
+    /// It may run once, if the store grants the next probe.
     Probe,
     /// It may not run.
     Refused {
-        /// Time after which it may.
-        come_back: Duration,
+        /// Time after which it may be retried.
+        retry_after: Duration,
     },
 }
 
-/// What the store holds of a quarantined request: the probes of all daemons together.
+/// The stored record of a quarantined request, which counts the probes of all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Record {
-    /// The store's revision of it.
+    /// The store's revision of the record.
     pub revision: u64,
-    /// Probes that have been granted.
+    /// Number of probes granted.
     pub probes: usize,
 }
--- a/crates/heronbend/src/quarantine/suspect.rs
+++ b/crates/heronbend/src/quarantine/suspect.rs
@@ -1,239 +1,253 @@
-//! What is known of one request that servers ended under.
+//! State of one request that is suspected of crashing servers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::Admission;
-use super::Ending;
+use super::Crash;
 use super::Limits;
 use super::Record;
 use crate::Moment;
 
-/// How long a broken connection is held against a request while nothing tells whether its server is
-/// gone. The entry of a server that is gone lapses within that.
-pub const DOUBT: Duration = Duration::from_secs(10);
-/// How long it counts as an ending that may yet be shown: several looks at the server's address.
-const DOUBT_COUNTS: Duration = Duration::from_secs(1);
-/// How much sooner the first probe of a request comes that is tied with another one: it releases one of
-/// them, whichever is probed.
-const TIED_PROBE_SHARE: u32 = 5;
-/// Servers that are told of a request: more than any decision needs.
-const MOST_ENDINGS: usize = 16;
-
-/// A request with so many endings that it is quarantined, unless a likelier one explains them.
+/// How long an unconfirmed crash is kept while waiting for evidence that the server is gone. The
+/// registration of a server that is gone expires within this time.
+pub const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
+/// How long an unconfirmed crash counts towards the threshold. Covers several connection probes of the
+/// server's address.
+const UNCONFIRMED_COUNTED: Duration = Duration::from_secs(1);
+/// Divides the first probe delay of a request that is tied with another one, since the probe's outcome
+/// releases one of them.
+const TIED_PROBE_DIVISOR: u32 = 5;
+/// Maximum number of crashes kept for one request; more than any decision needs.
+const MAX_CRASHES: usize = 16;
+
+/// A request whose crashes reach the quarantine threshold, and which may explain those of others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Culprit {
-    endings: BTreeSet<String>,
+    crashes: BTreeSet<String>,
 }
 
-/// What is known of one request.
+/// Crashes and probes of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Suspect {
-    /// Servers that went while they ran it; whether each is excused.
-    endings: BTreeMap<String, bool>,
-    /// How many of those that count are explained by a likelier request.
+    /// Servers that crashed while they ran it, and whether each crash is excused.
+    crashes: BTreeMap<String, bool>,
+    /// Number of counted crashes that a likelier culprit explains.
     explained: usize,
-    /// Whether another request has just the same endings: nothing tells which of them it was.
+    /// Whether another culprit has exactly the same crashes.
     is_tied: bool,
-    /// Whether this daemon itself found one of the servers gone, and was not told.
-    is_witnessed: bool,
-    /// Servers at which its connection broke, and when.
-    doubts: BTreeMap<String, Moment>,
-    /// Servers that had it when its caller left, and when. Callers leave for reasons of their own, so that
-    /// this alone keeps it from nothing.
-    left: BTreeMap<String, Moment>,
-    /// What the store holds of it, and when that was learnt.
+    /// Whether this daemon itself found one of the servers gone, rather than learning it from a peer.
+    is_observed_locally: bool,
+    /// Servers to which its connection broke, and when.
+    unconfirmed: BTreeMap<String, Moment>,
+    /// Servers that ran it when its caller disconnected, and when. Does not restrict the request, since
+    /// callers disconnect for many reasons.
+    disconnects: BTreeMap<String, Moment>,
+    /// Its stored record, and when that was received.
     record: Option<(Record, Moment)>,
-    /// When the last thing was learnt of it.
-    latest: Moment,
+    /// Time of the last change.
+    updated_at: Moment,
 }
 
 impl Suspect {
-    fn counted(&self) -> impl Iterator<Item = &String> {
-        let counted = self.endings.iter().filter(|(_, is_excused)| !**is_excused);
+    /// Servers whose crashes are not excused.
+    fn counted_crashes(&self) -> impl Iterator<Item = &String> {
+        let counted = self.crashes.iter().filter(|(_, is_excused)| !**is_excused);
         counted.map(|(server, _)| server)
     }
 
-    /// Servers that count against it.
-    pub fn count(&self) -> usize {
-        self.counted().count()
+    /// Number of crashes that are not excused.
+    pub fn crash_count(&self) -> usize {
+        self.counted_crashes().count()
     }
 
-    /// Servers that count against it and that no likelier request explains.
+    /// Number of counted crashes that no likelier culprit explains.
     fn unexplained(&self) -> usize {
-        self.count() - self.explained.min(self.count())
+        self.crash_count() - self.explained.min(self.crash_count())
     }
 
-    /// Notes which of its endings the likelier ones of `culprits` explain.
-    pub fn weigh(&mut self, culprits: &[Culprit]) {
-        let count = self.count();
-        let likelier = || culprits.iter().filter(|culprit| culprit.endings.len() > count);
+    /// Determines which of its crashes are explained by `culprits` with more crashes.
+    pub fn attribute_crashes(&mut self, culprits: &[Culprit]) {
+        let count = self.crash_count();
+        let likelier = || culprits.iter().filter(|culprit| culprit.crashes.len() > count);
         let is_explained =
-            |server: &&String| likelier().any(|culprit| culprit.endings.contains(*server));
-        self.explained = self.counted().filter(is_explained).count();
+            |server: &&String| likelier().any(|culprit| culprit.crashes.contains(*server));
+        self.explained = self.counted_crashes().filter(is_explained).count();
         let has_same = |culprit: &&Culprit| {
-            culprit.endings.len() == count
-                && self.counted().all(|server| culprit.endings.contains(server))
+            culprit.crashes.len() == count
+                && self.counted_crashes().all(|server| culprit.crashes.contains(server))
         };
-        // One of them is this request itself.
+        // `culprits` includes this request itself.
         self.is_tied = count > 0 && culprits.iter().filter(has_same).count() > 1;
     }
 
-    /// The request as one that may explain what is held against others, if it has endings enough.
-    pub fn culprit(&self, limits: &Limits) -> Option<Culprit> {
-        if self.count() < limits.endings {
+    /// Returns the request as a culprit if its crashes reach the threshold.
+    pub fn as_culprit(&self, limits: &Limits) -> Option<Culprit> {
+        if self.crash_count() < limits.crash_threshold {
             return None;
         }
-        Some(Culprit { endings: self.counted().cloned().collect() })
+        Some(Culprit { crashes: self.counted_crashes().cloned().collect() })
     }
 
     /// Whether this daemon itself found one of the servers gone.
-    pub fn is_witnessed(&self) -> bool {
-        self.is_witnessed
+    pub fn is_observed_locally(&self) -> bool {
+        self.is_observed_locally
     }
 
-    fn open_doubts(&self, now: Moment) -> usize {
-        self.doubts.values().filter(|since| now < **since + DOUBT_COUNTS).count()
+    /// Number of unconfirmed crashes that count towards the threshold.
+    fn recent_unconfirmed(&self, now: Moment) -> usize {
+        self.unconfirmed.values().filter(|since| now < **since + UNCONFIRMED_COUNTED).count()
     }
 
-    /// Whether nothing has come of the doubts that it was kept for.
+    /// Whether it has no crashes or record, and all unconfirmed crashes have expired.
     pub fn is_idle(&self, now: Moment) -> bool {
-        let mut since = self.doubts.values().chain(self.left.values());
-        let is_open = since.any(|since| now < *since + DOUBT);
-        !is_open && self.endings.is_empty() && self.record.is_none()
+        let mut since = self.unconfirmed.values().chain(self.disconnects.values());
+        let is_pending = since.any(|since| now < *since + UNCONFIRMED_RETENTION);
+        !is_pending && self.crashes.is_empty() && self.record.is_none()
     }
 
-    pub fn doubt(&mut self, now: Moment, server: &str) {
-        if !self.endings.contains_key(server) {
-            self.doubts.insert(server.to_owned(), now);
-            self.latest = now;
+    /// Records that its connection to a server broke.
+    pub fn note_broken_connection(&mut self, now: Moment, server: &str) {
+        if !self.crashes.contains_key(server) {
+            self.unconfirmed.insert(server.to_owned(), now);
+            self.updated_at = now;
         }
     }
 
-    /// Notes that its caller left while a server had it.
-    pub fn leave(&mut self, now: Moment, server: &str) {
-        self.left.retain(|_, since| now < *since + DOUBT);
-        if !self.endings.contains_key(server) {
-            self.left.insert(server.to_owned(), now);
-            self.latest = now;
+    /// Records that its caller disconnected while a server ran it.
+    pub fn note_caller_disconnect(&mut self, now: Moment, server: &str) {
+        self.disconnects.retain(|_, since| now < *since + UNCONFIRMED_RETENTION);
+        if !self.crashes.contains_key(server) {
+            self.disconnects.insert(server.to_owned(), now);
+            self.updated_at = now;
         }
     }
 
-    /// Takes a server that was in doubt, or had it when its caller left, for gone; false for any other.
-    pub fn confirm(&mut self, now: Moment, server: &str) -> bool {
-        let since = self.doubts.remove(server).max(self.left.remove(server));
-        let is_ending = since.is_some_and(|since| now < since + DOUBT);
-        if is_ending {
-            self.add(now, server, false);
-            self.is_witnessed = true;
+    /// Turns an unconfirmed crash of a server that is gone, or a disconnect from it, into a crash. Returns
+    /// whether there was one.
+    pub fn note_server_gone(&mut self, now: Moment, server: &str) -> bool {
+        let since = self.unconfirmed.remove(server).max(self.disconnects.remove(server));
+        let is_crash = since.is_some_and(|since| now < since + UNCONFIRMED_RETENTION);
+        if is_crash {
+            self.add_crash(now, server, false);
+            self.is_observed_locally = true;
         }
-        is_ending
+        is_crash
     }
 
-    /// Takes in an ending; whether it tells anything new.
-    pub fn add(&mut self, now: Moment, server: &str, is_excused: bool) -> bool {
-        self.doubts.remove(server);
-        let is_known = self.endings.get(server).copied();
-        let is_news = match is_known {
-            Some(known) => is_excused && !known,
-            None => self.endings.len() < MOST_ENDINGS,
+    /// Adds a crash, or excuses a known one. Returns whether anything changed.
+    pub fn add_crash(&mut self, now: Moment, server: &str, is_excused: bool) -> bool {
+        self.unconfirmed.remove(server);
+        let known = self.crashes.get(server).copied();
+        let is_new = match known {
+            Some(was_excused) => is_excused && !was_excused,
+            None => self.crashes.len() < MAX_CRASHES,
         };
-        if is_news {
-            self.endings.insert(server.to_owned(), is_excused);
-            self.latest = now;
+        if is_new {
+            self.crashes.insert(server.to_owned(), is_excused);
+            self.updated_at = now;
         }
-        is_news
+        is_new
     }
 
-    /// Excuses all that is held against it; whether anything was.
-    pub fn excuse(&mut self) -> bool {
-        let was_held = self.count() > 0;
-        self.endings.values_mut().for_each(|is_excused| *is_excused = true);
-        self.doubts.clear();
-        self.left.clear();
+    /// Excuses all crashes and drops the record. Returns whether any crash counted.
+    pub fn excuse_all(&mut self) -> bool {
+        let had_crashes = self.crash_count() > 0;
+        self.crashes.values_mut().for_each(|is_excused| *is_excused = true);
+        self.unconfirmed.clear();
+        self.disconnects.clear();
         self.record = None;
-        was_held
+        had_crashes
     }
 
-    /// Forgets what the store held of it.
+    /// Drops the stored record without excusing crashes.
     pub fn drop_record(&mut self) {
         self.record = None;
     }
 
+    /// Its stored record, if known.
     pub fn record(&self) -> Option<Record> {
         self.record.map(|(record, _)| record)
     }
 
-    /// Takes in what the store holds; whether that is newer.
+    /// Replaces the record by a newer one. Returns whether `record` is newer.
     pub fn set_record(&mut self, now: Moment, record: Record) -> bool {
         let is_newer = self.record.is_none_or(|(known, _)| known.revision < record.revision);
         if is_newer {
             self.record = Some((record, now));
-            self.latest = now;
+            self.updated_at = now;
         }
         is_newer
     }
 
+    /// Whether it is quarantined: it has a record or enough crashes, and they are not explained.
     pub fn is_quarantined(&self, limits: &Limits) -> bool {
-        let is_held = self.record.is_some() || self.count() >= limits.endings;
-        is_held && !self.is_explained(limits)
+        let is_candidate = self.record.is_some() || self.crash_count() >= limits.crash_threshold;
+        is_candidate && !self.is_explained(limits)
     }
 
-    /// Whether likelier requests explain so much that too little is left to quarantine it.
+    /// Whether likelier culprits explain so many crashes that the rest stays below the threshold.
     fn is_explained(&self, limits: &Limits) -> bool {
-        let may_be_explained = self.count() < limits.most_endings();
-        self.explained > 0 && may_be_explained && self.unexplained() < limits.endings
+        let may_be_explained = self.crash_count() < limits.max_crashes();
+        self.explained > 0 && may_be_explained && self.unexplained() < limits.crash_threshold
     }
 
-    /// Whether one more ending quarantines it. Doubts do not count: links that break end nobody.
-    pub fn is_last_run(&self, limits: &Limits) -> bool {
-        self.is_quarantined(limits) || self.unexplained() + 1 >= limits.endings
+    /// Whether it is quarantined, or would be with one more crash. Unconfirmed crashes do not count.
+    pub fn is_one_crash_from_quarantine(&self, limits: &Limits) -> bool {
+        self.is_quarantined(limits) || self.unexplained() + 1 >= limits.crash_threshold
     }
 
+    /// Decides whether and how it may run.
     pub fn admission(&self, now: Moment, limits: &Limits) -> Admission {
         if self.is_quarantined(limits) {
-            return self.quarantined(now, limits);
+            return self.quarantined_admission(now, limits);
         }
-        let (endings, doubts) = (self.unexplained(), self.open_doubts(now));
-        match endings + doubts {
-            0 => Admission::Free,
-            known if known >= limits.endings => Admission::Refused { come_back: DOUBT_COUNTS },
-            _ => Admission::Alone,
+        let (crashes, unconfirmed) = (self.unexplained(), self.recent_unconfirmed(now));
+        match crashes + unconfirmed {
+            0 => Admission::Allowed,
+            count if count >= limits.crash_threshold => {
+                Admission::Refused { retry_after: UNCONFIRMED_COUNTED }
+            }
+            _ => Admission::Isolated,
         }
     }
 
-    fn quarantined(&self, now: Moment, limits: &Limits) -> Admission {
-        let Some((record, learnt)) = self.record else {
-            // Probes are granted by the record, which is being written.
-            return Admission::Refused { come_back: limits.first_probe };
+    fn quarantined_admission(&self, now: Moment, limits: &Limits) -> Admission {
+        let Some((record, recorded_at)) = self.record else {
+            // Probes are granted by the record, which is still being written.
+            return Admission::Refused { retry_after: limits.first_probe_delay };
         };
-        let due = match limits.probe_rest(record.probes) {
-            Some(rest) if self.is_tied && record.probes == 0 => learnt + rest / TIED_PROBE_SHARE,
-            Some(rest) => learnt + rest,
-            None => return Admission::Refused { come_back: self.left(now, limits) },
+        let due = match limits.probe_delay(record.probes) {
+            Some(delay) if self.is_tied && record.probes == 0 => {
+                recorded_at + delay / TIED_PROBE_DIVISOR
+            }
+            Some(delay) => recorded_at + delay,
+            None => return Admission::Refused { retry_after: self.time_to_expiry(now, limits) },
         };
         if now >= due {
             Admission::Probe
         } else {
-            Admission::Refused { come_back: due - now }
+            Admission::Refused { retry_after: due - now }
         }
     }
 
-    /// Time until it is forgotten.
-    pub fn left(&self, now: Moment, limits: &Limits) -> Duration {
-        (self.latest + limits.retention).saturating_sub(now)
+    /// Time until its retention ends.
+    pub fn time_to_expiry(&self, now: Moment, limits: &Limits) -> Duration {
+        (self.updated_at + limits.retention).saturating_sub(now)
     }
 
-    pub fn latest(&self) -> Moment {
-        self.latest
+    /// Time of the last change.
+    pub fn updated_at(&self) -> Moment {
+        self.updated_at
     }
 
-    pub fn endings(&self) -> Vec<Ending> {
-        let ending = |(server, is_excused): (&String, &bool)| Ending {
+    /// Its crashes, including excused ones.
+    pub fn crashes(&self) -> Vec<Crash> {
+        let crash = |(server, is_excused): (&String, &bool)| Crash {
             server: server.clone(),
             is_excused: *is_excused,
         };
-        self.endings.iter().map(ending).collect()
+        self.crashes.iter().map(crash).collect()
     }
 }
--- a/crates/heronbend/src/quarantine/table.rs
+++ b/crates/heronbend/src/quarantine/table.rs
@@ -1,35 +1,34 @@
-//! All requests that servers ended under, as one daemon knows them, and what is decided by that.
+//! One daemon's state of all suspect requests, and the decisions based on it.
 
 use std::collections::HashMap;
 
 use super::suspect::Culprit;
 use super::suspect::Suspect;
 use super::Admission;
-use super::Ending;
+use super::Crash;
 use super::Fingerprint;
 use super::Limits;
 use super::Record;
 use super::Report;
 use crate::Moment;
 
-/// Requests that are remembered at most. A zone of a fleet of 1,400 servers that goes has some
-/// hundreds of requests under way; each takes some 200 bytes.
-const MOST: usize = 4096;
+/// Maximum number of requests kept; each takes about 200 bytes.
+const MAX_REQUESTS: usize = 4096;
 
-/// What has changed by some news of a request.
+/// How an update changed the status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// It did not.
     None,
-    /// It has more endings, so many that count.
+    /// The request is suspect, with this many counted crashes.
     Suspected(usize),
-    /// It is quarantined, by so many endings that count.
+    /// The request is now quarantined, with this many counted crashes.
     Quarantined(usize),
-    /// Nothing is held against it any more.
+    /// The request has no counted crashes any more.
     Cleared,
 }
 
-/// What is known of requests that servers ended under.
+/// Suspect requests by fingerprint.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     limits: Limits,
@@ -37,23 +36,23 @@
 }
 
 impl Table {
-    /// An empty table with these limits.
+    /// Creates an empty table.
     pub fn new(limits: Limits) -> Self {
         Self { limits, suspects: HashMap::new() }
     }
 
-    /// Changes the limits; what is known is kept.
+    /// Changes the limits and keeps all requests.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
-        self.weigh();
+        self.attribute_crashes();
     }
 
-    /// Whether nothing is held against any request: nobody has to be looked up.
+    /// Whether the table has no requests, so that lookups may be skipped.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests that are quarantined.
+    /// All quarantined requests.
     pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         let quarantined =
             self.suspects.iter().filter(|(_, suspect)| suspect.is_quarantined(&self.limits));
@@ -66,86 +65,89 @@
         suspect.is_some_and(|suspect| suspect.is_quarantined(&self.limits))
     }
 
-    /// What may become of a request.
+    /// Decides whether and how a request may run.
     pub fn admission(&self, now: Moment, request: Fingerprint) -> Admission {
         let suspect = self.suspects.get(&request);
-        suspect.map_or(Admission::Free, |suspect| suspect.admission(now, &self.limits))
+        suspect.map_or(Admission::Allowed, |suspect| suspect.admission(now, &self.limits))
     }
 
-    /// Whether one more ending quarantines a request, or it is quarantined already.
-    pub fn is_last_run(&self, request: Fingerprint) -> bool {
+    /// Whether a request is quarantined, or would be with one more crash.
+    pub fn is_one_crash_from_quarantine(&self, request: Fingerprint) -> bool {
         let suspect = self.suspects.get(&request);
-        suspect.is_some_and(|suspect| suspect.is_last_run(&self.limits))
+        suspect.is_some_and(|suspect| suspect.is_one_crash_from_quarantine(&self.limits))
     }
 
-    /// Notes that a request's connection to a server broke before its answer had come.
-    pub fn doubt(&mut self, now: Moment, request: Fingerprint, server: &str) {
-        self.suspect(request).doubt(now, server);
+    /// Records that a request's connection to a server broke before the response arrived.
+    pub fn note_broken_connection(&mut self, now: Moment, request: Fingerprint, server: &str) {
+        self.suspect_entry(request).note_broken_connection(now, server);
         self.evict();
     }
 
-    /// Notes that the caller of a request left while a server had it.
-    pub fn leave(&mut self, now: Moment, request: Fingerprint, server: &str) {
-        self.suspect(request).leave(now, server);
+    /// Records that the caller of a request disconnected while a server ran it.
+    pub fn note_caller_disconnect(&mut self, now: Moment, request: Fingerprint, server: &str) {
+        self.suspect_entry(request).note_caller_disconnect(now, server);
         self.evict();
     }
 
-    /// Notes that a server is gone: an ending for each request whose connection to it broke, or whose
-    /// caller left it there. Returns these, with what has changed.
-    pub fn confirm(&mut self, now: Moment, server: &str) -> Vec<(Fingerprint, Change)> {
+    /// Records that a server is gone: a crash for each request whose connection to it broke, or whose
+    /// caller disconnected while it ran there. Returns these requests with their changes.
+    pub fn note_server_gone(&mut self, now: Moment, server: &str) -> Vec<(Fingerprint, Change)> {
         let limits = self.limits;
-        let ended: Vec<(Fingerprint, Standing)> = self
+        let affected: Vec<(Fingerprint, Status)> = self
             .suspects
             .iter_mut()
             .filter_map(|(request, suspect)| {
-                let before = Standing::of(suspect, &limits);
-                suspect.confirm(now, server).then_some((*request, before))
+                let before = Status::of(suspect, &limits);
+                suspect.note_server_gone(now, server).then_some((*request, before))
             })
             .collect();
-        self.weigh();
-        ended.into_iter().map(|(request, before)| (request, self.change(request, before))).collect()
+        self.attribute_crashes();
+        affected
+            .into_iter()
+            .map(|(request, before)| (request, self.change(request, before)))
+            .collect()
     }
 
-    /// Joins what another daemon, or the store, tells of a request.
-    pub fn join(&mut self, now: Moment, request: Fingerprint, endings: &[Ending]) -> Change {
+    /// Merges crashes of a request that another daemon or the store reports.
+    pub fn merge(&mut self, now: Moment, request: Fingerprint, crashes: &[Crash]) -> Change {
         let limits = self.limits;
-        let suspect = self.suspect(request);
-        let before = Standing::of(suspect, &limits);
-        let news =
-            endings.iter().filter(|ending| suspect.add(now, &ending.server, ending.is_excused));
-        if news.count() == 0 {
+        let suspect = self.suspect_entry(request);
+        let before = Status::of(suspect, &limits);
+        let added =
+            crashes.iter().filter(|crash| suspect.add_crash(now, &crash.server, crash.is_excused));
+        if added.count() == 0 {
             self.evict();
             return Change::None;
         }
-        self.weigh();
+        self.attribute_crashes();
         let change = self.change(request, before);
         self.evict();
         change
     }
 
-    /// Whether this daemon itself found a server gone that ran a request.
-    pub fn is_witnessed(&self, request: Fingerprint) -> bool {
-        self.suspects.get(&request).is_some_and(Suspect::is_witnessed)
+    /// Whether this daemon itself observed a crash of a request.
+    pub fn is_observed_locally(&self, request: Fingerprint) -> bool {
+        self.suspects.get(&request).is_some_and(Suspect::is_observed_locally)
     }
 
-    /// Notes a whole answer to a request, or that an operator has released it: nothing that happened
-    /// so far is held against it. Returns whether anything was.
+    /// Excuses all crashes of a request, after a complete response or a release by an operator. Returns
+    /// whether any crash counted.
     pub fn clear(&mut self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return false;
         };
-        let was_held = suspect.excuse();
-        if suspect.endings().is_empty() {
+        let had_crashes = suspect.excuse_all();
+        if suspect.crashes().is_empty() {
             self.suspects.remove(&request);
         }
-        if was_held {
-            self.weigh();
+        if had_crashes {
+            self.attribute_crashes();
         }
-        was_held
+        had_crashes
     }
 
-    /// Notes that the store holds nothing of a request any more: it is released, unless its record went
-    /// since other requests explain its endings. Returns whether anything was held against it.
+    /// Records that a request has no stored record any more. Clears the request, unless the record was
+    /// deleted because others explain its crashes. Returns whether any crash was excused.
     pub fn release(&mut self, request: Fingerprint) -> bool {
         let limits = self.limits;
         match self.suspects.get_mut(&request) {
@@ -157,101 +159,102 @@
         }
     }
 
-    /// Requests with a record that are not quarantined any more, since others explain their endings.
-    pub fn recorded_in_vain(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        let in_vain = self.suspects.iter().filter(|(_, suspect)| {
+    /// Requests with a record that are no longer quarantined, since others explain their crashes.
+    pub fn stale_records(&self) -> impl Iterator<Item = Fingerprint> + '_ {
+        let stale = self.suspects.iter().filter(|(_, suspect)| {
             suspect.record().is_some() && !suspect.is_quarantined(&self.limits)
         });
-        in_vain.map(|(request, _)| *request)
+        stale.map(|(request, _)| *request)
     }
 
-    /// Notes what the store holds of a request; whether that is newer than what was known.
+    /// Updates the stored record of a request. Returns whether `record` is newer than the known one.
     pub fn set_record(&mut self, now: Moment, request: Fingerprint, record: Record) -> bool {
-        self.suspect(request).set_record(now, record)
+        self.suspect_entry(request).set_record(now, record)
     }
 
-    /// What the store holds of a request, as far as is known.
+    /// The stored record of a request, if known.
     pub fn record(&self, request: Fingerprint) -> Option<Record> {
         self.suspects.get(&request)?.record()
     }
 
-    /// What others are to be told of a request.
+    /// Builds the report of a request for other daemons.
     pub fn report(&self, request: Fingerprint) -> Report {
-        let endings = self.suspects.get(&request).map(Suspect::endings).unwrap_or_default();
+        let endings = self.suspects.get(&request).map(Suspect::crashes).unwrap_or_default();
         Report { request, endings }
     }
 
-    /// What a daemon that starts is to be told.
+    /// Builds the reports of all requests with crashes, for a daemon that starts.
     pub fn reports(&self) -> Vec<Report> {
-        let told = self
+        let reports = self
             .suspects
             .iter()
-            .map(|(request, suspect)| Report { request: *request, endings: suspect.endings() });
-        told.filter(|report| !report.endings.is_empty()).collect()
+            .map(|(request, suspect)| Report { request: *request, endings: suspect.crashes() });
+        reports.filter(|report| !report.endings.is_empty()).collect()
     }
 
-    /// Forgets requests of which nothing was heard for long. Returns those whose records are to go from
-    /// the store; they are forgotten once these have gone.
+    /// Removes requests whose retention has ended. Returns those whose records must be deleted from the
+    /// store first.
     pub fn expire(&mut self, now: Moment) -> Vec<Fingerprint> {
         let limits = self.limits;
-        let is_over = |suspect: &Suspect| suspect.left(now, &limits).is_zero();
+        let is_expired = |suspect: &Suspect| suspect.time_to_expiry(now, &limits).is_zero();
         self.suspects.retain(|_, suspect| !suspect.is_idle(now));
-        self.suspects.retain(|_, suspect| !is_over(suspect) || suspect.record().is_some());
-        self.weigh();
-        let over = self.suspects.iter().filter(|(_, suspect)| is_over(suspect));
-        over.map(|(request, _)| *request).collect()
+        self.suspects.retain(|_, suspect| !is_expired(suspect) || suspect.record().is_some());
+        self.attribute_crashes();
+        let expired = self.suspects.iter().filter(|(_, suspect)| is_expired(suspect));
+        expired.map(|(request, _)| *request).collect()
     }
 
-    /// Finds anew which endings are explained. It depends on what is known alone, not on the order in
-    /// which that came.
-    fn weigh(&mut self) {
+    /// Recomputes which crashes are explained. Depends only on the current state, not on the order of
+    /// updates.
+    fn attribute_crashes(&mut self) {
         let limits = self.limits;
         let culprits: Vec<Culprit> =
-            self.suspects.values().filter_map(|suspect| suspect.culprit(&limits)).collect();
-        self.suspects.values_mut().for_each(|suspect| suspect.weigh(&culprits));
+            self.suspects.values().filter_map(|suspect| suspect.as_culprit(&limits)).collect();
+        self.suspects.values_mut().for_each(|suspect| suspect.attribute_crashes(&culprits));
     }
 
-    /// What some news changed for a request.
-    fn change(&self, request: Fingerprint, before: Standing) -> Change {
+    /// The change of a request's status since `before`.
+    fn change(&self, request: Fingerprint, before: Status) -> Change {
         let Some(suspect) = self.suspects.get(&request) else {
             return Change::None;
         };
-        let now = Standing::of(suspect, &self.limits);
-        match now.count {
-            0 if before.count == 0 => Change::None,
+        let after = Status::of(suspect, &self.limits);
+        match after.crash_count {
+            0 if before.crash_count == 0 => Change::None,
             0 => Change::Cleared,
-            count if now.is_quarantined && !before.is_quarantined => Change::Quarantined(count),
+            count if after.is_quarantined && !before.is_quarantined => Change::Quarantined(count),
             count => Change::Suspected(count),
         }
     }
 
-    fn suspect(&mut self, request: Fingerprint) -> &mut Suspect {
+    fn suspect_entry(&mut self, request: Fingerprint) -> &mut Suspect {
         self.suspects.entry(request).or_default()
     }
 
-    /// Forgets the request with the fewest endings, of these the one that was heard of longest ago,
-    /// where there are too many.
+    /// Removes the least recently updated of the requests with the fewest crashes if the table is full.
+    /// Requests with a record are kept.
     fn evict(&mut self) {
-        if self.suspects.len() <= MOST {
+        if self.suspects.len() <= MAX_REQUESTS {
             return;
         }
         let unrecorded = self.suspects.iter().filter(|(_, suspect)| suspect.record().is_none());
-        let least = unrecorded.min_by_key(|(_, suspect)| (suspect.count(), suspect.latest()));
-        if let Some(request) = least.map(|(request, _)| *request) {
+        let evicted =
+            unrecorded.min_by_key(|(_, suspect)| (suspect.crash_count(), suspect.updated_at()));
+        if let Some(request) = evicted.map(|(request, _)| *request) {
             self.suspects.remove(&request);
         }
     }
 }
 
-/// How a request stood before some news.
+/// Status of a request, for comparison across an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Standing {
-    count: usize,
+struct Status {
+    crash_count: usize,
     is_quarantined: bool,
 }
 
-impl Standing {
+impl Status {
     fn of(suspect: &Suspect, limits: &Limits) -> Self {
-        Self { count: suspect.count(), is_quarantined: suspect.is_quarantined(limits) }
+        Self { crash_count: suspect.crash_count(), is_quarantined: suspect.is_quarantined(limits) }
     }
 }
--- a/spec/src/quarantine.rs
+++ b/spec/src/quarantine.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use heronbend::quarantine::fingerprint::Traits;
+use heronbend::quarantine::fingerprint::FingerprintInput;
 use heronbend::quarantine::Admission;
-use heronbend::quarantine::Ending;
+use heronbend::quarantine::Crash;
 use heronbend::quarantine::Fingerprint;
 use heronbend::quarantine::Limits;
 use heronbend::quarantine::Record;
@@ -90,19 +90,20 @@
 }
 
 fn request() -> Fingerprint {
-    let traits = Traits { method: "POST", host: "h", target: "/", tenant: None, body: b"" };
+    let traits =
+        FingerprintInput { method: "POST", host: "h", target: "/", tenant: None, body: b"" };
     Fingerprint::of(&traits)
 }
 
 impl Daemon {
     fn table(&self) -> Table {
         let mut table = Table::default();
-        let endings: Vec<Ending> = self
+        let endings: Vec<Crash> = self
             .endings
             .iter()
-            .map(|server| Ending { server: format!("s{server}"), is_excused: false })
+            .map(|server| Crash { server: format!("s{server}"), is_excused: false })
             .collect();
-        table.join(Moment::ZERO, request(), &endings);
+        table.merge(Moment::ZERO, request(), &endings);
         if let Some((revision, probes)) = self.record {
             let record = Record { revision, probes: usize::from(probes) };
             table.set_record(Moment::ZERO, request(), record);
@@ -125,7 +126,7 @@
         let mut next = state.clone();
         next.sends = state.sends.checked_sub(1)?;
         match daemon.table().admission(NOW, request()) {
-            Admission::Free | Admission::Alone if !is_answer_lost => {
+            Admission::Allowed | Admission::Isolated if !is_answer_lost => {
                 next.daemons[number].run = Some(Run::Free);
             }
             Admission::Probe => return self.probe(next, number, is_answer_lost),
@@ -262,7 +263,7 @@
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let limit = u8::try_from(Limits::default().endings).unwrap_or(u8::MAX);
+        let limit = u8::try_from(Limits::default().crash_threshold).unwrap_or(u8::MAX);
         if state.probed > PROBES {
             return Some("more probes ran than there are");
         }
--- a/spec/tests/quarantine_fleet.rs
+++ b/spec/tests/quarantine_fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use heronbend::quarantine::fingerprint::Traits;
+use heronbend::quarantine::fingerprint::FingerprintInput;
 use heronbend::quarantine::table::Change;
 use heronbend::quarantine::Admission;
 use heronbend::quarantine::Fingerprint;
@@ -62,7 +62,13 @@
 
 fn request(number: usize) -> Fingerprint {
     let body = number.to_le_bytes();
-    Fingerprint::of(&Traits { method: "POST", host: "h", target: "/", tenant: None, body: &body })
+    Fingerprint::of(&FingerprintInput {
+        method: "POST",
+        host: "h",
+        target: "/",
+        tenant: None,
+        body: &body,
+    })
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -109,8 +115,8 @@
                     third[number] = now;
                 }
                 let name = format!("s{server}");
-                tables[daemon].doubt(now, request(number), &name);
-                tables[daemon].confirm(now, &name);
+                tables[daemon].note_broken_connection(now, request(number), &name);
+                tables[daemon].note_server_gone(now, &name);
                 if way == Way::Told {
                     for other in (0..daemons).filter(|other| *other != daemon) {
                         let delay = draw.millis(60);
@@ -126,11 +132,11 @@
                 }
             }
             Event::Heard { daemon, number, server } => {
-                let ending = heronbend::quarantine::Ending {
+                let ending = heronbend::quarantine::Crash {
                     server: format!("s{server}"),
                     is_excused: false,
                 };
-                let change = tables[daemon].join(now, request(number), &[ending]);
+                let change = tables[daemon].merge(now, request(number), &[ending]);
                 if matches!(change, Change::Quarantined(_)) {
                     let after = now.saturating_sub(third[number]);
                     outcome.known_after = outcome.known_after.max(after);
@@ -143,7 +149,7 @@
 }
 
 fn is_let_through(table: &Table, now: Moment, number: usize) -> bool {
-    matches!(table.admission(now, request(number)), Admission::Free | Admission::Alone)
+    matches!(table.admission(now, request(number)), Admission::Allowed | Admission::Isolated)
 }
 
 #[test]
