--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -1,6 +1,6 @@
 //! Permits to send requests to cold servers: borrowed from whoever lends them, and lent to others.
 //!
-//! What a cold server bears is bounded for all daemons together. [`heronbend::rate`] decides who lends
+//! What a cold server bears is bounded for all daemons together. [`heronbend::rate_limit`] decides who lends
 //! and how much; this module passes the messages.
 
 use std::cell::RefCell;
@@ -11,11 +11,11 @@
 use heronbend::membership::Liveness;
 use heronbend::placement::ColdTerms;
 use heronbend::placement::Shortage;
-use heronbend::rate;
-use heronbend::rate::Lender;
-use heronbend::rate::Loan;
-use heronbend::rate::Refusal;
-use heronbend::rate::View;
+use heronbend::rate_limit;
+use heronbend::rate_limit::MembershipView;
+use heronbend::rate_limit::PermitGrant;
+use heronbend::rate_limit::PermitIssuer;
+use heronbend::rate_limit::Refusal;
 use heronbend::Moment;
 
 use crate::gateway::Gateway;
@@ -37,26 +37,32 @@
 
 impl ColdMargin {
     /// What may be lent for a server that bears so much.
-    fn terms(self, cold: ColdTerms) -> rate::Terms {
-        rate::Terms::bounded(cold.per_second, cold.per_second * self.overshoot + self.slack)
+    fn terms(self, cold: ColdTerms) -> rate_limit::RateLimit {
+        rate_limit::RateLimit::bounded(
+            cold.per_second,
+            cold.per_second * self.overshoot + self.slack,
+        )
     }
 }
 
 /// The lender's part, and who lends.
 pub struct Permits {
-    view: RefCell<View>,
-    lender: RefCell<Lender>,
+    view: RefCell<MembershipView>,
+    lender: RefCell<PermitIssuer>,
 }
 
 impl Permits {
     /// A daemon that has just started.
     pub fn new(me: NodeName) -> Self {
-        Self { view: RefCell::new(View::new(me, Moment::ZERO)), lender: RefCell::default() }
+        Self {
+            view: RefCell::new(MembershipView::new(me, Moment::ZERO)),
+            lender: RefCell::default(),
+        }
     }
 
     /// The daemon that lends for a key, as far as is known here.
     pub fn lender(&self, key: &str) -> NodeName {
-        self.view.borrow().lender(key).clone()
+        self.view.borrow().issuer(key).clone()
     }
 }
 
@@ -90,12 +96,12 @@
         Some(server) => loan(gateway, server, shortage.permits).await,
         None => None,
     };
-    let until = asked + rate::VALIDITY;
+    let until = asked + rate_limit::PERMIT_VALIDITY;
     let now = gateway.now();
     let (permits, again) = match loan {
         // Answers that come late are of no use: what they lend is over.
         Some(loan) if loan.permits > 0 && now < until => (loan.permits, None),
-        Some(loan) => (0, Some(loan.again)),
+        Some(loan) => (0, Some(loan.retry_after)),
         None => (0, Some(UNANSWERED_REST)),
     };
     gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
@@ -109,7 +115,7 @@
 }
 
 /// What the lender for a server lends; nothing where it does not answer.
-async fn loan(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<Loan> {
+async fn loan(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
     let lender = gateway.permits.lender(server);
     if lender == gateway.identity.node.name {
         return lend(gateway, server, permits).ok();
@@ -118,7 +124,7 @@
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
     match client::call(gateway, &lender, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
-            Some(Loan { permits, again: Duration::from_millis(again_millis) })
+            Some(PermitGrant { permits, retry_after: Duration::from_millis(again_millis) })
         }
         _ => None,
     }
@@ -129,7 +135,7 @@
     match lend(gateway, server, permits) {
         Ok(loan) => PeerReply::Lent {
             permits: loan.permits,
-            again_millis: u64::try_from(loan.again.as_millis()).unwrap_or(u64::MAX),
+            again_millis: u64::try_from(loan.retry_after.as_millis()).unwrap_or(u64::MAX),
         },
         Err(refusal) => {
             log::info!("event=permits_not_lent server={server} reason={refusal:?}");
@@ -139,14 +145,16 @@
 }
 
 /// Lends permits for a server, where that falls to this daemon.
-fn lend(gateway: &Gateway, server: &str, permits: u32) -> Result<Loan, Refusal> {
+fn lend(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
     let now = gateway.now();
     if gateway.is_alone_of_several() {
         return Err(Refusal::Minority);
     }
-    match gateway.permits.view.borrow().may_lend(now, server) {
+    match gateway.permits.view.borrow().may_issue(now, server) {
         Ok(()) => {}
-        Err(Refusal::Unsettled(left)) => return Ok(Loan { permits: 0, again: left }),
+        Err(Refusal::TakeoverPending(left)) => {
+            return Ok(PermitGrant { permits: 0, retry_after: left })
+        }
         Err(refusal) => return Err(refusal),
     }
     let cold = {
@@ -155,10 +163,10 @@
     };
     // A server that is not known here bears nothing yet.
     let Some(cold) = cold else {
-        return Ok(Loan { permits: 0, again: UNANSWERED_REST });
+        return Ok(PermitGrant { permits: 0, retry_after: UNANSWERED_REST });
     };
     let terms = gateway.tuning().cold_margin.terms(cold);
-    let loan = gateway.permits.lender.borrow_mut().lend(now, server, permits, terms);
+    let loan = gateway.permits.lender.borrow_mut().issue(now, server, permits, terms);
     gateway.metrics.permits_lent.inc_by(u64::from(loan.permits));
     Ok(loan)
 }
--- a/crates/heronbend/src/lib.rs
+++ b/crates/heronbend/src/lib.rs
@@ -16,11 +16,11 @@
 //! - [`routing`]: which back end serves a request.
 //! - [`overlay`]: the tree by which news reaches all daemons of a zone.
 //! - [`placement`]: which server runs a request, how long work waits, when it is turned away.
-//! - [`quarantine`]: requests that end the servers that run them.
-//! - [`rate`]: a rate that many daemons keep together.
+//! - [`quarantine`]: requests that crash the servers that run them.
+//! - [`rate_limit`]: rate limits shared by all daemons.
 //! - [`access`]: tenants and their keys.
 //! - [`admission`]: caller limits and the retry budget.
-//! - [`scaling`]: how many servers to order.
+//! - [`scaling`]: how many servers to order in each zone.
 //! - [`usage`]: what tenants use, by windows of time.
 //! - [`external`]: message types of the outside systems.
 
@@ -33,7 +33,7 @@
 pub mod overlay;
 pub mod placement;
 pub mod quarantine;
-pub mod rate;
+pub mod rate_limit;
 pub mod record;
 pub mod register;
 pub mod request;
--- a/crates/heronbend/src/placement/tests.rs
+++ b/crates/heronbend/src/placement/tests.rs
@@ -720,8 +720,8 @@
     for number in 0..500 {
         let _ = fleet.placer.wait(SECOND, need, urgency(SECOND, number), History::default());
     }
-    let mut lender = crate::rate::Lender::default();
-    let terms = crate::rate::Terms::bounded(COLD.per_second, 16.0);
+    let mut lender = crate::rate_limit::PermitIssuer::default();
+    let terms = crate::rate_limit::RateLimit::bounded(COLD.per_second, 16.0);
     let mut sent: BTreeMap<ServerKey, Vec<Moment>> = BTreeMap::new();
     for step in 0..300 {
         let now = SECOND + step * 10 * MILLI;
@@ -733,9 +733,9 @@
         }
         for shortage in fleet.placer.take_shortages(now) {
             let id = format!("{:?}", shortage.server);
-            let loan = lender.lend(now, &id, shortage.permits, terms);
-            let until = now + crate::rate::VALIDITY;
-            let again = (loan.permits == 0).then_some(loan.again);
+            let loan = lender.issue(now, &id, shortage.permits, terms);
+            let until = now + crate::rate_limit::PERMIT_VALIDITY;
+            let again = (loan.permits == 0).then_some(loan.retry_after);
             fleet.placer.note_loan(now, shortage.server, loan.permits, until, again);
         }
     }
--- a/spec/src/shared_rate.rs
+++ b/spec/src/shared_rate.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 use heronbend::identity::NodeName;
-use heronbend::rate::Lender;
-use heronbend::rate::Refusal;
-use heronbend::rate::Terms;
-use heronbend::rate::View;
-use heronbend::rate::SETTLED;
+use heronbend::rate_limit::MembershipView;
+use heronbend::rate_limit::PermitIssuer;
+use heronbend::rate_limit::RateLimit;
+use heronbend::rate_limit::Refusal;
+use heronbend::rate_limit::ACCOUNTING_PERIOD;
 use heronbend::Moment;
 
 use crate::explore::System;
 
 const KEY: &str = "key";
-const TERMS: Terms = Terms { per_window: 1 };
+const RATE_LIMIT: RateLimit = RateLimit { per_window: 1 };
 /// Permits that may be used within a window: those of two lenders.
 const BOUND: usize = 2;
 /// Ticks until nothing that was lent counts any more.
@@ -62,8 +62,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Daemon {
-    view: View,
-    lender: Lender,
+    view: MembershipView,
+    lender: PermitIssuer,
     is_dead: bool,
     /// Daemons that it sees.
     sees: Vec<usize>,
@@ -88,7 +88,7 @@
 }
 
 fn at(tick: u32) -> Moment {
-    BEGIN + SETTLED / SETTLED_TICKS * tick
+    BEGIN + ACCOUNTING_PERIOD / SETTLED_TICKS * tick
 }
 
 impl Daemon {
@@ -104,15 +104,15 @@
         let asks = state.asks.checked_sub(1)?;
         let daemon = state.daemons.get(lender).filter(|daemon| !daemon.is_dead)?;
         let now = at(state.tick);
-        match daemon.view.may_lend(now, KEY) {
+        match daemon.view.may_issue(now, KEY) {
             Ok(()) => {}
-            Err(Refusal::Unsettled(_)) if self.mutation == Mutation::TakesOverAtOnce => {}
+            Err(Refusal::TakeoverPending(_)) if self.mutation == Mutation::TakesOverAtOnce => {}
             Err(Refusal::Minority) if self.mutation == Mutation::MinorityLends => {}
             Err(_) => return None,
         }
         let mut next = state.clone();
         next.asks = asks;
-        let loan = next.daemons[lender].lender.lend(now, KEY, 1, TERMS);
+        let loan = next.daemons[lender].lender.issue(now, KEY, 1, RATE_LIMIT);
         if loan.permits == 0 {
             return None;
         }
@@ -187,9 +187,9 @@
     fn start(&self) -> State {
         let daemon = |number| {
             let sees: Vec<usize> = (0..self.daemons).filter(|other| *other != number).collect();
-            let mut view = View::new(name(number), Moment::ZERO);
+            let mut view = MembershipView::new(name(number), Moment::ZERO);
             view.update(Moment::ZERO, sees.iter().copied().map(name).collect(), &[]);
-            Daemon { view, lender: Lender::default(), is_dead: false, sees }
+            Daemon { view, lender: PermitIssuer::default(), is_dead: false, sees }
         };
         State {
             tick: 0,
