--- a/crates/heronbend-gateway/src/configuration.rs
+++ b/crates/heronbend-gateway/src/configuration.rs
@@ -7,7 +7,7 @@
 
 use heronbend::access::Keyring;
 use heronbend::placement::ColdTerms;
-use heronbend::scaling::Terms;
+use heronbend::scaling::ScalingSpec;
 use serde::{Deserialize, Serialize};
 
 /// What may be done with requests of a route.
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scaling {
     /// Bounds and times.
-    pub terms: Terms,
+    pub spec: ScalingSpec,
     /// Price of a server by zone, relative to each other.
     pub zone_prices: BTreeMap<String, f64>,
 }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::scaling::policy::NEAR_LIMIT;
+use heronbend::scaling::policy::NEAR_DEADLINE;
 use heronbend::scaling::Demand;
-use heronbend::scaling::Memory;
 use heronbend::scaling::Order;
+use heronbend::scaling::OrderOutcome;
 use heronbend::scaling::Planner;
+use heronbend::scaling::PlannerState;
 use heronbend::scaling::Policy;
-use heronbend::scaling::Reply;
 use heronbend::scaling::Zone;
 use heronbend::Moment;
 use smol::Timer;
@@ -43,7 +43,7 @@
 /// Steps that ended within this time are looked at.
 const RECENT: Duration = Duration::from_secs(10);
 /// How many revocable servers are ordered.
-const POLICY: Policy = Policy::Hold;
+const POLICY: Policy = Policy::OnDemandOnly;
 
 /// What is known of the orders of one service.
 struct Plan {
@@ -106,9 +106,9 @@
         let Some(mut plan) = self.plans.remove(service) else {
             return;
         };
-        let mut has_changed = plan.planner.note_floor(&zones);
+        let mut has_changed = plan.planner.record_floor(&zones);
         let now = self.gateway.now();
-        for order in plan.planner.plan(now, &scaling.terms, &zones, demand) {
+        for order in plan.planner.plan(now, &scaling.spec, &zones, demand) {
             // Nothing is sent there: servers would be paid for and stand idle.
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
@@ -116,9 +116,9 @@
             if !self.lease.ensure().await {
                 break;
             }
-            let reply = self.give(service, &order, &zones, demand).await;
-            plan.planner.note(self.gateway.now(), &order, reply);
-            has_changed |= reply == Reply::Taken && order.is_revocable;
+            let outcome = self.give(service, &order, &zones, demand).await;
+            plan.planner.record_outcome(self.gateway.now(), &order, outcome);
+            has_changed |= outcome == OrderOutcome::Accepted && order.is_revocable;
         }
         if !has_changed || self.write(service, &mut plan).await {
             self.plans.insert(service.to_owned(), plan);
@@ -161,15 +161,21 @@
         let jobs = self.gateway.jobs.all();
         let times = jobs.iter().filter_map(|job| step_time(job, now));
         let slowest_step = due.zip(times.max()).map(|(due, time)| time.div_duration_f64(due));
-        if slowest_step.is_some_and(|share| share > NEAR_LIMIT) {
+        if slowest_step.is_some_and(|share| share > NEAR_DEADLINE) {
             self.pressed = now;
         }
         Demand { slowest_step, calm_for: now.saturating_sub(self.pressed) }
     }
 
-    async fn give(&self, service: &str, order: &Order, zones: &[Zone], demand: Demand) -> Reply {
+    async fn give(
+        &self,
+        service: &str,
+        order: &Order,
+        zones: &[Zone],
+        demand: Demand,
+    ) -> OrderOutcome {
         let Some(fence) = self.lease.token() else {
-            return Reply::Failed;
+            return OrderOutcome::Failed;
         };
         let actor = Actor { holder: self.gateway.identity.node.name.clone(), fence };
         let call = ServerOrder {
@@ -192,14 +198,14 @@
             given.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
         );
         match given {
-            Ok(()) => Reply::Taken,
+            Ok(()) => OrderOutcome::Accepted,
             // It would be refused again: the same rest as where there are none.
-            Err(ProviderError::NoneToBeHad | ProviderError::Refused(_)) => Reply::NoneToBeHad,
+            Err(ProviderError::NoneToBeHad | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
                 self.lease.lost_track();
-                Reply::Failed
+                OrderOutcome::Failed
             }
-            Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => Reply::Failed,
+            Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => OrderOutcome::Failed,
         }
     }
 
@@ -207,7 +213,7 @@
     async fn read(&self, service: &str) -> Option<Plan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
-                let planner = Planner::new(POLICY, Memory::default());
+                let planner = Planner::new(POLICY, PlannerState::default());
                 Some(Plan { planner, revision: None })
             }
             Ok(Some(object)) => plan_of(&object),
@@ -220,7 +226,7 @@
 
     /// Writes what was ordered; false when it has to be read again.
     async fn write(&self, service: &str, plan: &mut Plan) -> bool {
-        let content = serde_json::json!(plan.planner.memory());
+        let content = serde_json::json!(plan.planner.state());
         let store = &self.gateway.store;
         let written = match plan.revision {
             Some(at) => store.replace(RECORD_KIND, service, content, Condition::At(at)).await,
@@ -241,7 +247,7 @@
 }
 
 fn plan_of(object: &Object) -> Option<Plan> {
-    match serde_json::from_value::<Memory>(object.content.clone()) {
+    match serde_json::from_value::<PlannerState>(object.content.clone()) {
         Ok(memory) => {
             let planner = Planner::new(POLICY, memory);
             Some(Plan { planner, revision: Some(object.revision) })
--- a/crates/heronbend/src/scaling/mod.rs
+++ b/crates/heronbend/src/scaling/mod.rs
@@ -1,12 +1,12 @@
-//! How many servers to order, where, and of which kind.
+//! Scaling of a service's servers by zone.
 //!
-//! Servers on demand stay; revocable ones cost less and may be taken away, all of a zone at once. So
-//! revocable servers only ever come on top of a floor of servers on demand: those that the service
-//! was set up with. What comes on top is a policy's to say; the planner keeps bounds, remembers what
-//! was ordered and refused, and orders only what differs.
+//! On-demand servers are permanent. Revocable (spot) servers cost less, but the provider may reclaim all
+//! of them in a zone at once, so they only supplement a floor of on-demand servers: those that the
+//! service was set up with. A policy decides how many revocable servers are wanted; the planner applies
+//! the limits, tracks accepted and rejected orders, and orders only differences.
 //!
-//! - [`policy`]: how many revocable servers are wanted.
-//! - [`planner`]: which orders follow.
+//! - [`policy`]: decides how many revocable servers are wanted.
+//! - [`planner`]: plans orders for each zone.
 
 pub mod planner;
 pub mod policy;
@@ -15,35 +15,36 @@
 
 use std::time::Duration;
 
-pub use planner::Memory;
 pub use planner::Order;
+pub use planner::OrderOutcome;
 pub use planner::Planner;
-pub use planner::Reply;
+pub use planner::PlannerState;
 pub use policy::Demand;
 pub use policy::Policy;
 
-/// What the operator states for the servers of one service.
+/// Scaling settings of one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
-    /// Fewest servers in each zone, of both kinds together.
+pub struct ScalingSpec {
+    /// Minimum number of servers of both kinds in each zone.
     pub min: u32,
-    /// Most servers in each zone, of both kinds together.
+    /// Maximum number of servers of both kinds in each zone.
     pub max: u32,
-    /// Time from an order until a server serves.
-    pub boot: Duration,
-    /// Price of a revocable server, as a share of another one's; none where there are no such.
+    /// Time from an order until the server is ready.
+    pub boot_time: Duration,
+    /// Price of a revocable server relative to an on-demand one; `None` if the provider has no revocable
+    /// servers.
     pub revocable_price: Option<f64>,
 }
 
-/// The servers of one service in one zone, as they are seen.
+/// Observed servers of one service in one zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// Price of a server here, relative to other zones.
+    /// Price of a server in this zone, relative to other zones.
     pub price: f64,
-    /// Servers on demand that are not leaving.
+    /// Number of on-demand servers that are not draining.
     pub on_demand: u32,
-    /// Revocable servers that are not leaving.
+    /// Number of revocable servers that are not draining.
     pub revocable: u32,
 }
--- a/crates/heronbend/src/scaling/policy.rs
+++ b/crates/heronbend/src/scaling/policy.rs
@@ -1,59 +1,58 @@
-//! How many revocable servers are wanted on top of those on demand.
+//! Policies for the number of revocable servers wanted beside the on-demand ones.
 
 use std::time::Duration;
 
-/// What is seen of the work of a service.
+/// Observed load of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Time that the slowest of the last steps took, as a share of the time within which it was due;
-    /// none before the first step has ended.
+    /// Duration of the slowest recent step as a fraction of its deadline; `None` before the first step
+    /// has completed.
     pub slowest_step: Option<f64>,
-    /// Time for which no step was near its limit.
+    /// Time since a step was last near its deadline.
     pub calm_for: Duration,
 }
 
-/// A way to say how many revocable servers are wanted.
+/// How the number of revocable servers is chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Policy {
-    /// None.
-    Hold,
-    /// A fixed share of the servers on demand, whatever is seen: they are there before they are
-    /// needed.
+    /// No revocable servers.
+    OnDemandOnly,
+    /// A fixed fraction of the on-demand servers, regardless of load.
     Reserve {
-        /// The share.
+        /// Revocable servers as a fraction of the on-demand ones.
         share: f64,
     },
-    /// As many as bring the slowest step back to a share of its time; they go after a calm time.
+    /// As many as bring the slowest step back to the target; released after a period of low load.
     Track {
-        /// The share of its time that a step may take.
+        /// Target duration of a step as a fraction of its deadline.
         target: f64,
-        /// Most revocable servers, as a share of those on demand.
-        most: f64,
+        /// Maximum of revocable servers as a fraction of the on-demand ones.
+        max_share: f64,
     },
 }
 
-/// Steps that take more of their time than this are near their limit.
-pub const NEAR_LIMIT: f64 = 0.85;
-/// Calm time after which revocable servers are given back: several steps, and longer than a new
-/// server takes to serve.
-const CALM_TO_SHRINK: Duration = Duration::from_secs(30);
+/// Fraction of its deadline above which a step counts as near it.
+pub const NEAR_DEADLINE: f64 = 0.85;
+/// Period of low load after which revocable servers are released; several steps, and longer than a
+/// server takes to boot.
+const SHRINK_DELAY: Duration = Duration::from_secs(30);
 
 impl Policy {
-    /// Revocable servers that are wanted beside `floor` servers on demand, where there are `now`.
-    pub fn wanted(self, floor: u32, now: u32, demand: Demand) -> u32 {
+    /// Number of revocable servers wanted beside `floor` on-demand servers, given the `current` number.
+    pub fn wanted(self, floor: u32, current: u32, demand: Demand) -> u32 {
         let floor_count = f64::from(floor);
         match self {
-            Self::Hold => 0,
+            Self::OnDemandOnly => 0,
             Self::Reserve { share } => (floor_count * share).ceil() as u32,
-            Self::Track { target, most } => {
-                let limit = (floor_count * most).ceil() as u32;
+            Self::Track { target, max_share } => {
+                let max = (floor_count * max_share).ceil() as u32;
                 match demand.slowest_step {
-                    Some(slowest) if slowest > NEAR_LIMIT => {
-                        let total = f64::from(floor + now) * slowest / target;
-                        (total.ceil() as u32).saturating_sub(floor).clamp(now.min(limit), limit)
+                    Some(slowest) if slowest > NEAR_DEADLINE => {
+                        let total = f64::from(floor + current) * slowest / target;
+                        (total.ceil() as u32).saturating_sub(floor).clamp(current.min(max), max)
                     }
-                    _ if demand.calm_for >= CALM_TO_SHRINK => 0,
-                    _ => now.min(limit),
+                    _ if demand.calm_for >= SHRINK_DELAY => 0,
+                    _ => current.min(max),
                 }
             }
         }
