--- a/crates/heronbend-gateway/src/access.rs
+++ b/crates/heronbend-gateway/src/access.rs
@@ -42,10 +42,10 @@
     hasher: &KeyHasher,
 ) -> Result<Caller, Refusal> {
     let Some(keyring) = &configuration.access else {
-        return Ok(Caller::Anyone);
+        return Ok(Caller::AuthDisabled);
     };
     let key = presented_key(headers).ok_or(Refusal::Missing)?;
-    let tenant = keyring.holder(key, hasher).ok_or(Refusal::Unknown)?;
+    let tenant = keyring.tenant_for_key(key, hasher).ok_or(Refusal::Unknown)?;
     Ok(Caller::Tenant(keyring.tenant(tenant).name.clone()))
 }
 
@@ -55,7 +55,7 @@
     headers: &HeaderMap,
     hasher: &KeyHasher,
 ) -> Caller {
-    identify(configuration, headers, hasher).unwrap_or(Caller::Public)
+    identify(configuration, headers, hasher).unwrap_or(Caller::Anonymous)
 }
 
 /// The key that a call presents; none where there are several.
@@ -73,22 +73,22 @@
 pub fn owner_of_job(configuration: &Configuration, tenant: Option<&str>) -> Caller {
     match tenant {
         Some(tenant) => Caller::Tenant(tenant.into()),
-        None if configuration.access.is_some() => Caller::Public,
-        None => Caller::Anyone,
+        None if configuration.access.is_some() => Caller::Anonymous,
+        None => Caller::AuthDisabled,
     }
 }
 
 /// Rank of a caller's request, 0 the highest: its tenant's, where that has one, else its route's.
 pub fn priority(configuration: &Configuration, caller: &Caller, route: &Route) -> u8 {
     let tenant = caller.tenant().zip(configuration.access.as_ref());
-    let tenant = tenant.and_then(|(name, keyring)| keyring.named(name));
+    let tenant = tenant.and_then(|(name, keyring)| keyring.tenant_by_name(name));
     tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
 }
 
 /// Makes headers fit to be passed on: no key leaves the service, and the tenant is the one that was
 /// found, whatever the caller wrote. Where nobody is told apart, all stays as it came.
 pub fn set_tenant(headers: &mut HeaderMap, name: &HeaderName, caller: &Caller) {
-    if *caller == Caller::Anyone {
+    if *caller == Caller::AuthDisabled {
         return;
     }
     headers.remove(header::AUTHORIZATION);
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -355,7 +355,7 @@
     };
     let specification: JobSpecification = serde_json::from_value(object.content)
         .map_err(|error| StoreError::Malformed(error.to_string()))?;
-    if !caller.may_see(specification.tenant.as_deref()) {
+    if !caller.can_access(specification.tenant.as_deref()) {
         return Ok(false);
     }
     let homes = homes_of(gateway, &specification);
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -120,7 +120,7 @@
 
     /// Whether a caller may know of it.
     pub fn is_visible_to(&self, caller: &Caller) -> bool {
-        caller.may_see(self.ownership.borrow().0.tenant.as_deref())
+        caller.can_access(self.ownership.borrow().0.tenant.as_deref())
     }
 
     /// Whether this daemon runs it and its log is sure to hold all that has ever been readable. A
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -184,7 +184,7 @@
             let gateway = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             let patience = gateway.now() + PATIENCE;
-            assert_eq!(hand_in::end(&gateway, "j", &Caller::Anyone, patience).await, Ok(()));
+            assert_eq!(hand_in::end(&gateway, "j", &Caller::AuthDisabled, patience).await, Ok(()));
             assert_eq!(hand_in::hand_in(&gateway, job("j", 2), patience).await, Ok(()));
             assert!(gateway.jobs.get("j").unwrap().ended.get());
             assert_eq!(store.object(OWNERSHIPS, "j").unwrap().content["ended"], json!(true));
@@ -356,15 +356,16 @@
             hand_in::hand_in(&owner, job("j", 3), patience).await.unwrap();
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            let page =
-                reading::results(&reader, "j", &Caller::Anyone, 0, reader.now()).await.unwrap();
+            let page = reading::results(&reader, "j", &Caller::AuthDisabled, 0, reader.now())
+                .await
+                .unwrap();
             assert_eq!((page.total, page.results.len()), (3, 1));
             let missing =
-                reading::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+                reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
             assert_eq!(missing.unwrap_err(), reading::ReadError::NotFound);
             store.set_down(true);
             let unsure =
-                reading::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+                reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
             assert_eq!(unsure.unwrap_err(), reading::ReadError::Unavailable);
         })
     });
@@ -405,8 +406,9 @@
             job.confirmed.set(None);
             let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert_eq!(reply, PeerReply::NotOwner);
-            let page =
-                reading::results(&gateway, "j", &Caller::Anyone, 0, gateway.now()).await.unwrap();
+            let page = reading::results(&gateway, "j", &Caller::AuthDisabled, 0, gateway.now())
+                .await
+                .unwrap();
             assert_eq!(page.results.len(), 1);
             job.confirmed.set(Some(gateway.now()));
             let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
--- a/crates/heronbend/src/access/keyring.rs
+++ b/crates/heronbend/src/access/keyring.rs
@@ -1,4 +1,4 @@
-//! Tenants in an arena, found by the digests of their keys.
+//! Tenants and the lookup by digests of their keys.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -7,20 +7,20 @@
 use rand::Rng;
 use zeroize::Zeroizing;
 
-/// Bytes of the secret under which keys are hashed, as the hash function demands.
+/// Length of the hash secret in bytes, as required by keyed BLAKE3.
 const SECRET_BYTES: usize = 32;
 
-/// Hashes keys under a secret of this process.
+/// Hashes keys with a random secret.
 #[derive(Clone)]
 pub struct KeyHasher(Zeroizing<[u8; SECRET_BYTES]>);
 
 impl KeyHasher {
-    /// A hasher with a secret of its own.
+    /// Creates a hasher with a new random secret.
     pub fn random() -> Self {
         Self(Zeroizing::new(rand::rng().random()))
     }
 
-    /// Digests compare in constant time.
+    /// Keyed digest of a key; digests compare in constant time.
     fn digest(&self, key: &[u8]) -> blake3::Hash {
         blake3::keyed_hash(&self.0, key)
     }
@@ -32,35 +32,35 @@
     }
 }
 
-/// A tenant as a configuration states it.
-pub struct Registration {
-    /// Its name, unique in a configuration.
+/// A tenant entry of the configuration.
+pub struct TenantConfig {
+    /// Name, unique in a configuration.
     pub name: String,
-    /// Its rank, 0 the highest; it goes before that of a route.
+    /// Priority, 0 being the highest; overrides that of a route.
     pub priority: Option<u8>,
-    /// Its keys; wiped when this is dropped.
+    /// API keys; zeroed on drop.
     pub keys: Vec<Zeroizing<String>>,
 }
 
-/// Place of a tenant in its keyring.
+/// Index of a tenant in its keyring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct TenantKey(u32);
+pub struct TenantIndex(u32);
 
-/// A tenant.
+/// A tenant of a keyring.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name, unique in a configuration.
     pub name: Box<str>,
-    /// Its rank, 0 the highest; it goes before that of a route.
+    /// Priority, 0 being the highest; overrides that of a route.
     pub priority: Option<u8>,
 }
 
-/// Something in the list of tenants that cannot be meant so.
+/// A mistake in the list of tenants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// What is wrong; holds no key.
+    /// Description of the mistake; contains no key.
     pub problem: String,
 }
 
@@ -68,62 +68,65 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Keyring {
     tenants: Vec<Tenant>,
-    holders: HashMap<blake3::Hash, TenantKey>,
+    tenants_by_digest: HashMap<blake3::Hash, TenantIndex>,
 }
 
 impl Keyring {
-    /// The tenants of a configuration, with all that is wrong in it. A key that two tenants state
-    /// is the first one's.
-    pub fn new(registrations: Vec<Registration>, hasher: &KeyHasher) -> (Self, Vec<Finding>) {
+    /// Builds the keyring of a configuration and collects all mistakes in it. A key listed by two
+    /// tenants belongs to the first one.
+    pub fn new(tenant_configs: Vec<TenantConfig>, hasher: &KeyHasher) -> (Self, Vec<Finding>) {
         let mut keyring = Self::default();
         let mut findings = Vec::new();
         let mut names = BTreeSet::new();
-        for registration in registrations {
+        for tenant_config in tenant_configs {
             let mut report = |problem: String| {
-                findings.push(Finding { tenant: registration.name.clone(), problem });
+                findings.push(Finding { tenant: tenant_config.name.clone(), problem });
             };
-            if !names.insert(registration.name.clone()) {
-                report("is stated twice".to_owned());
+            if !names.insert(tenant_config.name.clone()) {
+                report("is listed twice".to_owned());
             }
-            if registration.keys.is_empty() {
+            if tenant_config.keys.is_empty() {
                 report("has no key".to_owned());
             }
-            let place = u32::try_from(keyring.tenants.len()).unwrap_or(u32::MAX);
-            let place = TenantKey(place);
-            for (number, key) in registration.keys.iter().enumerate() {
-                let holder = *keyring.holders.entry(hasher.digest(key.as_bytes())).or_insert(place);
-                if holder != place {
-                    let other = &keyring.tenants[holder.0 as usize].name;
-                    report(format!("key {number} is held by {other} as well"));
+            let index = u32::try_from(keyring.tenants.len()).unwrap_or(u32::MAX);
+            let index = TenantIndex(index);
+            for (number, key) in tenant_config.keys.iter().enumerate() {
+                let owner = *keyring
+                    .tenants_by_digest
+                    .entry(hasher.digest(key.as_bytes()))
+                    .or_insert(index);
+                if owner != index {
+                    let other = &keyring.tenants[owner.0 as usize].name;
+                    report(format!("key {number} also belongs to {other}"));
                 }
             }
-            let name = registration.name.as_str().into();
-            keyring.tenants.push(Tenant { name, priority: registration.priority });
+            let name = tenant_config.name.as_str().into();
+            keyring.tenants.push(Tenant { name, priority: tenant_config.priority });
         }
         (keyring, findings)
     }
 
-    /// The tenant that holds a key, if any does.
-    pub fn holder(&self, key: &[u8], hasher: &KeyHasher) -> Option<TenantKey> {
-        self.holders.get(&hasher.digest(key)).copied()
+    /// Looks up the tenant of a key.
+    pub fn tenant_for_key(&self, key: &[u8], hasher: &KeyHasher) -> Option<TenantIndex> {
+        self.tenants_by_digest.get(&hasher.digest(key)).copied()
     }
 
-    /// A tenant of this keyring.
-    pub fn tenant(&self, key: TenantKey) -> &Tenant {
-        &self.tenants[key.0 as usize]
+    /// The tenant at an index of this keyring.
+    pub fn tenant(&self, index: TenantIndex) -> &Tenant {
+        &self.tenants[index.0 as usize]
     }
 
-    /// A tenant by its name.
-    pub fn named(&self, name: &str) -> Option<&Tenant> {
+    /// Looks up a tenant by name.
+    pub fn tenant_by_name(&self, name: &str) -> Option<&Tenant> {
         self.tenants.iter().find(|tenant| *tenant.name == *name)
     }
 
-    /// How many tenants there are.
+    /// Number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether there are none.
+    /// Whether the keyring has no tenants.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/heronbend/src/access/mod.rs
+++ b/crates/heronbend/src/access/mod.rs
@@ -1,8 +1,7 @@
-//! Who may call: tenants and the keys that they hold.
+//! Authentication of callers: tenants and their API keys.
 //!
-//! Keys are kept as keyed digests under a secret that each process draws for itself, so neither a
-//! dump of a daemon's memory nor a log line gives one away, and a look-up's time tells nothing of
-//! the keys that are held.
+//! Keys are stored as keyed digests under a random secret of the process. Neither a memory dump nor a log
+//! line reveals a key, and the time of a lookup does not depend on the stored keys.
 
 mod keyring;
 #[cfg(test)]
@@ -11,36 +10,36 @@
 pub use keyring::Finding;
 pub use keyring::KeyHasher;
 pub use keyring::Keyring;
-pub use keyring::Registration;
 pub use keyring::Tenant;
-pub use keyring::TenantKey;
+pub use keyring::TenantConfig;
+pub use keyring::TenantIndex;
 
-/// On whose behalf a call is made.
+/// Identity of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// The configuration names no tenants: nobody is told apart.
-    Anyone,
-    /// A caller without a key, where a route demands none.
-    Public,
-    /// A holder of one of this tenant's keys.
+    /// The configuration has no tenants, so callers are not distinguished.
+    AuthDisabled,
+    /// A caller without a key, on a route that requires none.
+    Anonymous,
+    /// A caller with a key of the named tenant.
     Tenant(Box<str>),
 }
 
 impl Caller {
-    /// The tenant's name, if there is one.
+    /// Name of the caller's tenant, if any.
     pub fn tenant(&self) -> Option<&str> {
         match self {
             Self::Tenant(name) => Some(name),
-            Self::Anyone | Self::Public => None,
+            Self::AuthDisabled | Self::Anonymous => None,
         }
     }
 
-    /// Whether this caller may know of what belongs to `owner`; nobody owns what was handed in
-    /// without a key.
-    pub fn may_see(&self, owner: Option<&str>) -> bool {
+    /// Whether this caller may access a resource of the tenant `owner`. A resource that was created
+    /// without a key has no owner.
+    pub fn can_access(&self, owner: Option<&str>) -> bool {
         match (self, owner) {
-            (Self::Anyone, _) | (_, None) => true,
-            (Self::Public, Some(_)) => false,
+            (Self::AuthDisabled, _) | (_, None) => true,
+            (Self::Anonymous, Some(_)) => false,
             (Self::Tenant(name), Some(owner)) => **name == *owner,
         }
     }
--- a/crates/heronbend/src/admission/caller_limits.rs
+++ b/crates/heronbend/src/admission/caller_limits.rs
@@ -1,16 +1,16 @@
-//! How many requests each caller has under way.
+//! Limits on the number of in-flight requests of each caller.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Requests under way by caller, for one thread.
+/// Numbers of in-flight requests by caller. Clones share the counts; not thread-safe.
 #[derive(Debug, Clone, Default)]
 pub struct CallerLimits {
-    under_way: Rc<RefCell<HashMap<String, usize>>>,
+    in_flight: Rc<RefCell<HashMap<String, usize>>>,
 }
 
-/// One request under way; dropping it frees the place.
+/// Permit for one in-flight request; released on drop.
 #[derive(Debug)]
 pub struct CallerPermit {
     limits: CallerLimits,
@@ -18,10 +18,10 @@
 }
 
 impl CallerLimits {
-    /// A place for one more request of `caller`, unless `limit` are under way.
+    /// Admits one more request of `caller`, unless `limit` requests are in flight.
     pub fn admit(&self, caller: &str, limit: usize) -> Option<CallerPermit> {
-        let mut under_way = self.under_way.borrow_mut();
-        let count = under_way.entry(caller.to_owned()).or_default();
+        let mut in_flight = self.in_flight.borrow_mut();
+        let count = in_flight.entry(caller.to_owned()).or_default();
         if *count >= limit {
             return None;
         }
@@ -32,11 +32,11 @@
 
 impl Drop for CallerPermit {
     fn drop(&mut self) {
-        let mut under_way = self.limits.under_way.borrow_mut();
-        if let Some(count) = under_way.get_mut(&self.caller) {
+        let mut in_flight = self.limits.in_flight.borrow_mut();
+        if let Some(count) = in_flight.get_mut(&self.caller) {
             *count -= 1;
             if *count == 0 {
-                under_way.remove(&self.caller);
+                in_flight.remove(&self.caller);
             }
         }
     }
--- a/crates/heronbend/src/admission/mod.rs
+++ b/crates/heronbend/src/admission/mod.rs
@@ -1,7 +1,6 @@
-//! Caller limits and the retry budget.
+//! Admission control: limits on in-flight requests per caller, and the retry budget.
 //!
-//! A refusal is final and goes out at once; it tells the caller when to come back. Nothing that has
-//! been given up is held back.
+//! Requests over a limit are rejected immediately with a retry-after; they are not queued.
 
 mod caller_limits;
 mod retry_budget;
--- a/crates/heronbend/src/admission/retry_budget.rs
+++ b/crates/heronbend/src/admission/retry_budget.rs
@@ -1,44 +1,44 @@
-//! Bounds retries to a share of fresh requests, so that a failing zone causes no storm.
+//! Token bucket that limits retries to a fraction of requests, so that a failing zone causes no retry storm.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Retries that may be saved up while nothing fails.
-const MAX_SAVED: f64 = 20.0;
+/// Capacity of the bucket, in retries.
+const MAX_TOKENS: f64 = 20.0;
 const BACKOFF_BASE: Duration = Duration::from_millis(10);
-const BACKOFF_CAP: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A bucket that each fresh request fills by the budget's share and each retry empties by one.
+/// Token bucket to which each new request adds a fraction of a token, and from which each retry takes one.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    saved: f64,
+    tokens: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// Notes a fresh request; `share` is the number of retries it pays for.
-    pub fn deposit(&mut self, share: f64) {
-        self.saved = (self.saved + share).min(MAX_SAVED);
+    /// Adds the tokens of a new request; `retry_ratio` is the number of retries allowed per request.
+    pub fn deposit(&mut self, retry_ratio: f64) {
+        self.tokens = (self.tokens + retry_ratio).min(MAX_TOKENS);
     }
 
-    /// Takes one retry out, if one is left.
+    /// Takes the token for one retry. Returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
-/// How long to wait before retry number `retry`, counted from 1: capped exponential, full jitter.
+/// Delay before retry number `retry`, counted from 1: capped exponential backoff with full jitter.
 pub fn backoff(retry: u32, random: &mut impl Rng) -> Duration {
-    let doubled = BACKOFF_BASE.saturating_mul(1 << retry.saturating_sub(1).min(16));
-    doubled.min(BACKOFF_CAP).mul_f64(random.random::<f64>())
+    let uncapped = BACKOFF_BASE.saturating_mul(1 << retry.saturating_sub(1).min(16));
+    uncapped.min(MAX_BACKOFF).mul_f64(random.random::<f64>())
 }
--- a/crates/heronbend/src/admission/tests.rs
+++ b/crates/heronbend/src/admission/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 #[test]
-fn a_caller_at_its_limit_is_refused_until_a_place_is_free() {
+fn a_caller_at_its_limit_is_rejected_until_a_request_completes() {
     let limits = CallerLimits::default();
     let first = limits.admit("town", 1);
     assert!(first.is_some());
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn retries_stay_within_their_share_of_fresh_requests() {
+fn retries_stay_within_their_ratio_of_requests() {
     let mut budget = RetryBudget::default();
     while budget.withdraw() {}
     let mut retries = 0;
--- a/crates/heronbend/src/scaling/tests.rs
+++ b/crates/heronbend/src/scaling/tests.rs
@@ -68,8 +68,8 @@
 #[test]
 fn a_zone_without_servers_is_restored_to_its_floor() {
     let planner = planner(Policy::OnDemandOnly);
-    let left = zones([12, 12, 0], [0; 3])[..2].to_vec();
-    let orders = planner.plan(seconds(9), &SPEC, &left, demand(0.5));
+    let remaining = zones([12, 12, 0], [0; 3])[..2].to_vec();
+    let orders = planner.plan(seconds(9), &SPEC, &remaining, demand(0.5));
     assert_eq!(orders, [order("c", false, 11)]);
 }
 
@@ -92,16 +92,17 @@
 #[test]
 fn a_zone_without_capacity_backs_off_and_the_others_take_its_share() {
     let mut planner = planner(RESERVE);
-    let none = zones([12, 12, 11], [0; 3]);
-    for order in planner.plan(seconds(1), &SPEC, &none, demand(0.5)) {
+    let without_revocable = zones([12, 12, 11], [0; 3]);
+    for order in planner.plan(seconds(1), &SPEC, &without_revocable, demand(0.5)) {
         let outcome =
             if order.zone == "b" { OrderOutcome::NoCapacity } else { OrderOutcome::Accepted };
         planner.record_outcome(seconds(1), &order, outcome);
     }
     let orders = planner.plan(seconds(2), &SPEC, &zones([12, 12, 11], [3, 0, 3]), demand(0.5));
     assert_eq!(orders, [order("c", true, 5), order("a", true, 4)]);
-    let successor = planner.plan(seconds(10), &SPEC, &zones([12, 12, 11], [3, 0, 3]), demand(0.5));
-    assert!(successor.contains(&order("b", true, 3)));
+    let later_orders =
+        planner.plan(seconds(10), &SPEC, &zones([12, 12, 11], [3, 0, 3]), demand(0.5));
+    assert!(later_orders.contains(&order("b", true, 3)));
 }
 
 #[test]
@@ -131,9 +132,9 @@
         let mut planner = Planner::new(policy, PlannerState::default());
         let mut count = || rng.random_range(0..=spec.max);
         planner.record_floor(&zones([count(), count(), count()], [0; 3]));
-        let seen = zones([count(), count(), count()], [0; 3]);
-        let light = planner.plan(seconds(1), &spec, &seen, demand(0.5));
-        let heavy = planner.plan(seconds(1), &spec, &seen, demand(1.5));
+        let observed = zones([count(), count(), count()], [0; 3]);
+        let light = planner.plan(seconds(1), &spec, &observed, demand(0.5));
+        let heavy = planner.plan(seconds(1), &spec, &observed, demand(1.5));
         for order in light.iter().chain(&heavy) {
             let floor = planner.state().floor[&order.zone].clamp(spec.min, spec.max);
             if order.is_revocable {
