--- a/crates/heronbend/src/quarantine/mod.rs
+++ b/crates/heronbend/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the servers that run them, without I/O.
 //!
-//! A poisonous request crashes every server that starts it, and its caller retries it at any daemon.
+//! A poison request crashes every server that runs it, and its caller retries it through any daemon.
 //! Avoiding the crashed servers only spreads the damage, so state is kept per request and shared by all
 //! daemons.
 //!
@@ -68,7 +68,7 @@
     }
 
     /// Number of crashes from which a request is quarantined even if others explain them. Limits the
-    /// crashes caused by two poisonous requests that arrive together.
+    /// crashes caused by two poison requests that arrive together.
     pub fn max_crashes(&self) -> usize {
         2 * self.crash_threshold
     }
--- a/crates/heronbend/src/quarantine/suspect.rs
+++ b/crates/heronbend/src/quarantine/suspect.rs
@@ -15,7 +15,7 @@
 pub const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
 /// How long an unconfirmed crash counts towards the threshold. Covers several connection probes of the
 /// server's address.
-const UNCONFIRMED_COUNTED: Duration = Duration::from_secs(1);
+const UNCONFIRMED_COUNT_PERIOD: Duration = Duration::from_secs(1);
 /// Divides the first probe delay of a request that is tied with another one, since the probe's outcome
 /// releases one of them.
 const TIED_PROBE_DIVISOR: u32 = 5;
@@ -97,7 +97,7 @@
 
     /// Number of unconfirmed crashes that count towards the threshold.
     fn recent_unconfirmed(&self, now: Moment) -> usize {
-        self.unconfirmed.values().filter(|since| now < **since + UNCONFIRMED_COUNTED).count()
+        self.unconfirmed.values().filter(|since| now < **since + UNCONFIRMED_COUNT_PERIOD).count()
     }
 
     /// Whether it has no crashes or record, and all unconfirmed crashes have expired.
@@ -207,7 +207,7 @@
         match crashes + unconfirmed {
             0 => Admission::Allowed,
             count if count >= limits.crash_threshold => {
-                Admission::Refused { retry_after: UNCONFIRMED_COUNTED }
+                Admission::Refused { retry_after: UNCONFIRMED_COUNT_PERIOD }
             }
             _ => Admission::Isolated,
         }
--- a/crates/heronbend/src/quarantine/tests.rs
+++ b/crates/heronbend/src/quarantine/tests.rs
@@ -193,7 +193,7 @@
     let mut table = tied_table();
     assert_matches!(table.admission(SECOND / 2, request(1)), Admission::Refused { .. });
     assert_eq!(table.admission(SECOND, request(1)), Admission::Probe);
-    // The probe of the poisonous request crashes a server.
+    // The probe of the poison request crashes a server.
     table.merge(SECOND, request(0), &crashes(&["d"]));
     assert_eq!(table.admission(SECOND, request(1)), Admission::Allowed);
     assert!(table.is_quarantined(request(0)));
@@ -256,7 +256,7 @@
     assert_eq!(table.admission(SECOND, request(1)), Admission::Isolated);
 }
 
-/// Two poisonous requests first crash servers together. The second one must reach the quarantine by its
+/// Two poison requests first crash servers together. The second one must reach the quarantine by its
 /// own crashes within `Limits::max_crashes`.
 #[test]
 fn a_second_culprit_is_quarantined_by_its_own_crashes() {
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn a_poisonous_request_crashes_few_servers_and_no_other_request_is_refused() {
+fn a_poison_request_crashes_few_servers_and_no_other_request_is_refused() {
     for seed in 0..300 {
         let (crashed, refused_others) = simulate(seed, 9);
         // Runs that start before the third crash is reported add to the threshold.
