--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::scaling::policy::NEAR_LIMIT;
+use heronbend::scaling::policy::NEAR_DEADLINE;
 use heronbend::scaling::Demand;
-use heronbend::scaling::Memory;
 use heronbend::scaling::Order;
+use heronbend::scaling::OrderOutcome;
 use heronbend::scaling::Planner;
+use heronbend::scaling::PlannerState;
 use heronbend::scaling::Policy;
-use heronbend::scaling::Reply;
 use heronbend::scaling::Zone;
 use heronbend::Moment;
 use smol::Timer;
@@ -43,7 +43,7 @@
 /// Steps that ended within this time are looked at.
 const RECENT_STEP_WINDOW: Duration = Duration::from_secs(10);
 /// How many revocable servers are ordered.
-const POLICY: Policy = Policy::Hold;
+const POLICY: Policy = Policy::OnDemandOnly;
 
 /// What is known of the orders of one service.
 struct ServicePlan {
@@ -113,9 +113,9 @@
         let Some(mut plan) = self.plans.remove(service) else {
             return;
         };
-        let mut has_changed = plan.planner.note_floor(&zones);
+        let mut has_changed = plan.planner.record_floor(&zones);
         let now = self.gateway.now();
-        for order in plan.planner.plan(now, &scaling.terms, &zones, demand) {
+        for order in plan.planner.plan(now, &scaling.spec, &zones, demand) {
             // Nothing is sent there: servers would be paid for and stand idle.
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
@@ -123,9 +123,9 @@
             if !self.lease.ensure().await {
                 break;
             }
-            let reply = self.send_order(service, &order, &zones, demand).await;
-            plan.planner.note(self.gateway.now(), &order, reply);
-            has_changed |= reply == Reply::Taken && order.is_revocable;
+            let outcome = self.send_order(service, &order, &zones, demand).await;
+            plan.planner.record_outcome(self.gateway.now(), &order, outcome);
+            has_changed |= outcome == OrderOutcome::Accepted && order.is_revocable;
         }
         if !has_changed || self.save_plan(service, &mut plan).await {
             self.plans.insert(service.to_owned(), plan);
@@ -169,7 +169,7 @@
         let times = jobs.iter().filter_map(|job| step_time(job, now));
         let slowest_step =
             deadline.zip(times.max()).map(|(deadline, time)| time.div_duration_f64(deadline));
-        if slowest_step.is_some_and(|share| share > NEAR_LIMIT) {
+        if slowest_step.is_some_and(|share| share > NEAR_DEADLINE) {
             self.last_pressure = now;
         }
         Demand { slowest_step, calm_for: now.saturating_sub(self.last_pressure) }
@@ -181,9 +181,9 @@
         order: &Order,
         zones: &[Zone],
         demand: Demand,
-    ) -> Reply {
+    ) -> OrderOutcome {
         let Some(fence) = self.lease.token() else {
-            return Reply::Failed;
+            return OrderOutcome::Failed;
         };
         let actor = Actor { holder: self.gateway.identity.node.name.clone(), fence };
         let call = ServerOrder {
@@ -206,14 +206,14 @@
             result.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
         );
         match result {
-            Ok(()) => Reply::Taken,
+            Ok(()) => OrderOutcome::Accepted,
             // It would be refused again: the same rest as where there are none.
-            Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => Reply::NoneToBeHad,
+            Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
                 self.lease.lost_track();
-                Reply::Failed
+                OrderOutcome::Failed
             }
-            Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => Reply::Failed,
+            Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => OrderOutcome::Failed,
         }
     }
 
@@ -221,7 +221,7 @@
     async fn load_plan(&self, service: &str) -> Option<ServicePlan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
-                let planner = Planner::new(POLICY, Memory::default());
+                let planner = Planner::new(POLICY, PlannerState::default());
                 Some(ServicePlan { planner, revision: None })
             }
             Ok(Some(object)) => parse_plan(&object),
@@ -234,7 +234,7 @@
 
     /// Writes what was ordered; false when it has to be read again.
     async fn save_plan(&self, service: &str, plan: &mut ServicePlan) -> bool {
-        let content = serde_json::json!(plan.planner.memory());
+        let content = serde_json::json!(plan.planner.state());
         let store = &self.gateway.store;
         let written = match plan.revision {
             Some(at) => store.replace(RECORD_KIND, service, content, Condition::At(at)).await,
@@ -255,9 +255,9 @@
 }
 
 fn parse_plan(object: &Object) -> Option<ServicePlan> {
-    match serde_json::from_value::<Memory>(object.content.clone()) {
-        Ok(memory) => {
-            let planner = Planner::new(POLICY, memory);
+    match serde_json::from_value::<PlannerState>(object.content.clone()) {
+        Ok(state) => {
+            let planner = Planner::new(POLICY, state);
             Some(ServicePlan { planner, revision: Some(object.revision) })
         }
         Err(error) => {
--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -48,7 +48,7 @@
             crash_detection::note_server_gone(gateway, &ending.server);
         }
         let now = gateway.now();
-        let change = gateway.quarantine.table.borrow_mut().join(now, request, &endings);
+        let change = gateway.quarantine.table.borrow_mut().merge(now, request, &endings);
         on_change(gateway, request, change, Origin::Peer);
     }
 }
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
     /// Time after which it may.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Whether a request may be sent to servers. A probe is granted by the store before this returns.
@@ -99,13 +99,13 @@
     request: impl Fn() -> Fingerprint,
 ) -> Result<SendMode, Refused> {
     let refused = match admission(gateway, &request) {
-        Admission::Free => return Ok(SendMode::Normal),
-        Admission::Alone => return Ok(SendMode::Isolated),
+        Admission::Allowed => return Ok(SendMode::Normal),
+        Admission::Isolated => return Ok(SendMode::Isolated),
         Admission::Probe => match record::grant_probe(gateway, request()).await {
             Ok(()) => return Ok(SendMode::Probe),
             Err(refused) => refused,
         },
-        Admission::Refused { come_back } => Refused { come_back },
+        Admission::Refused { retry_after } => Refused { retry_after },
     };
     gateway.metrics.quarantine_refusals.inc();
     Err(refused)
@@ -113,7 +113,7 @@
 
 /// Whether a request that was admitted may be sent to one more server.
 pub fn may_retry(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
-    matches!(admission(gateway, request), Admission::Free | Admission::Alone)
+    matches!(admission(gateway, request), Admission::Allowed | Admission::Isolated)
 }
 
 /// How a request is kept apart from others, and from the last server, for what is known of it.
@@ -123,16 +123,16 @@
     request: impl Fn() -> Fingerprint,
     history: &mut History,
 ) {
-    let is_suspect = admission(gateway, &request) != Admission::Free;
+    let is_suspect = admission(gateway, &request) != Admission::Allowed;
     history.is_alone = mode != SendMode::Normal || is_suspect;
     let table = gateway.quarantine.table.borrow();
-    history.spares_last = is_suspect && table.is_last_run(request());
+    history.spares_last = is_suspect && table.is_one_crash_from_quarantine(request());
 }
 
 /// What may become of a request. Most of the time nothing is known of any, and none is looked at.
 fn admission(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> Admission {
     if gateway.quarantine.is_empty() {
-        return Admission::Free;
+        return Admission::Allowed;
     }
     gateway.quarantine.table.borrow().admission(gateway.now(), request())
 }
@@ -193,7 +193,7 @@
     // that it is quarantined, and the few who saw one of the endings make that known.
     let completed_here = by == Origin::Peer
         && is_quarantined
-        && gateway.quarantine.table.borrow().is_witnessed(request);
+        && gateway.quarantine.table.borrow().is_observed_locally(request);
     if by == Origin::Here || completed_here {
         if is_quarantined {
             record::ensure_recorded(gateway, request);
@@ -218,7 +218,7 @@
         let expired = gateway.quarantine.table.borrow_mut().expire(gateway.now());
         let (quarantined, stale): (Vec<Fingerprint>, Vec<Fingerprint>) = {
             let table = gateway.quarantine.table.borrow();
-            (table.quarantined().collect(), table.recorded_in_vain().collect())
+            (table.quarantined().collect(), table.stale_records().collect())
         };
         for request in stale {
             if record::is_randomly_chosen(&gateway) {
--- a/crates/heronbend/src/lib.rs
+++ b/crates/heronbend/src/lib.rs
@@ -17,7 +17,7 @@
 //! - [`overlay`]: the broadcast tree that carries updates to all daemons of a zone.
 //! - [`placement`]: server selection, queueing and load shedding.
 //! - [`quarantine`]: isolation of requests that crash the servers running them.
-//! - [`rate`]: distributed rate limiting.
+//! - [`rate_limit`]: distributed rate limiting.
 //! - [`access`]: tenants and their API keys.
 //! - [`admission`]: per-caller concurrency limits and the retry budget.
 //! - [`scaling`]: autoscaling: how many servers to request.
@@ -33,7 +33,7 @@
 pub mod overlay;
 pub mod placement;
 pub mod quarantine;
-pub mod rate;
+pub mod rate_limit;
 pub mod record;
 pub mod register;
 pub mod request;
