--- a/crates/heronbend-gateway/src/quarantine/admitted_request.rs
+++ b/crates/heronbend-gateway/src/quarantine/admitted_request.rs
@@ -1,4 +1,4 @@
-//! A call or a stream on its way to servers, as far as the quarantine is concerned.
+//! Quarantine state of an admitted call or stream across its attempts.
 
 use std::rc::Rc;
 
@@ -13,23 +13,24 @@
 use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 
-/// How one request may be sent to servers.
+/// A request that the quarantine has admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmittedRequest {
     mode: SendMode,
-    /// Whether an attempt reached a server: a probe is one run.
+    /// Whether any attempt was sent to a server. A probe permits only one.
     was_sent: bool,
 }
 
 impl AdmittedRequest {
-    /// Admits a request.
+    /// Admits a request, or returns when to retry it.
     pub async fn admit(gateway: &Rc<Gateway>, outgoing: &Outgoing) -> Result<Self, Refused> {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         let mode = super::admit(gateway, fingerprint).await?;
         Ok(Self { mode, was_sent: false })
     }
 
-    /// Whether it may be sent to one more server, for all that is known of requests like it.
+    /// Whether the request may be sent to another server, given the current state of its
+    /// fingerprint.
     pub fn may_send(&self, gateway: &Gateway, outgoing: &Outgoing) -> bool {
         if self.mode == SendMode::Probe {
             return !self.was_sent;
@@ -37,20 +38,20 @@
         super::may_retry(gateway, || outgoing.fingerprint(gateway.dialect.headers()))
     }
 
-    /// Notes in a request's history how it is kept apart from others.
+    /// Sets in `history` how the request must be isolated from others.
     pub fn set_isolation(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut History) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         super::set_isolation(gateway, self.mode, fingerprint, history);
     }
 
-    /// Notes how an attempt ended.
+    /// Records an attempt; `failure` is `None` if it succeeded.
     pub fn note_attempt(&mut self, failure: Option<&AttemptFailure>) {
         let never_sent = matches!(failure, Some(AttemptFailure::NotSent | AttemptFailure::Held));
         self.was_sent |= !never_sent;
     }
 }
 
-/// Keeps others from a server while a suspect request runs there; nothing for any other request.
+/// Isolates a server while a suspect request runs there. Returns `None` if `is_alone` is false.
 pub async fn isolate(
     gateway: &Rc<Gateway>,
     server: &Server,
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -1,9 +1,10 @@
-//! What an attempt that broke off says of its server.
+//! Detects server crashes from broken connections.
 //!
-//! A link that breaks and a server that ends look alike to whoever waits for the answer. A new
-//! connection tells them apart: where a process has ended its machine refuses it. A process does not
-//! end all at one moment, so that the address is looked at more than once; later on the store's entry
-//! of the server tells, or another daemon.
+//! The client sees the same broken connection whether the link failed or the server crashed. A new
+//! connection tells them apart: the host refuses it if the process has exited. The address is probed
+//! several times, since a process takes a moment to close all its sockets. Crashes that the probes
+//! miss are detected later, by the removal of the server's registration or by a report from another
+//! daemon.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,14 +20,15 @@
 use crate::gateway::Gateway;
 use crate::http::client::Reach;
 
-/// Rests before the looks at a server's address: at once, and when the last of its sockets is closed
-/// even on a busy machine.
+/// Delays before each probe of a server's address. The last one covers slow process exits on busy
+/// hosts.
 const PROBE_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(60), Duration::from_millis(400)];
 
-/// Notes that a request's connection to a server broke after `events` of its answer. A request that
-/// had some went on well at that server: the next one goes on behind them, so that one which ends its
-/// servers at a later event has its first one there.
+/// Records that a request's connection to a server broke after `events` response events.
+///
+/// Only an attempt without events counts. Other requests resume after the events they received, so a
+/// request that crashes servers at a later event receives none in its next attempt.
 pub fn note_broken_connection(
     gateway: &Rc<Gateway>,
     server: &Rc<Server>,
@@ -51,8 +53,8 @@
     probe_server(gateway, server);
 }
 
-/// Notes that the caller of a request left while a server had it: the connection is closed, and nothing
-/// here will tell what becomes of the server. Whoever finds it gone later on does.
+/// Records that the caller of a request disconnected while a server ran it. The connection to the
+/// server is closed, so a crash can only be detected in other ways.
 pub fn note_caller_disconnect(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
     gateway.quarantine.table.borrow_mut().note_caller_disconnect(
@@ -62,7 +64,7 @@
     );
 }
 
-/// Looks whether a server is gone. One series of looks is enough for all that ran there.
+/// Probes a server to find out whether it is gone, unless probes are already in progress.
 pub fn probe_server(gateway: &Rc<Gateway>, server: &Server) {
     if gateway.quarantine.probing.borrow_mut().insert(server.id.clone()) {
         let probes = run_probes(gateway.clone(), server.id.clone(), server.address);
@@ -83,8 +85,8 @@
     gateway.quarantine.probing.borrow_mut().remove(&server);
 }
 
-/// Notes that a server is gone without having said that it would leave. Its entry may take seconds to
-/// lapse.
+/// Records that a server is gone without having drained. Its registration may take seconds to
+/// expire.
 pub fn note_server_gone(gateway: &Rc<Gateway>, server: &str) {
     let now = gateway.now();
     gateway.directory.borrow_mut().placer.note(now, server, AttemptEnd::Ended);
--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of requests that servers ended under.
+//! Exchanges suspect requests between daemons.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,12 +13,13 @@
 use crate::gateway::Gateway;
 use crate::peers::Hint;
 
-/// Requests whose server goes break off within this of each other: one datagram tells of them.
+/// How long to collect reports before sending them. The connections to a crashed server break within
+/// this time of each other.
 const BATCHING_WINDOW: Duration = Duration::from_millis(15);
-/// Reports in one datagram of 8 KiB; one with some endings takes 100 bytes.
+/// Keeps a datagram below 8 KiB; a report with a few crashes takes about 100 bytes.
 const MAX_REPORTS_PER_DATAGRAM: usize = 30;
 
-/// Tells the other daemons in a moment what is known of a request.
+/// Schedules a report of a request to all other daemons.
 pub fn announce(gateway: &Rc<Gateway>, request: Fingerprint) {
     let mut unsent = gateway.quarantine.unsent.borrow_mut();
     let is_first_unsent = unsent.is_empty();
@@ -40,10 +41,10 @@
     }
 }
 
-/// Takes in what another daemon tells.
+/// Merges reports from another daemon.
 pub fn merge_reports(gateway: &Rc<Gateway>, reports: Vec<Report>) {
     for Report { request, endings } in reports {
-        // A server that went under one request went under those that ran beside it.
+        // The crash also counts for the other requests that ran on the server.
         for ending in endings.iter().filter(|ending| !ending.is_excused) {
             crash_detection::note_server_gone(gateway, &ending.server);
         }
@@ -53,7 +54,7 @@
     }
 }
 
-/// What a daemon that starts is told.
+/// Reports of all suspect requests, for a daemon that starts.
 pub fn all_reports(gateway: &Gateway) -> Vec<Report> {
     gateway.quarantine.table.borrow().reports()
 }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -1,10 +1,12 @@
-//! Suspect requests are kept apart from others, so that the end of a server is plain evidence.
+//! Isolates suspect requests on a server, so that a crash can be attributed to one request.
 //!
-//! Each daemon keeps them apart from what it sends itself. Where one more ending quarantines a request,
-//! all daemons together send at most one such request to a server at a time: after a crash all suspects
-//! wait for the first server that is back, and would be blamed together. One daemon keeps the servers of
-//! which this is asked, by rendezvous. It carries no safety: where it cannot be reached, or daemons
-//! differ in who it is, a request that is blamed wrongly comes back by a probe.
+//! Each daemon isolates suspects from the other requests it sends itself. For requests that are one
+//! crash from quarantine, isolation applies across daemons: a coordinator, chosen by rendezvous
+//! hashing, reserves each server for one such request at a time. Otherwise all suspects that wait
+//! for a restarted server would run there together and be blamed together.
+//!
+//! Reservations are best effort. If the coordinator is unreachable, or daemons disagree about who it
+//! is, a wrongly blamed request is released by a probe.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,20 +23,20 @@
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
 
-/// How long a server is kept for one suspect unless it is given back before: a request that ends its
-/// server as it begins has done so by then.
+/// How long a reservation lasts if it is not released. Requests that crash servers on start do so
+/// within this time.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rest of a suspect that found its server kept for another one: longer than most runs.
+/// Delay before another attempt when the server is reserved. Longer than most runs.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Servers that are kept for one suspect each, where this daemon is asked.
+/// Servers reserved for one suspect request each, at their coordinator.
 #[derive(Default)]
 pub struct Reservations {
     until: RefCell<HashMap<String, Moment>>,
 }
 
 impl Reservations {
-    /// Keeps a server; false while it is kept for another one.
+    /// Reserves a server. Returns false if it is already reserved.
     fn try_reserve(&self, now: Moment, server: &str) -> bool {
         let mut until = self.until.borrow_mut();
         until.retain(|_, until| now < *until);
@@ -50,11 +52,11 @@
     }
 }
 
-/// The server is kept for another suspect.
+/// The server is reserved for another suspect request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Busy;
 
-/// A suspect at a server, until this is dropped.
+/// Isolation of a suspect request on a server, released on drop.
 pub struct Isolation {
     gateway: Rc<Gateway>,
     server: String,
@@ -62,7 +64,7 @@
 }
 
 impl Isolation {
-    /// Keeps others from a server, where a request that is sent there is suspect.
+    /// Isolates a suspect request on a server. Fails after a short delay if the server is reserved.
     pub async fn acquire(
         gateway: &Rc<Gateway>,
         server: &str,
@@ -94,7 +96,7 @@
     }
 }
 
-/// The other daemon that keeps a server; nothing where it is this one.
+/// The daemon that coordinates reservations of a server, or `None` if it is the local one.
 fn remote_coordinator(gateway: &Gateway, server: &str) -> Option<NodeId> {
     let name = gateway.permits.lender(server);
     if name == gateway.identity.node.name {
@@ -125,11 +127,11 @@
         return;
     };
     let request = PeerRequest::Isolate { server: server.to_owned(), is_over: true };
-    // What is not given back is free again after a while.
+    // On failure the reservation expires.
     let _ = client::call(gateway, &coordinator, &request, Duration::ZERO).await;
 }
 
-/// Answers a daemon that wants a server kept, or gives it back.
+/// Handles a peer's request to reserve a server, or to release it if `is_over`.
 pub fn handle(gateway: &Gateway, server: &str, is_over: bool) -> PeerReply {
     let reservations = &gateway.quarantine.reservations;
     if is_over {
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -1,14 +1,14 @@
-//! Requests that end the servers that run them: what this daemon does about them.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! [`heronbend::quarantine`] decides. What is learnt here is told to all daemons at once, and what is
-//! quarantined is recorded in the store as well: so daemons that were cut off or start anew know it,
-//! and all of them together make no more probes than they may.
+//! The decisions are in [`heronbend::quarantine`]; this module does the I/O. Observations are sent
+//! to all daemons immediately. Quarantined requests are also recorded in the store, which restarted
+//! or partitioned daemons read and which limits the probes of all daemons together.
 //!
-//! - [`crash_detection`]: what an attempt that broke off says of its server.
-//! - [`isolation`]: suspects kept apart from other requests.
-//! - [`gossip`]: what daemons tell each other.
-//! - [`admitted_request`]: a call or a stream on its way to servers.
-//! - [`record`]: what the store holds.
+//! - [`crash_detection`]: detects crashes from broken connections.
+//! - [`isolation`]: runs suspect requests isolated from others.
+//! - [`gossip`]: exchanges reports between daemons.
+//! - [`admitted_request`]: the quarantine state of a call or stream across its attempts.
+//! - [`record`]: the records of quarantined requests in the store.
 
 pub mod admitted_request;
 pub mod crash_detection;
@@ -37,15 +37,15 @@
 pub use self::admitted_request::AdmittedRequest;
 pub use self::isolation::Isolation;
 
-/// Time between two looks for what is to be forgotten, or not recorded yet.
+/// Interval at which expired requests are removed and missing records are written.
 const MAINTENANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// What this daemon knows of requests that servers ended under.
+/// Suspect and quarantined requests known to this daemon.
 pub struct Quarantine {
     table: RefCell<Table>,
-    /// Servers whose addresses are being looked at.
+    /// Servers being probed.
     probing: RefCell<BTreeSet<String>>,
-    /// Requests of which the others are told in a moment.
+    /// Requests with reports that wait to be sent.
     unsent: RefCell<BTreeSet<Fingerprint>>,
     /// Requests whose records are being written.
     writing: RefCell<BTreeSet<Fingerprint>>,
@@ -53,7 +53,7 @@
 }
 
 impl Quarantine {
-    /// A daemon that has just started.
+    /// Creates an empty quarantine.
     pub fn new(limits: Limits) -> Self {
         Self {
             table: RefCell::new(Table::new(limits)),
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no request is suspect, so that lookups may be skipped.
     fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
 
-    /// Changes the limits; what is known is kept.
+    /// Changes the limits and keeps all requests.
     pub fn set_limits(&self, limits: Limits) {
         self.table.borrow_mut().set_limits(limits);
     }
@@ -78,22 +78,23 @@
 /// How a request may be sent to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendMode {
-    /// Like any other.
+    /// Without restrictions.
     Normal,
-    /// To one server at a time, with nothing else there if that can be.
+    /// To one server at a time, isolated from other requests if possible.
     Isolated,
-    /// The same, and only once.
+    /// Isolated, in a single attempt.
     Probe,
 }
 
 /// A request that may not be sent to servers now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
-    /// Time after which it may.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// Whether a request may be sent to servers. A probe is granted by the store before this returns.
+/// Decides whether and how a request may be sent to servers. For a probe, waits until the store
+/// grants it.
 pub async fn admit(
     gateway: &Rc<Gateway>,
     request: impl Fn() -> Fingerprint,
@@ -111,12 +112,13 @@
     Err(refused)
 }
 
-/// Whether a request that was admitted may be sent to one more server.
+/// Whether an admitted request may be sent to another server.
 pub fn may_retry(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
     matches!(admission(gateway, request), Admission::Allowed | Admission::Isolated)
 }
 
-/// How a request is kept apart from others, and from the last server, for what is known of it.
+/// Sets in `history` whether a request must run isolated, and whether it must spare the last healthy
+/// server.
 pub fn set_isolation(
     gateway: &Gateway,
     mode: SendMode,
@@ -129,7 +131,7 @@
     history.spares_last = is_suspect && table.is_one_crash_from_quarantine(request());
 }
 
-/// What may become of a request. Most of the time nothing is known of any, and none is looked at.
+/// Decides whether a request may run. Skips computing the fingerprint if no request is suspect.
 fn admission(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> Admission {
     if gateway.quarantine.is_empty() {
         return Admission::Allowed;
@@ -137,8 +139,8 @@
     gateway.quarantine.table.borrow().admission(gateway.now(), request())
 }
 
-/// Whether an answer shows that a server ran the request. One that fails at all it gets, or sheds load,
-/// answers without.
+/// Whether a response status shows that a server executed the request. Overloaded servers, and those
+/// that fail every request, respond without executing it.
 fn proves_execution(status: StatusCode) -> bool {
     let not_executed = [
         StatusCode::REQUEST_TIMEOUT,
@@ -148,7 +150,7 @@
     !status.is_server_error() && !not_executed.contains(&status)
 }
 
-/// Notes a whole answer to a request: whatever ended servers under it, it was not this.
+/// Records a complete response, which shows that the request did not cause the crashes.
 pub fn note_response(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
     if gateway.quarantine.is_empty() || !proves_execution(status) {
         return;
@@ -164,18 +166,18 @@
     }
 }
 
-/// Who has learnt something of a request.
+/// Where a change was learned from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// This daemon.
     Here,
-    /// Another one.
+    /// Another daemon.
     Peer,
-    /// The store tells it.
+    /// The store.
     Store,
 }
 
-/// Logs what has changed for a request, and tells others of what was learnt here.
+/// Logs a change of a request's status and announces it if it was observed locally.
 fn on_change(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, by: Origin) {
     match change {
         Change::None => return,
@@ -189,8 +191,9 @@
     }
     count_quarantined(gateway);
     let is_quarantined = matches!(change, Change::Quarantined(_));
-    // News may have been lost on its way to whoever told the rest: only those who know both parts know
-    // that it is quarantined, and the few who saw one of the endings make that known.
+    // A report may have been lost on its way to the daemon that sent the other one. Only daemons
+    // that received both know that the request is quarantined; those that observed one of the
+    // crashes announce it.
     let completed_here = by == Origin::Peer
         && is_quarantined
         && gateway.quarantine.table.borrow().is_observed_locally(request);
@@ -207,8 +210,8 @@
     gateway.metrics.requests_quarantined.set(i64::try_from(quarantined).unwrap_or(i64::MAX));
 }
 
-/// Forgets what is old, and records what is not recorded yet, until the daemon ends. Each daemon does
-/// its part of what one of them has to do.
+/// Runs periodic maintenance: removes expired requests and writes missing records. Work that any
+/// daemon could do is spread at random over all of them.
 pub async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
         Timer::after(MAINTENANCE_PERIOD).await;
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -1,8 +1,8 @@
-//! What the store holds of quarantined requests: one object each, named by the fingerprint.
+//! Records of quarantined requests in the store: one object each, named by the fingerprint.
 //!
-//! The record keeps count of the probes of all daemons together. Each is granted by a replacement of
-//! the record at the revision that is known, so that of several daemons one gets it. Whoever hears of
-//! a record refuses the request; when it goes, the request is released.
+//! A record counts the probes of all daemons. A probe is granted by replacing the record at its
+//! known revision, so only one of several concurrent attempts succeeds. Daemons that watch the
+//! records refuse the requests, and release them when the records are deleted.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -31,21 +31,21 @@
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
 
-/// Kind of the records.
+/// Kind of the records in the store.
 pub const KIND: &str = "heronbend-quarantine";
-/// Records that come within this time cost one call.
+/// How long to collect changes before reading them.
 const BATCHING_WINDOW: Duration = Duration::from_millis(100);
-/// Longest time that a caller waits for a probe to be granted.
+/// Maximum time that a caller waits for the store to grant a probe.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller is to come back whose probe was not granted: another one has been, most likely.
+/// Retry delay for callers whose probe was denied, usually because another one was granted.
 const DENIED_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Rest after a write that failed, doubled by each further one.
+/// Backoff after a failed write, doubled after each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Tries to remove a record.
+/// Attempts to delete a record before giving up.
 const MAX_REMOVE_ATTEMPTS: u32 = 8;
 
-/// A record as it stands in the store.
+/// Contents of a record in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct RecordContent {
     endings: Vec<Crash>,
@@ -59,7 +59,8 @@
     }
 }
 
-/// Whether something that one daemon has to do falls to this one now: by chance, to each as often.
+/// Whether this daemon should do work that any daemon could do. True with a probability of one over
+/// the number of live daemons.
 pub(super) fn is_randomly_chosen(gateway: &Gateway) -> bool {
     let daemons = u32::try_from(gateway.members.count_alive() + 1).unwrap_or(u32::MAX);
     rand::rng().random_ratio(1, daemons)
@@ -69,7 +70,8 @@
     INITIAL_BACKOFF * 2_u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS))
 }
 
-/// Takes in a record; an older one than is known tells nothing.
+/// Applies a record unless a newer revision is known. Returns the request, or `None` if the record
+/// is malformed.
 fn apply_record(gateway: &Rc<Gateway>, object: &Object) -> Option<Fingerprint> {
     let request = match object.name.parse::<Fingerprint>() {
         Ok(request) => request,
@@ -104,7 +106,7 @@
     Some(request)
 }
 
-/// Has a quarantined request recorded, however long that takes.
+/// Writes the record of a quarantined request in the background, retrying until it succeeds.
 pub(super) fn ensure_recorded(gateway: &Rc<Gateway>, request: Fingerprint) {
     if !gateway.quarantine.writing.borrow_mut().insert(request) {
         return;
@@ -125,8 +127,8 @@
     while is_quarantined() && !is_recorded() {
         let content = json!(RecordContent::new(gateway, request, 0));
         match gateway.store.create(KIND, &request.to_string(), content).await {
-            // An answer to it came meanwhile. That the record is known already says nothing: the watch
-            // may tell of it before the store answers here.
+            // The request was cleared while the record was written. A known record does not mean
+            // that it is still quarantined, since the watch may deliver it before the write returns.
             Ok(_) if !is_quarantined() => remove(gateway, request),
             Ok(object) => {
                 apply_record(gateway, &object);
@@ -144,7 +146,7 @@
     }
 }
 
-/// Takes in the record that another daemon has written.
+/// Reads and applies a record written by another daemon.
 async fn fetch_record(gateway: &Rc<Gateway>, request: Fingerprint) {
     match gateway.store.get(KIND, &request.to_string()).await {
         Ok(Some(object)) => {
@@ -158,7 +160,7 @@
     }
 }
 
-/// Asks the store for the next probe of a request.
+/// Requests the next probe of a request from the store.
 pub(super) async fn grant_probe(
     gateway: &Rc<Gateway>,
     request: Fingerprint,
@@ -195,7 +197,7 @@
     }
 }
 
-/// Removes a record, which releases the request everywhere.
+/// Deletes a record, which releases the request at all daemons.
 pub(super) fn remove(gateway: &Rc<Gateway>, request: Fingerprint) {
     let gateway = gateway.clone();
     let executor = gateway.executor.clone();
@@ -216,18 +218,18 @@
     executor.spawn(removal).detach();
 }
 
-/// A request that is quarantined, as the store holds it.
+/// A quarantined request, as recorded in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Servers that ended while they ran it.
+    /// Servers that crashed while running it.
     pub servers: Vec<String>,
-    /// Probes that have been granted.
+    /// Number of probes granted.
     pub probes: usize,
 }
 
-/// All requests that the store holds quarantined, for an operator.
+/// Lists all quarantined requests, for operators.
 pub async fn list(store: &dyn ObjectStore) -> Result<Vec<QuarantinedRequest>, StoreError> {
     let mut quarantined = Vec::new();
     let mut after: Option<String> = None;
@@ -251,12 +253,12 @@
     Ok(QuarantinedRequest { request, servers, probes: content.probes })
 }
 
-/// Releases a request at all daemons, for an operator.
+/// Releases a request at all daemons, for operators.
 pub async fn release(store: &dyn ObjectStore, request: Fingerprint) -> Result<(), StoreError> {
     store.remove(KIND, &request.to_string()).await
 }
 
-/// Follows the records until the daemon ends.
+/// Watches the records until the daemon stops.
 pub async fn follow(gateway: Rc<Gateway>) {
     let sink = RecordSink { gateway: gateway.clone(), seen: RefCell::default() };
     mirror::follow(gateway, KIND, Source::Watchers, BATCHING_WINDOW, sink).await;
@@ -264,8 +266,8 @@
 
 struct RecordSink {
     gateway: Rc<Gateway>,
-    /// Requests whose records were heard of by this way. A list may be older than a record that this
-    /// daemon wrote itself.
+    /// Requests whose records were delivered by the watch. A listing may be older than a record that
+    /// this daemon wrote itself, so only these are released when missing from it.
     seen: RefCell<BTreeSet<Fingerprint>>,
 }
 
