--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Holds the lease and gives the orders that the plan asks for.
+//! Commands servers to load the versions that the plan selects, while holding the lease.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,28 +31,29 @@
 use crate::ports::dialect::ServerCall;
 use crate::wait;
 
-/// How long a daemon waits for the one before it in line, when no order is seen to be taken.
+/// How long each daemon waits for the one ahead of it in the takeover order, if no command is
+/// accepted.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(2500);
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which a report shows whether an order was taken.
+/// Delay until a report shows whether a command was accepted.
 const REPORT_DELAY: Duration = Duration::from_millis(150);
-/// First look at a server that is loading, and the time between further ones.
+/// Delay before the first poll of a loading server, and the interval between further ones.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(960);
 const POLL_PERIOD: Duration = Duration::from_millis(60);
-/// Time from a load's begin after which it takes no part of what loads share. That it is over shows
-/// some tenths of a second later.
+/// Time from the start of a load during which it uses the bandwidth that loads share. Reports show
+/// the end of a load some tenths of a second later.
 const TRANSFER_TIME: Duration = Duration::from_millis(1000);
-/// How long a load is followed.
+/// How long to wait for a load to complete.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
-/// Rest after an order failed.
+/// Delay before a server is considered again after a failed command.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 const IDLE_WAIT: Duration = Duration::from_millis(500);
-/// Rest after a look at what is due, in times that it took: among thousands of servers something changes
-/// all the time, and the looks take a tenth of the processor at most.
+/// Pause after planning, as a multiple of the time it took. Bounds planning to a tenth of a core,
+/// since large fleets change all the time.
 const PLANNING_PAUSE_FACTOR: u32 = 9;
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
-/// Notes an order that some daemon has given to a run of a server.
+/// Records that a server, identified by its id and incarnation, accepted a command from any daemon.
 pub fn note_command_accepted(
     gateway: &Rc<Gateway>,
     holder: NodeName,
@@ -63,7 +64,7 @@
     let now = gateway.now();
     let mut directory = gateway.directory.borrow_mut();
     let is_known_run = directory.get(server).is_none_or(|known| known.incarnation == incarnation);
-    // Daemons of an earlier build do not tell which run it was.
+    // Older builds do not send the incarnation.
     if is_known_run || incarnation == Incarnation::default() {
         directory.placer.order_taken(now, server, model, version);
     }
@@ -73,7 +74,7 @@
     wake_when_loaded(gateway);
 }
 
-/// Items that wait for a place look again when a load may be over.
+/// Wakes waiting batch items when the load is expected to be complete.
 fn wake_when_loaded(gateway: &Rc<Gateway>) {
     let waker = gateway.clone();
     let wake = async move {
@@ -83,7 +84,7 @@
     gateway.executor.spawn(wake).detach();
 }
 
-/// Whether streams of clients go to servers that hold models.
+/// Whether any stream route leads to servers that load models.
 fn serves_streams(gateway: &Gateway) -> bool {
     gateway.configuration().is_some_and(|configuration| {
         let has_models = |part: &Destination| {
@@ -94,11 +95,10 @@
     })
 }
 
-/// Tells of an order whoever has to know: the daemons that run jobs, which send step_items to the server, and
-/// those that may give the next orders. Where clients' streams go to such servers, all daemons.
+/// Announces an accepted command to the daemons that need it: owners of active jobs and candidates
+/// for the lease. If clients' streams use these servers, to all daemons.
 ///
-/// Told to all, the orders of one version for some hundred servers were some hundred thousand datagrams
-/// among a thousand daemons, all from one.
+/// Limiting the recipients keeps the number of datagrams from growing with commands times daemons.
 fn announce_command(gateway: &Gateway, hint: Hint) {
     if serves_streams(gateway) {
         gateway.members.tell_all(hint);
@@ -112,7 +112,7 @@
     gateway.members.tell(recipients.into_iter().collect(), hint);
 }
 
-/// A load that this daemon orders, or has ordered.
+/// A load that this daemon is commanding or has commanded.
 #[derive(Debug, Clone)]
 struct StartedLoad {
     model: String,
@@ -123,13 +123,13 @@
 struct Dispatcher {
     gateway: Rc<Gateway>,
     lease: LeaseKeeper,
-    /// Servers that an order is being given to, or that rest after one failed.
+    /// Servers with a command in progress, or in the delay after a failed one (`None`).
     busy: RefCell<HashMap<String, Option<StartedLoad>>>,
-    /// Time that the last looks at what is due took.
+    /// Time spent on planning since the last pause.
     planning_time: Cell<Duration>,
 }
 
-/// Runs until the daemon ends.
+/// Runs until the daemon stops.
 pub async fn run(gateway: Rc<Gateway>) {
     let lease = LeaseKeeper::new(gateway.clone(), LeaseName::Orders);
     let dispatcher = Rc::new(Dispatcher {
@@ -139,12 +139,12 @@
         planning_time: Cell::default(),
     });
     gateway.members.introduction.wait().await;
-    // The others were told of the holder, and hear of its renewals.
+    // Other daemons learn of the holder and its renewals from peers.
     if is_candidate(&gateway) || !gateway.members.introduction.is_complete() {
         dispatcher.lease.read().await;
     }
     loop {
-        // Until others have been heard of, nobody can tell who of them is alive.
+        // Until the introduction is over, the set of live daemons is unknown.
         Timer::after(INTRODUCTION.saturating_sub(gateway.now())).await;
         let changed = gateway.versions.changed.listen();
         for load in dispatcher.next_loads().await {
@@ -160,7 +160,7 @@
 }
 
 impl Dispatcher {
-    /// The loads that this daemon is to order now.
+    /// The loads to command now. Empty if this daemon may not act.
     async fn next_loads(&self) -> Vec<Load> {
         let due = self.loads_due();
         let is_waiting = self.lease.waits_until().is_some();
@@ -194,7 +194,7 @@
                     let ownership = &job.ownership.borrow().0;
                     (ownership.expected_tokens, ownership.total)
                 });
-                // How many streams come is not known beforehand: all servers take part.
+                // The number of streams is unknown, so all servers are used.
                 let step_items = if serves_streams { 0 } else { step_items };
                 let has_slow_steps = self.gateway.versions.has_slow_steps(&model);
                 let published_for = now.saturating_sub(since);
@@ -233,13 +233,13 @@
             .filter(is_eligible)
             .map(|server| {
                 let placer = &directory.placer;
-                let open = placer.open_order(now, &server.id);
-                let open = open.map(|order| StartedLoad {
+                let pending = placer.open_order(now, &server.id);
+                let pending = pending.map(|order| StartedLoad {
                     model: placer.model_name(order.model).to_owned(),
                     version: order.version,
                     since: order.since,
                 });
-                let loading = busy.get(&server.id).cloned().flatten().or(open);
+                let loading = busy.get(&server.id).cloned().flatten().or(pending);
                 let is_transferring =
                     loading.as_ref().is_some_and(|load| now < load.since + TRANSFER_TIME);
                 EngineState {
@@ -253,11 +253,11 @@
             .collect()
     }
 
-    /// Whether it falls to this daemon to give the orders that are due.
+    /// Whether this daemon should issue the commands that are due.
     ///
-    /// The last holder goes on while it is alive. Otherwise the daemons that are alive stand in
-    /// line, and each waits longer than the one before it: the first one may be cut off from the
-    /// store without the others knowing.
+    /// The last holder continues while it is alive. Otherwise the live daemons take over in a fixed
+    /// order with increasing delays, since the first one may be partitioned from the store without
+    /// the others knowing.
     fn is_my_turn(&self) -> bool {
         let gateway = &self.gateway;
         let mut ahead = 0;
@@ -277,11 +277,11 @@
         self.idle_time() >= TAKEOVER_DELAY * u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
-    /// Time for which orders could have been given and were not.
+    /// Time during which commands were possible but none was accepted.
     ///
-    /// Not counted are the time before the newest version was named, that in which the holder has
-    /// to wait for the one before it, and that in which the store was out of reach: nobody can
-    /// renew the lease then, and to change the holder costs a pause.
+    /// Excludes the time before the newest version was published, the holder's wait after a
+    /// takeover, and store outages: the lease cannot be renewed then, and a change of holder costs a
+    /// pause.
     fn idle_time(&self) -> Duration {
         let versions = &self.gateway.versions;
         let newest = versions.newest();
@@ -294,11 +294,11 @@
         self.gateway.now().saturating_sub(started.flatten().unwrap_or_default())
     }
 
-    /// Gives an order and follows it until the server shows the version.
+    /// Commands a load and waits until the server reports the version.
     async fn execute(self: Rc<Self>, load: Load) {
         let done = self.command_and_await(&load).await;
         if !done {
-            // Whatever became of it, the server is looked at anew after a rest.
+            // The outcome is unknown or negative, so the server is considered again after a delay.
             self.busy.borrow_mut().insert(load.server.clone(), None);
             Timer::after(RETRY_DELAY).await;
         }
@@ -315,7 +315,7 @@
             return false;
         };
         if report.incarnation > server.incarnation {
-            // It has started again, and its entry of before tells nothing of it any more.
+            // The server restarted, so its registration is out of date.
             return false;
         }
         if report.models.get(&load.model).is_some_and(|version| *version >= load.version) {
@@ -353,7 +353,7 @@
         );
         match status {
             Some(StatusCode::ACCEPTED | StatusCode::OK) => {}
-            // Without an answer the server may have taken it: its reports tell.
+            // Without a response, reports show whether the command was accepted.
             None => {}
             Some(_) => return false,
         }
@@ -363,7 +363,8 @@
             let is_accepted =
                 report.is_some_and(|now| now.busy || now.sequence != command.expected_sequence);
             if !is_accepted {
-                // The next order expects the same sequence, so that only one of them counts.
+                // The next command expects the same sequence number, so at most one of them is
+                // executed.
                 return false;
             }
         } else {
@@ -382,7 +383,7 @@
         self.await_load(&server, load).await
     }
 
-    /// Looks at a server until it has loaded; false when it has not.
+    /// Polls a server until it has loaded the version. Returns false if the load fails or times out.
     async fn await_load(&self, server: &Server, load: &Load) -> bool {
         let started = self.gateway.now();
         let mut delay = FIRST_POLL_DELAY;
@@ -407,20 +408,20 @@
                 return true;
             }
             if !report.busy {
-                // Not taken, or dropped on the way: ordered anew by the plan.
+                // Not accepted or aborted; the plan selects the load again.
                 return false;
             }
         }
         false
     }
 
-    /// Whether this very run of a server is listed.
+    /// Whether this incarnation of a server is still registered.
     fn is_registered(&self, server: &Server) -> bool {
         let directory = self.gateway.directory.borrow();
         directory.get(&server.id).is_some_and(|known| known.incarnation == server.incarnation)
     }
 
-    /// Takes a server's own word for its versions ahead of its entry.
+    /// Applies the versions that a server reports before its registration shows them.
     fn note_loaded(&self, server: &Server, report: &EngineReport) {
         if !self.is_registered(server) || report.incarnation > server.incarnation {
             return;
@@ -454,7 +455,7 @@
         }
     }
 
-    /// Calls a server's own interface; nothing when there is no whole answer.
+    /// Calls a server's management API. Returns `None` without a complete response.
     async fn call(&self, server: &Server, call: ServerCall) -> Option<WholeAnswer> {
         let names = self.gateway.dialect.headers();
         let mut request = Request::new(Full::new(call.body));
--- a/crates/heronbend-gateway/src/versions/lease.rs
+++ b/crates/heronbend-gateway/src/versions/lease.rs
@@ -1,14 +1,13 @@
-//! The lease under which one daemon at a time gives orders to servers.
+//! Lease state that ensures one daemon at a time commands servers, without I/O.
 //!
-//! Servers may not check fencing tokens, so the lease has to keep two holders apart by itself. It
-//! is an object in the store, renewed by compare-and-swap. A holder may act until a fixed time
-//! after it *sent* its last renewal, by its own steady clock. A daemon that takes the lease over
-//! has, by its compare-and-swap, made any further renewal of the former holder fail; it waits for
-//! the former holder's longest right to act, and for the pause that the surroundings demand.
+//! Servers may not check fencing tokens, so the lease alone must prevent two active holders. It is
+//! an object in the store, renewed by compare-and-swap. A holder may act for a fixed time after it
+//! *sent* its last renewal, by its own monotonic clock. A takeover by compare-and-swap makes further
+//! renewals of the former holder fail. The new holder waits until the former one's time to act has
+//! ended, and then for the configured pause.
 //!
-//! Each renewal changes the record, so that one revision stands for one renewal. Whoever has known
-//! a revision for some time, and replaces it, knows that its renewal was sent before that time: the
-//! wait counts from when the revision became known and not from the takeover.
+//! Each renewal changes the record, so each revision stands for one renewal. A renewal was sent
+//! before its revision became known, so the wait counts from that time and not from the takeover.
 
 use std::time::Duration;
 
@@ -18,100 +17,103 @@
 
 use crate::ports::Revision;
 
-/// Time that a holder may act after it sent a renewal.
+/// How long a holder may act after it sent a renewal.
 pub const LEASE_DURATION: Duration = Duration::from_millis(1500);
-/// A holder stops acting this long before, so that an order sent in time also arrives in time.
+/// How long before the lease ends the holder stops acting, so that its commands also arrive in time.
 const ACT_MARGIN: Duration = Duration::from_millis(300);
 
-/// What the lease's object says.
+/// Contents of the lease object.
 #[derive(
     Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, musli::Encode, musli::Decode,
 )]
 pub struct LeaseRecord {
-    /// The machine that holds it. A restarted process of the same machine is the same holder.
+    /// The node that holds the lease. A restarted process on the same node is the same holder.
     pub holder: NodeName,
-    /// Whether the holder has waited until it may act. A process that finds its own machine's name
-    /// without this has to wait anew: the process before it may have taken the lease a moment ago.
+    /// Whether the holder has completed its wait after a takeover. Otherwise a restarted process of
+    /// the same node must wait again, since its predecessor may only just have taken over.
     pub settled: bool,
-    /// Renewals so far: no two of them write the same, which would be no change in the store.
+    /// Number of renewals. Makes each renewal write a different record, since the store ignores
+    /// writes without a change.
     #[serde(default)]
     #[musli(default)]
     pub renewals: u64,
 }
 
-/// The record as a daemon last knew it.
+/// The latest known record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Known {
+struct KnownRecord {
     revision: Revision,
     record: LeaseRecord,
-    /// When this daemon first knew of this revision: its renewal was sent before.
+    /// When this daemon learned of the revision. Its renewal was sent earlier.
     since: Moment,
 }
 
-/// One daemon's hold on the lease.
+/// State of the lease at one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseHold {
-    me: NodeName,
+    node: NodeName,
     pause: Duration,
-    known: Option<Known>,
-    /// From when this daemon may act; none unless it is the holder.
-    acts_from: Option<Moment>,
-    /// Until when its last acknowledged renewal lets it act.
-    acts_until: Moment,
+    known: Option<KnownRecord>,
+    /// When this daemon may start to act, or `None` if it is not the holder.
+    active_from: Option<Moment>,
+    /// When the right to act from the last acknowledged renewal ends.
+    active_until: Moment,
 }
 
 impl LeaseHold {
-    /// The hold of a daemon that knows nothing yet. `pause` is the time that has to pass between
-    /// the last order of one holder and the first of the next.
-    pub fn new(me: NodeName, pause: Duration) -> Self {
-        Self { me, pause, known: None, acts_from: None, acts_until: Moment::ZERO }
+    /// Creates the state of a daemon that knows no record. `pause` is the minimum time between the
+    /// last command of one holder and the first of the next.
+    pub fn new(node: NodeName, pause: Duration) -> Self {
+        Self { node, pause, known: None, active_from: None, active_until: Moment::ZERO }
     }
 
-    /// The revision that a renewal is conditioned on; none when no object is known.
+    /// The revision that a renewal must replace, or `None` if no record is known.
     pub fn revision(&self) -> Option<Revision> {
         self.known.as_ref().map(|known| known.revision)
     }
 
-    /// Who holds the lease, as far as is known.
+    /// The last known holder.
     pub fn holder(&self) -> Option<&NodeName> {
         self.known.as_ref().map(|known| &known.record.holder)
     }
 
     /// The fencing token, if this daemon may act at `now`.
     pub fn token(&self, now: Moment) -> Option<u64> {
-        let may_act = self.acts_from? <= now && now + ACT_MARGIN < self.acts_until;
+        let may_act = self.active_from? <= now && now + ACT_MARGIN < self.active_until;
         may_act.then(|| self.revision()).flatten()
     }
 
-    /// When this daemon may act, if it is the holder and has to wait for that.
+    /// When this daemon may act, if it is the holder and still has to wait.
     pub fn waits_until(&self, now: Moment) -> Option<Moment> {
-        self.acts_from.filter(|from| now < *from)
+        self.active_from.filter(|from| now < *from)
     }
 
-    /// What a renewal sent at `now` writes.
+    /// The record that a renewal sent at `now` writes.
     pub fn next_record(&self, now: Moment) -> LeaseRecord {
-        let settled = match (&self.known, self.acts_from) {
+        let settled = match (&self.known, self.active_from) {
             (None, _) => true,
             (Some(_), Some(from)) => from <= now,
-            (Some(known), None) => known.record.holder == self.me && known.record.settled,
+            (Some(known), None) => known.record.holder == self.node && known.record.settled,
         };
         let renewals = self.known.as_ref().map_or(0, |known| known.record.renewals + 1);
-        LeaseRecord { holder: self.me.clone(), settled, renewals }
+        LeaseRecord { holder: self.node.clone(), settled, renewals }
     }
 
-    /// Notes what the object says, read, told by a conflict or by the holder, as known from `since`.
+    /// Updates the state with a record that was read, returned by a conflict or announced by the
+    /// holder, and known since `since`. Older revisions are ignored.
     pub fn observed(&mut self, revision: Revision, record: LeaseRecord, since: Moment) {
         if self.revision().is_some_and(|known| revision <= known) {
             return;
         }
-        if record.holder != self.me {
-            self.acts_from = None;
+        if record.holder != self.node {
+            self.active_from = None;
         }
-        self.acts_until = Moment::ZERO;
-        self.known = Some(Known { revision, record, since });
+        self.active_until = Moment::ZERO;
+        self.known = Some(KnownRecord { revision, record, since });
     }
 
-    /// Notes that `record`, sent at `sent`, was acknowledged as `revision` at `acknowledged`.
+    /// Updates the state after `record`, sent at `sent`, was acknowledged as `revision` at
+    /// `acknowledged`.
     pub fn renewed(
         &mut self,
         revision: Revision,
@@ -120,21 +122,22 @@
         acknowledged: Moment,
     ) {
         if self.revision().is_some_and(|known| revision < known) {
-            // The answer was held up: the lease has changed since.
+            // The response was delayed and the lease has changed since.
             return;
         }
-        if self.acts_from.is_none() {
-            let former_ends = self.known.as_ref().map_or(acknowledged, |known| known.since);
-            let after_pause = former_ends + LEASE_DURATION + self.pause;
+        if self.active_from.is_none() {
+            let former_renewed = self.known.as_ref().map_or(acknowledged, |known| known.since);
+            let after_pause = former_renewed + LEASE_DURATION + self.pause;
             let from = if record.settled { acknowledged } else { after_pause.max(acknowledged) };
-            self.acts_from = Some(from);
+            self.active_from = Some(from);
         }
-        self.known = Some(Known { revision, record, since: acknowledged });
-        self.acts_until = sent + LEASE_DURATION;
+        self.known = Some(KnownRecord { revision, record, since: acknowledged });
+        self.active_until = sent + LEASE_DURATION;
     }
 
-    /// Notes that a renewal's outcome is unknown: nothing may be done until the object is read.
+    /// Stops this daemon from acting until the record is read, since the outcome of a renewal is
+    /// unknown.
     pub fn invalidate(&mut self) {
-        self.acts_until = Moment::ZERO;
+        self.active_until = Moment::ZERO;
     }
 }
--- a/crates/heronbend-gateway/src/versions/mod.rs
+++ b/crates/heronbend-gateway/src/versions/mod.rs
@@ -1,10 +1,10 @@
-//! Versions of weights that trainers name, and the orders that bring servers to them.
+//! Weight versions published by trainers, and the commands that make servers load them.
 //!
-//! - [`published`]: named versions, and orders that servers have taken.
-//! - [`plan`]: which servers load which version now, without I/O.
-//! - [`lease`]: who may give orders, without I/O.
-//! - [`watch`]: follows the versions that trainers name, at the daemons that may give orders.
-//! - [`dispatcher`]: holds the lease and gives the orders.
+//! - [`published`]: the published versions and the last accepted command.
+//! - [`plan`]: which servers load which version, without I/O.
+//! - [`lease`]: which daemon may issue commands, without I/O.
+//! - [`watch`]: watches published versions at candidates for the lease.
+//! - [`dispatcher`]: holds the lease and issues the commands.
 
 pub mod dispatcher;
 pub mod lease;
@@ -17,54 +17,54 @@
 use heronbend::identity::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// A version that a trainer has named for a model.
+/// A version that a trainer published for a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedVersion {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Version number.
     pub version: u64,
 }
 
-/// A server's state, as it was some time before.
+/// State of a server, as it reported some time ago.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Versions by model.
+    /// Loaded versions by model.
     pub models: BTreeMap<String, u64>,
-    /// Whether an order is under way.
+    /// Whether a command is in progress.
     pub busy: bool,
-    /// Requests that run or wait there.
+    /// Number of running and queued requests.
     pub requests: u32,
-    /// Orders taken since the server's start.
+    /// Number of commands accepted since the server started.
     pub sequence: u64,
-    /// Which run of the server tells this; zero where servers do not say.
+    /// Incarnation of the server, or zero if it does not report one.
     #[serde(default)]
     pub incarnation: Incarnation,
 }
 
-/// What becomes of requests that run while weights are exchanged.
+/// What happens to running requests when weights are swapped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SwapMode {
-    /// They end first.
+    /// They complete first.
     Wait,
-    /// They go on under the new version.
+    /// They continue with the new version.
     Continue,
 }
 
-/// An order to load a version.
+/// A command to load a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCommand {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version to load.
+    /// Version to load.
     pub version: u64,
-    /// What becomes of running requests.
+    /// What happens to running requests.
     pub mode: SwapMode,
-    /// Who gives the order.
+    /// The daemon that issues the command.
     pub holder: String,
-    /// Fencing token: grows with every renewal of the holder's lease.
+    /// Fencing token; grows with every renewal of the holder's lease.
     pub fence: u64,
-    /// Orders that the server must have taken so far.
+    /// Number of commands that the server must have accepted so far.
     pub expected_sequence: u64,
 }
--- a/crates/heronbend-gateway/src/versions/plan.rs
+++ b/crates/heronbend-gateway/src/versions/plan.rs
@@ -1,19 +1,16 @@
-//! Which servers load which version now.
+//! Plans which servers load which version.
 //!
-//! A step allows the version before the one it is numbered by, so a server need not load every
-//! version: half of a model's servers take the odd ones and half the even ones. One half serves
-//! while the other loads, and a load is spent only every second version. A model whose steps take
-//! long gets every version on all its servers.
+//! A step may run on the version before its own number, so a server need not load every version:
+//! half of a model's servers load the odd versions and half the even ones. One half serves while the
+//! other loads. If a model has slow steps, all its servers load every version.
 //!
-//! A step of a pressed model begins at the very moment at which its version is named, and its step_items
-//! need all slots then. A server takes nothing new while it loads, but what runs there goes on at the
-//! same pace. So servers that can run the step load a little later, once its step_items have begun: half of
-//! them loading at once had a tenth of a step's step_items wait for most of a second.
+//! A slow step starts when its version is published, and needs all slots then. Servers accept no new
+//! requests while they load, but running requests continue at full speed. Servers that can run the
+//! step therefore load only after its items have started.
 //!
-//! A fleet may have many more servers than the steps of all trainers can use. Each order costs its server
-//! a pause and its holder some calls, so only as many servers follow a model as its owed step_items need:
-//! twice those that have slots for the step_items of two steps, since one half may be loading. The others
-//! keep what they have until one that follows the model is lost.
+//! Each load pauses its server and costs the lease holder several calls, so a model is assigned only
+//! as many servers as its pending items need. The other servers keep their versions until an
+//! assigned server is lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,38 +21,38 @@
 
 use crate::directory::Server;
 
-/// Of so many servers one may load at a time without slowing another one's load.
+/// Number of servers per concurrent load. With more loads they would slow each other down.
 const SERVERS_PER_LOAD: usize = 5;
-/// Loads at a time with however few servers.
+/// Minimum number of concurrent loads in fleets of any size.
 const MIN_CONCURRENT_LOADS: usize = 2;
-/// Steps of one trainer whose step_items may be owed at the same time: the next one is handed in when the
-/// version of the one before it is named, while late step_items of that one still run.
+/// Steps of one trainer that may be in flight: the next step is submitted when the version of the
+/// previous one is published, while late items of that one still run.
 const CONCURRENT_STEPS: usize = 2;
-/// Servers that follow a model for each one that its owed step_items fill: one half may be loading, or a
-/// zone be lost, and the other half still has slots for all of them.
+/// Capacity assigned to a model, as a multiple of what its pending items need. Leaves enough slots
+/// while half of the servers load, or after the loss of a zone.
 const CAPACITY_FACTOR: usize = 2;
 
-/// Time from a version's naming after which the step_items of a pressed model's step have begun: most take
-/// less than a second, and those that found no place at first have one by then.
+/// Time after the publication of a version until the items of a slow step have started.
 pub const STEP_START_DELAY: Duration = Duration::from_millis(1500);
 
-/// Loads that may be under way at the same time.
+/// Maximum number of concurrent loads in a fleet of `servers`.
 pub fn max_concurrent_loads(servers: usize) -> usize {
     (servers / SERVERS_PER_LOAD).max(MIN_CONCURRENT_LOADS)
 }
 
-/// A server as the plan sees it.
+/// State of a server for planning.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// What it says of itself.
+    /// The server's registration.
     pub server: Rc<Server>,
-    /// Whether an order is under way at it, or was a moment ago.
+    /// Whether a command is in progress, or its retry delay has not ended.
     pub is_loading: bool,
-    /// The model and version that it is loading, or has loaded without its entry showing it.
+    /// The model and version that the server is loading, or has loaded while its registration is out
+    /// of date.
     pub loading: Option<(String, u64)>,
-    /// Whether the load may take a part of what loads share.
+    /// Whether the load may use the bandwidth that loads share.
     pub is_transferring: bool,
-    /// Requests that are known to run there.
+    /// Number of requests known to run on the server.
     pub in_flight: u32,
 }
 
@@ -64,37 +61,40 @@
         &self.server.id
     }
 
-    /// The version of a model that its entry shows; 0 where it does not hold the model.
+    /// The registered version of a model, or 0 if the server does not have it.
     fn loaded(&self, model: &str) -> u64 {
         self.server.models.get(model).copied().unwrap_or(0)
     }
 
-    /// The version of a model that it is loading, or has loaded without its entry showing it.
+    /// The version of a model that the server is loading, or has loaded while its registration is
+    /// out of date.
     fn loading(&self, model: &str) -> Option<u64> {
         let loading = self.loading.as_ref().filter(|(loading, _)| loading == model);
         loading.map(|(_, version)| *version)
     }
 }
 
-/// What is known of a model's trainer.
+/// State of a model for planning.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelState {
-    /// Newest named version.
+    /// Newest published version.
     pub version: u64,
-    /// Tokens that its last step was expected to make; servers are shared out by this.
+    /// Expected number of tokens of the last step. Servers are divided in proportion to it.
     pub demand: u64,
-    /// Texts of its last step; 0 where none is known.
+    /// Number of items in the last step, or 0 if unknown.
     pub step_items: usize,
-    /// Whether its steps take so long that half of its servers are not enough.
+    /// Whether the model's steps are so slow that they need more than half of its servers.
     pub has_slow_steps: bool,
-    /// How long ago the newest version was named.
+    /// Time since the newest version was published.
     pub published_for: Duration,
-    /// Whether a text that runs through a load is of no use: all of it must come from one version.
+    /// Whether each item must be generated by one version, so that items interrupted by a load are
+    /// lost.
     pub requires_single_version: bool,
 }
 
 impl ModelState {
-    /// Servers of so many slots that its trainer's step_items need; all there are where no step is known.
+    /// Number of servers with `slots` slots each that the model needs; unlimited if its step size is
+    /// unknown.
     fn servers_needed(&self, slots: usize) -> usize {
         if self.step_items == 0 {
             return usize::MAX;
@@ -103,54 +103,56 @@
     }
 }
 
-/// When a load is to be ordered.
+/// When a load should be commanded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// At once: the server cannot run the step of the newest version, or half of the model's servers
-    /// lack it.
+    /// Immediately: the server cannot run the step of the newest version, or fewer than half of the
+    /// model's servers have the version.
     Now,
-    /// At once, after those that cannot run the step.
+    /// Immediately, after all `Now` loads.
     Soon,
-    /// Once the server has nothing to run.
+    /// Once the server has no requests.
     WhenIdle,
 }
 
 /// A load that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Load {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Version to load.
     pub version: u64,
-    /// When to order it.
+    /// When to command it.
     pub urgency: Urgency,
 }
 
-/// The loads of one model that are due, and how far its servers are.
+/// The due loads of one model, and the progress of its servers.
 struct Queue {
-    /// The most urgent last.
+    /// Sorted by urgency, the most urgent last.
     due: Vec<Load>,
-    /// Servers that can run a step of the newest version, or will once they have loaded.
+    /// Number of servers that can run a step of the newest version, or will after their current
+    /// load.
     ready: usize,
-    /// Servers that follow the model.
+    /// Number of servers assigned to the model.
     hosts: usize,
 }
 
 impl Queue {
-    /// What is taken first: urgent loads, and among them those of the model whose servers lag most.
+    /// Sort key of the next load, lowest first: its urgency, then the share of the model's servers
+    /// that are ready.
     fn priority(&self) -> Option<(Urgency, usize)> {
         let next = self.due.last()?;
         Some((next.urgency, self.ready * READY_SHARE_SCALE / self.hosts.max(1)))
     }
 }
 
-/// Steps in which the share of servers that are ready is told apart.
+/// Resolution of the share of ready servers in [`Queue::priority`].
 const READY_SHARE_SCALE: usize = 1000;
 
-/// The loads that are to be ordered now, or when their servers are idle; the most urgent first. As
-/// many as may be under way at once, shared out so that no model's servers lag behind the others'.
+/// Returns the loads to command now or when their servers are idle, the most urgent first. Limited
+/// by the number of concurrent loads, and balanced so that all models progress equally.
 pub fn loads_due(models: &BTreeMap<String, ModelState>, engines: &[EngineState]) -> Vec<Load> {
     let mut hosts = assign(models, engines);
     let mut queues: Vec<Queue> = models
@@ -187,7 +189,7 @@
     Queue { due, ready: hosts.iter().filter(is_ready).count(), hosts: hosts.len() }
 }
 
-/// The loads of a model's newest version, those of the oldest versions first.
+/// The due loads of a model's newest version. Servers with the oldest versions come first.
 fn due_for_model(model: &str, state: &ModelState, hosts: &[&EngineState]) -> Vec<Load> {
     let version = state.version;
     let loaded = |engine: &EngineState| engine.loaded(model);
@@ -221,19 +223,19 @@
     due
 }
 
-/// How well a server suits a model: the least comes first.
+/// A possible assignment of a server to a model. Lower values are better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// Versions that the server lags behind the newest one.
+    /// Number of versions that the server is behind.
     lag: u64,
-    /// Spreads models over servers that lag alike.
+    /// Hash that spreads models over servers with the same lag.
     tie_breaker: u64,
     engine: usize,
     model: usize,
 }
 
-/// Divides the servers among the models, in proportion to their demand and no more than each needs: a
-/// server follows one of them, the one it lags behind least. Some follow none.
+/// Assigns servers to models in proportion to demand, but no more than each model needs. Each server
+/// is assigned to at most one model, preferably the one it lags behind least.
 fn assign<'a>(
     models: &BTreeMap<String, ModelState>,
     engines: &'a [EngineState],
@@ -261,8 +263,8 @@
     hosts
 }
 
-/// The best candidates for a model. All models together take `total` servers, so no model's further ones can
-/// matter, and thousands of servers need not be put in order.
+/// The best candidates for a model. All models together use `total` servers, so only that many
+/// candidates are kept, which avoids sorting the whole fleet.
 fn best_candidates(
     model: usize,
     name: &str,
@@ -293,7 +295,7 @@
     candidates
 }
 
-/// How many servers each model gets: its part by demand, and no more than it needs.
+/// Number of servers for each model: its share by demand, limited to what it needs.
 fn shares(
     models: &BTreeMap<String, ModelState>,
     names: &[&str],
@@ -309,8 +311,8 @@
     parts.into_iter().zip(names).map(|(part, name)| part.min(needed(name))).collect()
 }
 
-/// Divides `total` by largest remainders, at least one for each part while they last. Parts whose
-/// demand is not known get a mean share.
+/// Divides `total` by the largest remainder method, with at least one per share if possible. Shares
+/// with unknown demand get the mean.
 fn divide(total: usize, demands: &[u64]) -> Vec<usize> {
     if demands.is_empty() {
         return Vec::new();
--- a/crates/heronbend-gateway/src/versions/published.rs
+++ b/crates/heronbend-gateway/src/versions/published.rs
@@ -1,4 +1,4 @@
-//! Versions that are named, and how steps and orders go on.
+//! Published versions, recent step times and the last accepted command.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -11,27 +11,27 @@
 
 use crate::lease_news::LeaseNews;
 
-/// A step that takes longer, with its training, needs more than half of its model's servers.
+/// Steps that take longer, including training, need more than half of the model's servers.
 const SLOW_STEP_THRESHOLD: Duration = Duration::from_millis(4200);
-/// Steps of a model that are looked at for this.
+/// Number of step times kept per model.
 const RECENT_STEPS: usize = 2;
 
-/// What is known of versions.
+/// Published versions and the progress of steps and commands, as known to this daemon.
 #[derive(Default)]
 pub struct PublishedVersions {
     newest: RefCell<HashMap<String, (u64, Moment)>>,
-    /// When the last order that is known of was taken.
+    /// When the last known command was accepted.
     last_command: Cell<Option<Moment>>,
-    /// Times that a model's newest steps took, from hand-in to the version that came of it.
+    /// Durations of the newest steps by model, from submission to the publication of the version.
     step_times: RefCell<HashMap<String, VecDeque<Duration>>>,
-    /// The lease for orders.
+    /// The lease for commands.
     pub lease: LeaseNews,
-    /// Notified when a version was named, or an order was taken.
+    /// Notified when a version is published or a command is accepted.
     pub changed: Event,
 }
 
 impl PublishedVersions {
-    /// Notes a named version; versions only rise. Whether it was news.
+    /// Records a published version. Returns whether it is newer than the known one.
     pub fn observe(&self, now: Moment, model: &str, version: u64) -> bool {
         let mut newest = self.newest.borrow_mut();
         let known = newest.get(model).map_or(0, |(known, _)| *known);
@@ -42,7 +42,7 @@
         version > known
     }
 
-    /// Notes how long a model's step took.
+    /// Records the duration of a step.
     pub fn record_step_time(&self, model: &str, time: Duration) {
         let mut times = self.step_times.borrow_mut();
         let times = times.entry(model.to_owned()).or_default();
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Whether a model's steps take so long that half of its servers are not enough for them.
+    /// Whether the model's steps are so slow that they need more than half of its servers.
     pub fn has_slow_steps(&self, model: &str) -> bool {
         let times = self.step_times.borrow();
         times.get(model).is_some_and(|times| times.iter().any(|time| *time > SLOW_STEP_THRESHOLD))
     }
 
-    /// Named versions by model, with the time since which this daemon knows them.
+    /// The newest published version by model, and when this daemon learned of it.
     pub fn newest(&self) -> HashMap<String, (u64, Moment)> {
         self.newest.borrow().clone()
     }
 
-    /// Notes that a server has taken an order.
+    /// Records that a server accepted a command from `holder`.
     pub fn note_command_accepted(&self, now: Moment, holder: NodeName) {
         self.lease.set_holder(now, holder);
         self.last_command.set(Some(now));
         self.changed.notify(usize::MAX);
     }
 
-    /// When the last order that is known of was taken.
+    /// When the last known command was accepted.
     pub fn last_command(&self) -> Option<Moment> {
         self.last_command.get()
     }
--- a/crates/heronbend-gateway/src/versions/watch.rs
+++ b/crates/heronbend-gateway/src/versions/watch.rs
@@ -1,4 +1,4 @@
-//! Named versions, and the daemons that follow them: those that are next in line for the lease.
+//! Watches published versions at the daemons that may take over the lease.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -19,19 +19,19 @@
 use crate::mirror::Source;
 use crate::ports::Object;
 
-/// Daemons that are ready to take the lease.
+/// Number of daemons that are ready to take over the lease.
 const CANDIDATES: usize = 3;
-/// Longest time between two looks whether this daemon is one of them.
+/// Maximum interval between checks whether this daemon is a candidate.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// Versions that are named within this time cost one call.
+/// How long to collect changes before reading them.
 const BATCHING_WINDOW: Duration = Duration::from_millis(5);
 
-/// Takes in the versions that trainers name.
+/// Applies published versions.
 pub struct VersionSink(pub Rc<Gateway>);
 
 impl MirrorSink for VersionSink {
     fn keep(&self, _names: &BTreeSet<String>) {
-        // Versions only rise: one whose object is gone was named all the same.
+        // Versions only increase, so a deleted object changes nothing.
     }
 
     fn put(&self, object: &Object) {
@@ -56,19 +56,19 @@
     }
 
     fn remove(&self, _name: &str) {
-        // As above.
+        // See `keep`.
     }
 }
 
-/// The job that was handed in last for a model.
+/// The most recently submitted job for a model.
 pub(super) fn newest_job(gateway: &Gateway, model: &str) -> Option<Rc<Job>> {
     let jobs = gateway.jobs.all().into_iter();
     jobs.filter(|job| job.ownership.borrow().0.model.as_deref() == Some(model))
         .max_by_key(|job| job.known_since)
 }
 
-/// Follows the versions that trainers name, while this daemon is among the first in line for the
-/// lease: the others have no use for them, and each watch has a price.
+/// Watches published versions while this daemon is a candidate for the lease. Other daemons do not
+/// need them, and each watch loads the store.
 pub async fn watch_versions(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().versions;
     gateway.members.introduction.wait().await;
@@ -93,7 +93,7 @@
     Timer::after(CHECK_PERIOD).await;
 }
 
-/// Whether this daemon is the holder of the lease, or among the first of those that are alive.
+/// Whether this daemon holds the lease or is among the first in the takeover order.
 pub(super) fn is_candidate(gateway: &Gateway) -> bool {
     let local = &gateway.identity.node;
     let is_holder =
@@ -101,7 +101,7 @@
     is_holder || takeover_position(gateway, None) < CANDIDATES
 }
 
-/// The first in line for the lease.
+/// The first daemons in the takeover order of the lease.
 pub(super) fn candidates(gateway: &Gateway) -> Vec<NodeId> {
     let mut nodes = gateway.members.alive();
     nodes.push(gateway.identity.node.clone());
@@ -110,7 +110,7 @@
     nodes
 }
 
-/// How many daemons that are alive come before this one, without `holder`.
+/// Number of live daemons ahead of this one in the takeover order, not counting `holder`.
 pub(super) fn takeover_position(gateway: &Gateway, holder: Option<&NodeName>) -> usize {
     let local = &gateway.identity.node;
     let mut nodes: Vec<NodeId> = gateway.members.alive();
