--- a/crates/heronbend-gateway/src/duties/billing.rs
+++ b/crates/heronbend-gateway/src/duties/billing.rs
@@ -1,4 +1,4 @@
-//! One request's entry in the usage.
+//! Usage accounting of one request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,18 +7,18 @@
 
 use super::usage::UsageTracker;
 
-/// Counts a request of a tenant once, when a server has begun it.
+/// Counts a tenant's request once, when a server starts it.
 pub struct Billing {
     usage: Rc<UsageTracker>,
     tenant: Box<str>,
     clock: Box<dyn Fn() -> Moment>,
-    /// When it was sent to a server that has not said that it did not run it.
+    /// When the request was sent, unless the server reported that it did not run it.
     sent_at: Cell<Option<Moment>>,
     is_counted: Cell<bool>,
 }
 
 impl Billing {
-    /// The entry of a request that no server has been sent.
+    /// Creates the accounting of a request that was not sent yet. `clock` returns the current time.
     pub fn new(
         usage: Rc<UsageTracker>,
         tenant: &str,
@@ -33,21 +33,21 @@
         }
     }
 
-    /// Notes that the request is being sent to a server, which may begin it without telling.
+    /// Records that the request is sent to a server, which may start it without any response.
     pub fn mark_sent(&self, at: Moment) {
         if self.sent_at.get().is_none() {
             self.sent_at.set(Some(at));
         }
     }
 
-    /// Notes that the server which was sent the request at `at` did not run it.
+    /// Records that the server to which the request was sent at `at` did not run it.
     pub fn mark_not_run(&self, at: Moment) {
         if self.sent_at.get() == Some(at) {
             self.sent_at.set(None);
         }
     }
 
-    /// Notes that a server began the request at `at`.
+    /// Records that a server started the request at `at`.
     pub fn mark_started(&self, at: Moment) {
         if !self.is_counted.replace(true) {
             self.usage.record_request((self.clock)(), at, &self.tenant);
@@ -56,7 +56,7 @@
 }
 
 impl Drop for Billing {
-    /// A request that ends without an answer was most likely begun.
+    /// Counts a request that ended without a response, since a server most likely started it.
     fn drop(&mut self) {
         if let Some(at) = self.sent_at.get() {
             self.mark_started(at);
--- a/crates/heronbend-gateway/src/duties/mod.rs
+++ b/crates/heronbend-gateway/src/duties/mod.rs
@@ -1,10 +1,10 @@
-//! Duties towards the provider of the machines, which one daemon at a time carries out.
+//! Duties towards the infrastructure provider. One daemon at a time performs them.
 //!
-//! - [`usage`]: what tenants use, as this daemon counts it and as others tell it.
-//! - [`billing`]: one request's entry in the book.
-//! - [`takeover`]: whose turn it is.
-//! - [`usage_broadcast`]: tells other daemons what was counted here.
-//! - [`reporting`]: settles windows and reports them.
+//! - [`usage`]: usage by tenant, as counted by this daemon and reported by others.
+//! - [`billing`]: usage accounting of one request.
+//! - [`takeover`]: the order in which daemons take over the duties.
+//! - [`usage_broadcast`]: sends this daemon's counts to other daemons.
+//! - [`reporting`]: settles and reports usage windows.
 //! - [`scaling`]: orders servers.
 
 pub mod billing;
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -1,4 +1,4 @@
-//! Settles windows of usage and reports them, at the daemon whose turn it is.
+//! Settles usage windows and reports them to the provider, at the daemon that holds the lease.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,17 +28,17 @@
 /// Kind and name of the record of settled windows.
 const RECORD_KIND: &str = "heronbend-usage";
 const RECORD_NAME: &str = "settled";
-/// Share of the time for a report that passes between a window's end and its settling: requests of
-/// that window still end, and daemons tell of them.
+/// Fraction of the reporting deadline that passes between the end of a window and its settlement.
+/// Leaves time for requests of the window to end and for daemons to send their counts.
 const SETTLE_DELAY_RATIO: f64 = 0.25;
-/// How long a daemon waits for the one before it in line, after it could have reported.
+/// How long each daemon waits for the one ahead of it in the takeover order before it reports.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
-/// Time between two looks whose turn it is.
+/// Interval between checks whether this daemon should act.
 const CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// Time without a success after which another daemon had better try: this one may be cut off. Most
-/// outages of the provider are shorter, and a change of the holder takes as long.
+/// Time of continuous failure after which another daemon should try, since this one may be
+/// partitioned. Longer than most provider outages, as a takeover takes time too.
 const YIELD_AFTER: Duration = Duration::from_secs(6);
-/// Time for which a daemon that has yielded waits behind all others.
+/// How long a daemon that has yielded waits behind all others.
 const YIELD_DURATION: Duration = Duration::from_secs(12);
 
 struct Reporter {
@@ -51,7 +51,7 @@
     yielded_until: Moment,
 }
 
-/// Runs until the daemon ends.
+/// Runs until the daemon stops.
 pub async fn run(
     gateway: Rc<Gateway>,
     usage: Rc<UsageTracker>,
@@ -84,7 +84,7 @@
 }
 
 impl Reporter {
-    /// Time after a window's end at which it is settled.
+    /// Delay between the end of a window and its settlement.
     fn settle_delay(&self) -> Duration {
         self.usage.schedule().deadline.mul_f64(SETTLE_DELAY_RATIO)
     }
@@ -110,8 +110,8 @@
         if position == 0 {
             return now >= since;
         }
-        // Who has just taken the lease has to wait for the one before it. To take it away meanwhile
-        // would make both wait anew.
+        // A new holder waits until the former one may no longer act. Taking the lease from it in the
+        // meantime would restart the wait.
         let holder_active = gateway.duty_lease.last_renewal().unwrap_or_default()
             + LEASE_DURATION
             + gateway.tuning().lease_pause;
@@ -119,7 +119,7 @@
             + TAKEOVER_DELAY * u32::try_from(position).unwrap_or(u32::MAX)
     }
 
-    /// Does what is due next; rests after a failure.
+    /// Performs the next step, with backoff after a failure.
     async fn step(&mut self) {
         let done = self.try_step().await;
         if done {
@@ -163,7 +163,7 @@
         self.usage.window(settled_until).before(1)
     }
 
-    /// Settles what has closed; false when the record is not known afterwards.
+    /// Settles all closed windows. Returns false if the stored record is unknown afterwards.
     async fn settle(&self) -> bool {
         let proposal = {
             let settlement = self.usage.settlement.borrow();
@@ -189,7 +189,7 @@
                 );
                 self.apply_record(&object)
             }
-            // Another daemon has settled meanwhile; what it settled is what is reported.
+            // Another daemon settled the windows; its record is the one to report.
             Err(StoreError::Conflict(Some(object))) => self.apply_record(&object),
             Err(error) => {
                 log::warn!("event=usage_not_settled error=\"{error}\"");
@@ -231,7 +231,7 @@
         );
         match sent {
             Ok(()) => {}
-            // It would be refused again: later windows must not wait for it.
+            // A retry would be rejected too, and must not block later windows.
             Err(ProviderError::Refused(_)) => {}
             Err(ProviderError::Fenced) => {
                 self.lease.lost_track();
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders servers, at the daemon that holds the lease for duties.
+//! Scales services by ordering servers, at the daemon that holds the lease.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -33,19 +33,19 @@
 use crate::ports::ServerOrder;
 use crate::ports::StoreError;
 
-/// Kind of the records of what was ordered; their names are those of the services.
+/// Kind of the planner state records, which are named by service.
 const RECORD_KIND: &str = "heronbend-scaling";
-/// Time between two looks at what is to be ordered. Servers take longer to start.
+/// Interval between plans. Shorter than the start time of a server.
 const PLANNING_PERIOD: Duration = Duration::from_secs(1);
-/// Time after the start, or after the store answers again, in which nothing is ordered: entries of
-/// servers come back within two seconds.
+/// Time after a start or store outage during which nothing is ordered, so that servers can register
+/// again.
 const STABILIZATION_TIME: Duration = Duration::from_secs(5);
-/// Steps that ended within this time are looked at.
+/// How long completed steps are considered.
 const RECENT_STEP_WINDOW: Duration = Duration::from_secs(10);
-/// How many revocable servers are ordered.
+/// Policy for revocable servers.
 const POLICY: Policy = Policy::OnDemandOnly;
 
-/// What is known of the orders of one service.
+/// Planner of one service, and the revision of its stored state.
 struct ServicePlan {
     planner: Planner,
     revision: Option<Revision>,
@@ -56,11 +56,11 @@
     provider: Rc<dyn Provider>,
     lease: Rc<LeaseKeeper>,
     plans: BTreeMap<String, ServicePlan>,
-    /// When a step was last seen to be near its limit.
+    /// When a step was last seen near its deadline.
     last_pressure: Moment,
 }
 
-/// Runs until the daemon ends.
+/// Runs until the daemon stops.
 pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseKeeper>) {
     gateway.members.introduction.wait().await;
     let mut scaler =
@@ -70,7 +70,7 @@
         if scaler.is_stable() && takeover::is_first(&scaler.gateway) {
             scaler.scale_all().await;
         } else {
-            // Whoever orders meanwhile writes what it ordered.
+            // Another daemon may order servers now; its state is read from the store later.
             scaler.plans.clear();
         }
     }
@@ -116,7 +116,7 @@
         let mut has_changed = plan.planner.record_floor(&zones);
         let now = self.gateway.now();
         for order in plan.planner.plan(now, &scaling.spec, &zones, demand) {
-            // Nothing is sent there: servers would be paid for and stand idle.
+            // No requests are sent to an evacuated zone, so new servers would be idle.
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The servers of a service by zone, as they are listed.
+    /// The ready servers of a service by zone.
     fn zones(&self, service: &str, scaling: &Scaling) -> Vec<Zone> {
         let directory = self.gateway.directory.borrow();
         let ready = directory
@@ -155,7 +155,7 @@
         zones.into_values().collect()
     }
 
-    /// How near to their limit the steps of a service are.
+    /// How close the steps of a service are to their deadline.
     fn demand(&mut self, configuration: &Configuration, service: &str) -> Demand {
         let now = self.gateway.now();
         let deadline = configuration
@@ -207,7 +207,7 @@
         );
         match result {
             Ok(()) => OrderOutcome::Accepted,
-            // It would be refused again: the same rest as where there are none.
+            // A retry would be rejected too, so back off as if there were no capacity.
             Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
                 self.lease.lost_track();
@@ -217,7 +217,7 @@
         }
     }
 
-    /// What was ordered before; nothing where the store does not tell.
+    /// Reads the stored planner state. Returns `None` if the store fails or the record is malformed.
     async fn load_plan(&self, service: &str) -> Option<ServicePlan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Writes what was ordered; false when it has to be read again.
+    /// Writes the planner state. Returns false if it has to be read again.
     async fn save_plan(&self, service: &str, plan: &mut ServicePlan) -> bool {
         let content = serde_json::json!(plan.planner.state());
         let store = &self.gateway.store;
@@ -267,7 +267,7 @@
     }
 }
 
-/// Time that a trainer's step has taken, if it is under way or ended a moment ago.
+/// Duration of a trainer's step so far, if it is in progress or ended recently.
 fn step_time(job: &Job, now: Moment) -> Option<Duration> {
     job.ownership.borrow().0.model.as_ref()?;
     match job.ended_since.get() {
--- a/crates/heronbend-gateway/src/duties/takeover.rs
+++ b/crates/heronbend-gateway/src/duties/takeover.rs
@@ -1,7 +1,7 @@
-//! Whose turn it is to carry the duties out.
+//! Order in which daemons take over the duties.
 //!
-//! The last holder of the lease goes on while it is alive. Then come the others, in an order that is
-//! the same at every daemon; each waits longer than the one before it.
+//! The last holder of the lease continues while it is alive. The other daemons follow in an order
+//! that is the same at every daemon, with increasing delays.
 
 use heronbend::identity::NodeId;
 use heronbend::identity::NodeName;
@@ -9,10 +9,10 @@
 
 use crate::gateway::Gateway;
 
-/// What the order of the daemons goes by.
+/// Prefix of the hashed node names.
 const HASH_KEY: &str = "duties";
 
-/// The daemons `alive` in the order in which they take the duties over.
+/// Sorts the daemons in `alive` by takeover order.
 pub fn takeover_order(mut alive: Vec<NodeId>, holder: Option<&NodeName>) -> Vec<NodeId> {
     alive.sort_by_cached_key(|node| {
         let hash = rapidhash_v3(format!("{HASH_KEY}/{}", node.name).as_bytes());
@@ -21,7 +21,7 @@
     alive
 }
 
-/// The daemons that may carry the duties out now, in order, as this daemon sees it.
+/// Live daemons in takeover order, as known to this daemon. Without this daemon if it is draining.
 pub fn current_order(gateway: &Gateway) -> Vec<NodeId> {
     let mut alive = gateway.members.alive();
     if !gateway.draining.get() {
@@ -30,12 +30,12 @@
     takeover_order(alive, gateway.duty_lease.holder().as_ref())
 }
 
-/// Whether the duties fall to this daemon now.
+/// Whether this daemon is the first in the takeover order.
 pub fn is_first(gateway: &Gateway) -> bool {
     current_order(gateway).first() == Some(&gateway.identity.node)
 }
 
-/// The place of `me` in a line, counted from 0; behind all where it is not in it.
+/// Position of `node` in `order`, or the length of `order` if it is missing.
 pub fn position(order: &[NodeId], node: &NodeId) -> usize {
     order.iter().position(|other| other == node).unwrap_or(order.len())
 }
--- a/crates/heronbend-gateway/src/duties/usage.rs
+++ b/crates/heronbend-gateway/src/duties/usage.rs
@@ -1,4 +1,4 @@
-//! What tenants use, as this daemon counts it and as others tell it.
+//! Usage by tenant, as counted by this daemon and reported by others.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -14,39 +14,39 @@
 use heronbend::usage::WindowClock;
 use heronbend::Moment;
 
-/// Windows whose counts are kept after their end: those that may still be settled.
+/// Number of past windows whose counts are kept, since they may still be settled.
 const RETAINED_WINDOWS: u64 = 60;
 
-/// How usage is to be reported.
+/// When usage is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportingSchedule {
     /// Length of a window.
     pub window: Duration,
-    /// Time after a window's end within which it is to be reported.
+    /// Maximum time from the end of a window to its report.
     pub deadline: Duration,
 }
 
-/// The usage that one daemon knows.
+/// The usage known to one daemon.
 pub struct UsageTracker {
     schedule: ReportingSchedule,
     local_node: NodeId,
     clock: RefCell<WindowClock>,
     ledger: RefCell<Ledger>,
-    /// Windows that are settled and reported.
+    /// Settled and reported windows.
     pub settlement: RefCell<Settlement>,
-    /// Notified when this daemon has counted a request.
+    /// Notified when this daemon counts a request.
     pub counted: Event,
-    /// Notified when a window was reported.
+    /// Notified when a window is reported.
     pub reported: Event,
 }
 
-/// The wall clock, as time since the Unix epoch.
+/// Wall clock time since the Unix epoch.
 fn wall_clock() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
 impl UsageTracker {
-    /// An empty book of a daemon whose steady clock reads `now`.
+    /// Creates an empty tracker at monotonic time `now`.
     pub fn new(local_node: NodeId, schedule: ReportingSchedule, now: Moment) -> Self {
         let clock = WindowClock::new(schedule.window, now, wall_clock());
         let first = clock.window(now);
@@ -61,36 +61,36 @@
         }
     }
 
-    /// How usage is to be reported.
+    /// When usage is reported.
     pub fn schedule(&self) -> ReportingSchedule {
         self.schedule
     }
 
-    /// Time since the Unix epoch, as windows follow it.
+    /// Time since the Unix epoch, on the clock that windows follow.
     pub fn time(&self, now: Moment) -> Duration {
         self.clock.borrow_mut().read(now, wall_clock())
     }
 
-    /// Takes over the time of a daemon that has run for longer.
+    /// Adopts the window clock of a daemon that has run for longer.
     pub fn adopt_peer_time(&self, now: Moment, peer_time: Duration) {
         if self.clock.borrow_mut().adopt_peer_time(now, peer_time) {
             log::warn!("event=wall_clock_differs theirs_ms={}", peer_time.as_millis());
         }
     }
 
-    /// The window in which something happened at `at`.
+    /// The window that contains `at`.
     pub fn window(&self, at: Moment) -> Window {
         self.clock.borrow().window(at)
     }
 
-    /// When a window ends, by this daemon's steady clock.
+    /// When a window ends, in monotonic time.
     pub fn end(&self, window: Window) -> Moment {
         self.clock.borrow().end(window)
     }
 
-    /// Counts a request of a tenant that a server began at `at`.
+    /// Counts a request of a tenant that a server started at `at`.
     pub fn record_request(&self, now: Moment, at: Moment, tenant: &str) {
-        // Keeps the clock's course known.
+        // Updates the window clock.
         self.time(now);
         let window = self.window(at);
         self.warn_if_reported(window, &self.local_node);
@@ -98,21 +98,21 @@
         self.counted.notify(usize::MAX);
     }
 
-    /// Takes in what another daemon has counted; a daemon's counts only grow.
+    /// Merges the counts of another daemon. They only grow, so old ones have no effect.
     pub fn merge(&self, daemon: &NodeId, window: Window, counts: &Counts) {
         if self.ledger.borrow_mut().merge(daemon, window, counts) {
             self.warn_if_reported(window, daemon);
         }
     }
 
-    /// What was counted in a settled window is never added to its report.
+    /// Logs counts that arrive after the window was reported; they are missing from its report.
     fn warn_if_reported(&self, window: Window, daemon: &NodeId) {
         if self.settlement.borrow().is_reported(window) {
             log::warn!("event=usage_late window={} daemon={daemon}", window.0);
         }
     }
 
-    /// The counts of this daemon, by window.
+    /// The counts of this daemon by window.
     pub fn local_counts(&self) -> Vec<(Window, Counts)> {
         let ledger = self.ledger.borrow();
         ledger
@@ -121,12 +121,12 @@
             .collect()
     }
 
-    /// What all daemons together have counted in a window.
+    /// The counts of all daemons in a window.
     pub fn total(&self, window: Window) -> Counts {
         self.ledger.borrow().total(window)
     }
 
-    /// Notes that a report of a window was accepted.
+    /// Records that a window was reported successfully, and removes old counts.
     pub fn mark_reported(&self, window: Window) {
         self.settlement.borrow_mut().mark_reported(window);
         self.ledger.borrow_mut().forget_before(window.before(RETAINED_WINDOWS));
--- a/crates/heronbend-gateway/src/duties/usage_broadcast.rs
+++ b/crates/heronbend-gateway/src/duties/usage_broadcast.rs
@@ -1,7 +1,8 @@
-//! Tells other daemons what was counted here, so that counts outlive this daemon.
+//! Sends this daemon's usage counts to other daemons, so that they survive its loss.
 //!
-//! The first daemons in line are sent, by datagrams. Each tells all that was counted in a window so
-//! far, so one that is lost is made good by the next; the last one of a window is sent twice.
+//! The first daemons in the takeover order receive the counts as datagrams. Each datagram has the
+//! full counts of a window, so a lost one is replaced by the next; the final one of a window is
+//! repeated.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,19 +19,18 @@
 use crate::peers::Hint;
 use crate::wait;
 
-/// Daemons that are sent: a loss of half of all at the same moment leaves one of them nine times in
-/// ten.
+/// Number of daemons that receive the counts, so that they survive the loss of several daemons.
 const MAX_RECIPIENTS: usize = 4;
-/// Counts of this long are sent together.
+/// How long to collect counts before sending them.
 const BATCHING_WINDOW: Duration = Duration::from_millis(300);
-/// Longest time between two looks at who is to be sent.
+/// Maximum interval between checks for new recipients.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// Time after a window's end at which its counts are sent once more.
+/// Time after the end of a window at which its counts are sent again.
 const REPEAT_AFTER: Duration = Duration::from_millis(900);
-/// Tenants in one datagram, so that it fits.
+/// Keeps a hint within one datagram.
 const MAX_TENANTS_PER_HINT: usize = 150;
 
-/// What was sent of a window.
+/// The last update sent for a window.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct SentUpdate {
     total: u64,
@@ -38,7 +38,7 @@
     is_repeated: bool,
 }
 
-/// Runs until the daemon ends.
+/// Runs until the daemon stops.
 pub async fn run(gateway: Rc<Gateway>, usage: Rc<UsageTracker>) {
     let mut sent: BTreeMap<Window, SentUpdate> = BTreeMap::new();
     loop {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Tells what has changed, or has not been sent to those who collect now.
+/// Sends counts that have changed or were not sent to the current recipients.
 fn send_updates(gateway: &Gateway, usage: &UsageTracker, sent: &mut BTreeMap<Window, SentUpdate>) {
     let recipients = recipients(gateway);
     let now = gateway.now();
@@ -75,7 +75,7 @@
     }
 }
 
-/// The other daemons that are sent: those that report next, should the holder be lost.
+/// The daemons that receive the counts: the first in the takeover order, without the local one.
 fn recipients(gateway: &Gateway) -> Vec<NodeId> {
     let local = &gateway.identity.node;
     let mut nodes = takeover::current_order(gateway);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Tells everything once more, before this daemon stops.
+/// Sends all counts once more before this daemon stops.
 pub fn send_final(gateway: &Gateway, usage: &UsageTracker) {
     send_updates(gateway, usage, &mut BTreeMap::new());
 }
--- a/crates/heronbend-gateway/src/ports/dialect.rs
+++ b/crates/heronbend-gateway/src/ports/dialect.rs
@@ -1,4 +1,4 @@
-//! How the surroundings spell calls, headers and objects.
+//! Format of API calls, headers and stored objects on a platform.
 
 use bytes::Bytes;
 use heronbend::access::KeyHasher;
@@ -11,49 +11,49 @@
 use crate::directory::Server;
 use crate::versions::{EngineReport, PublishedVersion, VersionCommand};
 
-/// A body or an object that cannot be understood.
+/// A malformed body or object.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{place}: {problem}")]
 pub struct DialectError {
-    /// Where in the body, or the object's kind and name.
+    /// Location in the body, or the kind and name of the object.
     pub place: String,
-    /// What is wrong there.
+    /// Description of the problem.
     pub problem: String,
 }
 
 impl DialectError {
-    /// An error at a place.
+    /// Creates an error for a location.
     pub fn new(place: impl Into<String>, problem: impl ToString) -> Self {
         Self { place: place.into(), problem: problem.to_string() }
     }
 }
 
-/// Names of the headers that the service reads or sets.
+/// Names of the HTTP headers that the service reads or sets.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identifier of a request, kept end to end.
+    /// Request id, propagated end to end.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will still wait.
+    /// How long the sender will still wait, in milliseconds.
     pub deadline_millis: HeaderName,
-    /// The server that is meant; any other refuses.
+    /// Id of the intended server. Any other server rejects the request.
     pub expected_server: HeaderName,
-    /// Present when a server refused without running the request.
+    /// Set by a server that rejected a request without running it.
     pub not_run: HeaderName,
-    /// Signature of a server on its answer.
+    /// Signature of a response by the server.
     pub signature: HeaderName,
-    /// Last event of a stream that the caller has.
+    /// Id of the last stream event that the caller received, for resumption.
     pub last_event: HeaderName,
-    /// Longest time in milliseconds that an answer may be held back until there is news.
+    /// Maximum duration of a long poll, in milliseconds.
     pub wait_millis: HeaderName,
-    /// The version of the weights that a request has to run under; any other server refuses.
+    /// Weight version that the request must run with. Servers with another version reject it.
     pub expected_version: HeaderName,
-    /// The model that a request needs.
+    /// Model that the request needs.
     pub model: HeaderName,
-    /// Version of the weights that an answer starts under.
+    /// Weight version at the start of the response.
     pub weight_version: HeaderName,
-    /// The tenant on whose behalf a server runs a request; set by the service alone.
+    /// Tenant of a request to a server. Only the service sets it.
     pub tenant: HeaderName,
-    /// Rank of a request at a server: those with a lower one are admitted first.
+    /// Priority of a request at a server. Lower values are admitted first.
     pub priority: HeaderName,
 }
 
@@ -62,50 +62,50 @@
 pub struct OperatorKinds {
     /// Kind of the configuration.
     pub configuration: &'static str,
-    /// Name of the configuration in force.
+    /// Name of the active configuration.
     pub configuration_name: &'static str,
-    /// Kind of the servers.
+    /// Kind of the server registrations.
     pub servers: &'static str,
-    /// Kind of the versions that trainers name.
+    /// Kind of the published versions.
     pub versions: &'static str,
-    /// Kind of the requests to empty a machine with a disk.
+    /// Kind of the requests to retire a machine that stores data.
     pub retirements: &'static str,
-    /// Kind of the evacuations, which are named by their zones.
+    /// Kind of the evacuations, which are named by zone.
     pub evacuations: &'static str,
 }
 
-/// What a caller asks of a daemon.
+/// An API call of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// To pass a request on by the routes; also how a batch job is handed in.
+    /// Forward a request by the routes, or submit a batch job.
     Forward,
-    /// To read results of a batch job.
+    /// Read results of a batch job.
     ReadResults {
-        /// The batch job.
+        /// Id of the batch job.
         job: String,
-        /// Position to begin at.
+        /// Position of the first result.
         from: usize,
     },
-    /// To read the body of an item.
+    /// Read the body of a batch item.
     ReadItem {
-        /// The batch job.
+        /// Id of the batch job.
         job: String,
-        /// The item.
+        /// Id of the item.
         item: String,
     },
-    /// To end a batch job.
+    /// End a batch job.
     EndJob {
-        /// The batch job.
+        /// Id of the batch job.
         job: String,
     },
-    /// A call of the service's own interface that is not well formed.
+    /// A malformed call of the service's own API, with the problem.
     Malformed(&'static str),
 }
 
-/// A request to a server's own interface.
+/// A request to a server's management API.
 #[derive(Debug, Clone)]
 pub struct ServerCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -113,36 +113,37 @@
     pub body: Bytes,
 }
 
-/// Translates between the service and its surroundings. Implementations decide nothing.
+/// Converts between the service's types and the platform's formats. Implementations contain no
+/// policy.
 pub trait Dialect {
-    /// Names of headers.
+    /// Names of the HTTP headers.
     fn headers(&self) -> &HeaderNames;
-    /// Names of kinds.
+    /// Kinds and names of objects.
     fn kinds(&self) -> &OperatorKinds;
-    /// What a request asks for.
+    /// Parses an API call.
     fn call(&self, method: &Method, path: &str, query: Option<&str>) -> Call;
-    /// The operator's configuration; keys in it are kept as digests of `hasher`.
+    /// Parses the configuration. Access keys are stored as digests made with `hasher`.
     fn configuration(
         &self,
         content: &Value,
         hasher: &KeyHasher,
     ) -> Result<Configuration, DialectError>;
-    /// A server's entry.
+    /// Parses a server registration.
     fn server(&self, id: &str, content: &Value) -> Result<Server, DialectError>;
-    /// A version of weights that a trainer named.
+    /// Parses a published version.
     fn published_version(&self, content: &Value) -> Result<PublishedVersion, DialectError>;
-    /// A batch job as handed in.
+    /// Parses a submitted batch job.
     fn job(&self, id: &str, body: &[u8]) -> Result<JobSpecification, DialectError>;
-    /// The answer to a reader of results.
+    /// Formats a page of results.
     fn results(&self, page: &ResultsPage) -> Bytes;
-    /// Asks a server for its state.
+    /// Builds the request for a server's report.
     fn report_call(&self) -> ServerCall;
-    /// A server's state.
+    /// Parses a server's report.
     fn report(&self, body: &[u8]) -> Result<EngineReport, DialectError>;
-    /// Orders a server to load a version.
+    /// Builds the request that makes a server load a version.
     fn command_call(&self, order: &VersionCommand) -> ServerCall;
-    /// The status that says a machine holds nothing any more.
+    /// The status of a retired machine, which stores no more data.
     fn retired_status(&self) -> Value;
-    /// Whether a status says so.
+    /// Whether a status says that the machine is retired.
     fn is_retired(&self, status: &Value) -> bool;
 }
--- a/crates/heronbend-gateway/src/ports/mod.rs
+++ b/crates/heronbend-gateway/src/ports/mod.rs
@@ -1,11 +1,12 @@
-//! What the service needs from its surroundings, as traits.
+//! Traits for the external systems that the service depends on.
 //!
-//! - [`object_store`]: objects by kind and name, with conditions and watches. Everything that must
-//!   last is kept there.
-//! - [`provider`]: who provides the machines: reports of usage, orders for servers.
-//! - [`dialect`]: how calls, headers and the operator's objects are spelled.
+//! - [`object_store`]: objects by kind and name, with conditional writes and watches. Holds all
+//!   durable state.
+//! - [`provider`]: the infrastructure provider, which receives usage reports and orders for servers.
+//! - [`dialect`]: format of API calls, headers and stored objects.
 //!
-//! `heronbend-platform` implements both for the users' platform; tests implement them in memory.
+//! `heronbend-platform` implements them for the users' platform; tests use in-memory
+//! implementations.
 
 pub mod dialect;
 pub mod object_store;
@@ -19,13 +20,13 @@
 };
 pub use provider::{Actor, Provider, ProviderError, ServerOrder};
 
-/// The surroundings of a daemon.
+/// External systems of a daemon.
 #[derive(Clone)]
 pub struct Ports {
-    /// Where everything lasting is kept.
+    /// Store for durable state.
     pub store: Rc<dyn ObjectStore>,
-    /// How the surroundings spell things.
+    /// Formats of the platform.
     pub dialect: Rc<dyn Dialect>,
-    /// Who provides the machines, where the daemon has duties towards them.
+    /// Infrastructure provider, if this daemon has duties towards it.
     pub provider: Option<Rc<dyn Provider>>,
 }
--- a/crates/heronbend-gateway/src/ports/object_store.rs
+++ b/crates/heronbend-gateway/src/ports/object_store.rs
@@ -1,4 +1,4 @@
-//! A store of small objects with compare-and-swap and watches.
+//! Interface of a store for small objects, with compare-and-swap and watches.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,39 +9,40 @@
 
 use crate::encoded_object::EncodedObject;
 
-/// The store's counter of changes; larger for a later change.
+/// Store-wide change counter. Increases with every change.
 pub type Revision = u64;
 
-/// An object as it was at one revision.
+/// An object at one revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Object {
     /// Name, unique within its kind.
     pub name: String,
-    /// Revision of its last change.
+    /// Revision of the last change.
     pub revision: Revision,
-    /// What its owner wrote.
+    /// Content written by the owner.
     pub content: Value,
-    /// What the system reported about it; null when nothing was.
+    /// Status reported by the system, or null.
     pub status: Value,
 }
 
-/// One page of the objects of a kind, ordered by name.
+/// A page of the objects of a kind, ordered by name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listing {
     /// The objects.
     pub objects: Vec<Object>,
-    /// Whether further objects follow the last one.
+    /// Whether more objects follow.
     pub more: bool,
     /// Revision at which the page was read.
     pub at: Revision,
 }
 
-/// What happened to an object. Whoever takes changes in parses one at a time: thousands may come at once.
+/// A change of an object. Objects stay encoded until they are used, since thousands of changes may
+/// arrive at once.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// It was made or replaced.
+    /// The object was created or replaced.
     Set(Rc<EncodedObject>),
-    /// It was removed; its name.
+    /// The object with this name was removed.
     Removed(String),
 }
 
@@ -54,58 +55,58 @@
     pub at: Revision,
 }
 
-/// Which state of an object a write applies to.
+/// Condition of a write on the state of the object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// The object is at this very revision.
+    /// The object is at exactly this revision.
     At(Revision),
-    /// Whatever its revision.
+    /// No condition.
     Any,
 }
 
-/// Why a call to the store has no result.
+/// Error of a call to the store.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum StoreError {
-    /// Nothing was done, and nothing will be; a repeat is safe.
+    /// The call had no effect and never will; it may be retried.
     #[error("nothing was done: {0}")]
     NotDone(String),
-    /// The call may have been done, or may be done later while its condition holds.
+    /// The call may have had an effect, or may still have one while its condition holds.
     #[error("the outcome is unknown: {0}")]
     Unknown(String),
-    /// The condition did not hold; the object as it is, where the store tells it.
+    /// The condition did not hold. Has the current object if the store returns it.
     #[error("the object is in another state")]
     Conflict(Option<Box<Object>>),
-    /// There is no such object.
+    /// The object does not exist.
     #[error("there is no such object")]
     NotFound,
-    /// The store refuses calls for the moment; nothing was done.
+    /// The store is rejecting calls; the call had no effect.
     #[error("the store is refusing calls")]
     Throttled,
-    /// The history from the given revision on is gone: list anew.
+    /// The history since the given revision is gone; list the objects again.
     #[error("the history is gone")]
     HistoryGone,
-    /// The answer cannot be understood.
+    /// The response could not be parsed.
     #[error("the answer is malformed: {0}")]
     Malformed(String),
 }
 
 impl StoreError {
-    /// Whether the call certainly had no effect and never will.
+    /// Whether the call had no effect and never will.
     pub fn is_not_done(&self) -> bool {
         !matches!(self, Self::Unknown(_) | Self::Malformed(_))
     }
 }
 
-/// The store. Reads are linearizable; what a write acknowledged is never lost.
+/// An object store. Reads are linearizable, and acknowledged writes are durable.
 #[async_trait(?Send)]
 pub trait ObjectStore {
     /// Lists the objects of a kind whose names follow `after`.
     async fn list(&self, kind: &str, after: Option<&str>) -> Result<Listing, StoreError>;
 
-    /// Reads one object.
+    /// Reads an object. Returns `None` if it does not exist.
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError>;
 
-    /// Waits up to `wait` for changes of a kind that follow `since`.
+    /// Waits up to `wait` for changes of a kind after `since`.
     async fn watch(
         &self,
         kind: &str,
@@ -113,10 +114,10 @@
         wait: Duration,
     ) -> Result<Changes, StoreError>;
 
-    /// Makes an object; a conflict when its name is taken.
+    /// Creates an object. Fails with a conflict if the name exists.
     async fn create(&self, kind: &str, name: &str, content: Value) -> Result<Object, StoreError>;
 
-    /// Replaces an object's content.
+    /// Replaces the content of an object.
     async fn replace(
         &self,
         kind: &str,
@@ -125,7 +126,7 @@
         condition: Condition,
     ) -> Result<Object, StoreError>;
 
-    /// Replaces an object's status.
+    /// Replaces the status of an object.
     async fn replace_status(
         &self,
         kind: &str,
@@ -134,10 +135,9 @@
         condition: Condition,
     ) -> Result<Object, StoreError>;
 
-    /// Asks for as little as possible, to learn whether the store answers. What it answers may be
-    /// out of date.
+    /// Makes a minimal call to check that the store responds. May read stale data.
     async fn probe(&self) -> Result<(), StoreError>;
 
-    /// Removes an object; no error when there is none.
+    /// Removes an object. Succeeds if it does not exist.
     async fn remove(&self, kind: &str, name: &str) -> Result<(), StoreError>;
 }
--- a/crates/heronbend-gateway/src/ports/provider.rs
+++ b/crates/heronbend-gateway/src/ports/provider.rs
@@ -1,58 +1,58 @@
-//! Whoever provides the machines: is told what tenants use, and takes orders for servers.
+//! Interface of the infrastructure provider, which receives usage reports and orders for servers.
 
 use async_trait::async_trait;
 use heronbend::identity::NodeName;
 use heronbend::usage::Report;
 use thiserror::Error;
 
-/// On whose authority a call is made.
+/// The lease holder on whose behalf a call is made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Actor {
-    /// The machine that holds the lease for the duty.
+    /// The node that holds the lease.
     pub holder: NodeName,
-    /// Fencing token of the lease: rises with every renewal.
+    /// Fencing token of the lease; increases with every renewal.
     pub fence: u64,
 }
 
-/// An order for servers of one service in one zone.
+/// Sets the number of servers of a service in a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// How many of this kind there are to be.
+    /// Target number of servers of this kind.
     pub count: u32,
-    /// Whether they cost less and may be taken away.
+    /// Whether the servers are cheaper but may be revoked by the provider.
     pub is_revocable: bool,
 }
 
-/// Why a call did not succeed.
+/// Error of a call to the provider.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProviderError {
-    /// Nothing was done; a later call may succeed.
+    /// The call had no effect; a retry may succeed.
     #[error("nothing was done: {0}")]
     NotDone(String),
-    /// There are no such servers to be had now.
+    /// No such servers are available now.
     #[error("none are to be had now")]
     NoCapacity,
-    /// A later holder has acted.
+    /// A later holder of the lease has already made calls.
     #[error("a later holder has acted")]
     Fenced,
-    /// The call is refused, and would be again.
+    /// The call was rejected, and a retry would be too.
     #[error("refused: {0}")]
     Refused(String),
-    /// It may have been done, or may be done later.
+    /// The call may have had an effect, or may still have one.
     #[error("the outcome is unknown: {0}")]
     Unknown(String),
 }
 
-/// The provider.
+/// An infrastructure provider.
 #[async_trait(?Send)]
 pub trait Provider {
-    /// Reports a window's usage. A report that repeats another exactly changes nothing.
+    /// Reports the usage of a window. Idempotent for identical reports.
     async fn report_usage(&self, report: &Report, actor: &Actor) -> Result<(), ProviderError>;
 
-    /// Orders a number of servers.
+    /// Sets the number of servers of a service in a zone.
     async fn order_servers(&self, order: &ServerOrder, actor: &Actor) -> Result<(), ProviderError>;
 }
