--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use heronbend::placement::AttemptEnd;
-use heronbend::placement::Fitness;
-use heronbend::placement::History;
-use heronbend::placement::Need;
+use heronbend::placement::AttemptHistory;
+use heronbend::placement::AttemptOutcome;
+use heronbend::placement::Requirements;
 use heronbend::placement::Urgency;
+use heronbend::placement::VersionStatus;
 use heronbend::quarantine::Fingerprint;
 use heronbend::Moment;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
@@ -89,7 +89,7 @@
     service: Option<String>,
     /// The server whose attempt ended last, to be avoided once, and those that failed at it: one more
     /// failure may be the last that the route allows.
-    history: History,
+    history: AttemptHistory,
     /// Found when it is first asked for.
     fingerprint: OnceCell<Fingerprint>,
     /// Whether it has been logged that the item is held back.
@@ -114,7 +114,7 @@
         idle_attempts: 0,
         route_missing: None,
         service: None,
-        history: History::default(),
+        history: AttemptHistory::default(),
         fingerprint: OnceCell::new(),
         is_held: false,
     };
@@ -230,7 +230,7 @@
     /// What tells that the item has come before.
     fn fingerprint(&self, route: &Route) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let outgoing = self.outgoing(Fitness::Listed, route);
+            let outgoing = self.outgoing(VersionStatus::Listed, route);
             // One that cannot be sent at all ends no engine.
             let names = self.gateway.dialect.headers();
             outgoing.map_or_else(Fingerprint::default, |outgoing| outgoing.fingerprint(names))
@@ -290,7 +290,7 @@
     }
 
     /// What the item needs of a server.
-    fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
+    fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Requirements {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
         let homes = homes::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
@@ -313,13 +313,13 @@
         self.specification.step.as_ref().map_or(0, |step| step.min_version)
     }
 
-    async fn attempt(&mut self, placed: Placed, need: Need, route: &Route) -> RunEnd {
-        let Placed { server, fitness, counted, .. } = placed;
+    async fn attempt(&mut self, placed: Placed, need: Requirements, route: &Route) -> RunEnd {
+        let Placed { server, version_status, counted, .. } = placed;
         let server = &server;
-        let Some(outgoing) = self.outgoing(fitness, route) else {
+        let Some(outgoing) = self.outgoing(version_status, route) else {
             return RunEnd::Impossible;
         };
-        let is_alone = self.history.is_alone;
+        let is_alone = self.history.is_isolated;
         let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
@@ -349,7 +349,7 @@
             self.log_attempt(server, status.as_str(), 0);
             // A server that fails at all it gets is always free, and would get ever more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
-            let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Abandoned };
+            let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
             counted.end(end);
             return match status {
                 StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
@@ -366,13 +366,13 @@
         match outcome {
             Ok(()) => {
                 let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
-                counted.end(AttemptEnd::Answered(per_event));
+                counted.end(AttemptOutcome::Succeeded(per_event));
                 quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
                 RunEnd::Whole
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
-                counted.end(AttemptEnd::Abandoned);
+                counted.end(AttemptOutcome::Abandoned);
                 RunEnd::Again
             }
             Err(reason) => {
@@ -396,7 +396,7 @@
         );
     }
 
-    fn outgoing(&self, fitness: Fitness, route: &Route) -> Option<Outgoing> {
+    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<Outgoing> {
         let names = self.gateway.dialect.headers();
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -415,7 +415,7 @@
         if self.last_event() > 0 {
             headers.insert(names.last_event.clone(), HeaderValue::from(self.last_event()));
         }
-        if let Fitness::Expected(version) = fitness {
+        if let VersionStatus::Expected(version) = version_status {
             headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
         Some(Outgoing {
@@ -435,7 +435,7 @@
         &mut self,
         server: &Rc<Server>,
         exchange: Exchange,
-        (need, route): (Need, &Route),
+        (need, route): (Requirements, &Route),
         asked: Moment,
         isolation: Option<Isolation>,
     ) -> Result<(), &'static str> {
@@ -505,7 +505,7 @@
         server: &Server,
         pace: &mut PaceMeter,
         events: usize,
-        (need, route): (Need, &Route),
+        (need, route): (Requirements, &Route),
     ) -> bool {
         let now = self.gateway.now();
         let Some(per_event) = pace.add(now, events as u64) else {
@@ -513,7 +513,7 @@
         };
         {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.note(now, &server.id, AttemptEnd::Answered(per_event));
+            placer.record_outcome(now, &server.id, AttemptOutcome::Succeeded(per_event));
         }
         let lengths = self.gateway.lengths.borrow();
         let remaining = lengths.expected_rest(self.item, self.last_event());
@@ -523,16 +523,16 @@
         }
         let gain = {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.gain(now, &need, &server.id, per_event, remaining)
+            placer.migration_gain(now, &need, &server.id, per_event, remaining)
         };
         gain.is_some_and(|gain| self.gateway.move_cost.borrow().is_exceeded_by(gain))
     }
 
     /// Whether the text has to go on elsewhere, and can: its server's zone is evacuated.
-    fn is_to_be_left(&self, server: &Server, need: &Need) -> bool {
+    fn is_to_be_left(&self, server: &Server, need: &Requirements) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
-        placer.is_to_be_left(&server.id)
-            && placer.text(self.gateway.now(), need, &self.history).is_some()
+        placer.is_in_evacuated_zone(&server.id)
+            && placer.place_batch_item(self.gateway.now(), need, &self.history).is_some()
     }
 
     fn versions_fit(&self, route: &Route) -> bool {
--- a/crates/heronbend-gateway/src/batch/reward_turn.rs
+++ b/crates/heronbend-gateway/src/batch/reward_turn.rs
@@ -44,7 +44,7 @@
 /// jobs may have together.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
     let need = places::need(gateway, service, None, None);
-    let slots = gateway.directory.borrow().placer.slots(gateway.now(), &need);
+    let slots = gateway.directory.borrow().placer.total_slots(gateway.now(), &need);
     let jobs = gateway.jobs.all();
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
     let owners: BTreeSet<_> = open.map(|job| job.owner()).collect();
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use heronbend::access::Caller;
-use heronbend::placement::patience::COME_BACK;
-use heronbend::placement::Refusal as Unplaced;
+use heronbend::placement::wait_policy::DEFAULT_RETRY_AFTER;
+use heronbend::placement::Rejection as Unplaced;
 use heronbend::Moment;
 use http::request::Parts;
 use http::{Request, StatusCode};
@@ -381,7 +381,7 @@
 
 /// The answer to a request that has not run and never will.
 fn not_run(reason: &'static str) -> Answer {
-    not_run_until(reason, COME_BACK)
+    not_run_until(reason, DEFAULT_RETRY_AFTER)
 }
 
 fn not_run_until(reason: &'static str, come_back: Duration) -> Answer {
@@ -393,7 +393,7 @@
 /// The answer to a request that no server could be sent.
 fn unplaced(gateway: &Gateway, refusal: &Unplaced) -> Answer {
     gateway.metrics.unplaced(refusal.reason);
-    not_run_until("no server took it", refusal.come_back)
+    not_run_until("no server took it", refusal.retry_after)
 }
 
 /// The answer to a request that is kept from servers since others like it ended theirs.
--- a/crates/heronbend-gateway/src/configuration.rs
+++ b/crates/heronbend-gateway/src/configuration.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use heronbend::access::Keyring;
-use heronbend::placement::ColdTerms;
+use heronbend::placement::ColdStartLimit;
 use heronbend::scaling::Terms;
 use serde::{Deserialize, Serialize};
 
@@ -91,7 +91,7 @@
     pub scaling: Option<Scaling>,
     /// What one of its servers bears while it is cold; nothing where that is not bounded.
     #[serde(skip)]
-    pub cold: Option<ColdTerms>,
+    pub cold: Option<ColdStartLimit>,
 }
 
 /// How the servers of a service may be ordered.
--- a/crates/heronbend-gateway/src/directory.rs
+++ b/crates/heronbend-gateway/src/directory.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use heronbend::identity::Incarnation;
-use heronbend::placement::Answer;
+use heronbend::placement::AttemptHistory;
 use heronbend::placement::Choice;
-use heronbend::placement::History;
-use heronbend::placement::Listing;
-use heronbend::placement::Need;
+use heronbend::placement::Decision;
 use heronbend::placement::Placer;
+use heronbend::placement::Registration;
+use heronbend::placement::Requirements;
 use heronbend::placement::ServerKey;
 use heronbend::placement::TicketKey;
-use heronbend::placement::Waited;
+use heronbend::placement::WaitState;
 use heronbend::Moment;
 use serde::Deserialize;
 use serde::Serialize;
@@ -118,18 +118,18 @@
         }
         let placer = &mut self.placer;
         let versions = server.models.iter().map(|(model, version)| (placer.model(model), *version));
-        let listing = Listing {
+        let registration = Registration {
             versions: versions.collect(),
             service: placer.service(&server.service),
             zone: placer.zone(&server.zone),
             slots: server.slots,
-            is_leaving: server.state == ServerState::Draining,
+            is_draining: server.state == ServerState::Draining,
             cold_for: server.cold_for,
             incarnation: server.incarnation,
             revision: server.revision,
         };
         let known = placer.key(&server.id);
-        let key = placer.list(now, &server.id, listing);
+        let key = placer.register(now, &server.id, registration);
         if let Some(former) = known.filter(|known| *known != key) {
             self.by_key.remove(&former);
         }
@@ -143,7 +143,7 @@
     /// Notes that a server's entry went.
     pub fn remove(&mut self, now: Moment, id: &str) {
         if self.servers.remove(id).is_some() {
-            for forgotten in self.placer.unlist(now, id) {
+            for forgotten in self.placer.deregister(now, id) {
                 self.by_key.remove(&forgotten);
             }
         }
@@ -174,7 +174,7 @@
         now: Moment,
         pool: &ConnectionPool,
     ) -> Option<(TicketKey, Choice)> {
-        self.placer.next_placed(now, is_connected(&self.by_key, pool))
+        self.placer.place_next(now, is_connected(&self.by_key, pool))
     }
 
     /// What becomes of a call.
@@ -182,11 +182,11 @@
         &mut self,
         now: Moment,
         pool: &ConnectionPool,
-        need: &Need,
-        history: &History,
-        waited: &Waited,
-    ) -> Answer {
-        self.placer.call(now, need, history, waited, is_connected(&self.by_key, pool))
+        need: &Requirements,
+        history: &AttemptHistory,
+        waited: &WaitState,
+    ) -> Decision {
+        self.placer.place_call(now, need, history, waited, is_connected(&self.by_key, pool))
     }
 
     /// All listed servers.
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -71,7 +71,7 @@
     }
 
     fn listed(&self) {
-        self.0.directory.borrow_mut().placer.know_evacuations();
+        self.0.directory.borrow_mut().placer.mark_evacuations_loaded();
     }
 
     fn applied(&self) {
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use heronbend::placement::AttemptEnd;
+use heronbend::placement::AttemptOutcome;
 use heronbend::placement::ServerKey;
 use heronbend::quarantine::fingerprint::Traits;
 use heronbend::quarantine::Fingerprint;
@@ -169,7 +169,7 @@
     /// Notes that an attempt begins.
     pub fn begin(gateway: &Rc<Gateway>, server: &Rc<Server>) -> Self {
         let begun = gateway.now();
-        let at = gateway.directory.borrow_mut().placer.began(begun, &server.id);
+        let at = gateway.directory.borrow_mut().placer.request_started(begun, &server.id);
         Self { gateway: gateway.clone(), at, begun, is_open: true, on_drop: None }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Notes how the attempt ended.
-    pub fn end(mut self, end: AttemptEnd) {
+    pub fn end(mut self, end: AttemptOutcome) {
         self.close(end);
     }
 
@@ -199,23 +199,23 @@
         let end = match failure {
             AttemptFailure::NotRun => {
                 metrics.refusals.inc();
-                AttemptEnd::Refused
+                AttemptOutcome::Rejected
             }
-            AttemptFailure::NotSent => AttemptEnd::Unreachable,
-            AttemptFailure::Held => AttemptEnd::Abandoned,
+            AttemptFailure::NotSent => AttemptOutcome::Unreachable,
+            AttemptFailure::Held => AttemptOutcome::Abandoned,
             AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
                 metrics.failures.inc();
-                AttemptEnd::Failed
+                AttemptOutcome::Failed
             }
         };
         self.end(end);
     }
 
-    fn close(&mut self, end: AttemptEnd) {
+    fn close(&mut self, end: AttemptOutcome) {
         if std::mem::take(&mut self.is_open) {
             let now = self.gateway.now();
             if let Some(key) = self.at {
-                self.gateway.directory.borrow_mut().placer.ended(now, key, end);
+                self.gateway.directory.borrow_mut().placer.request_finished(now, key, end);
             }
             self.gateway.places.changed.notify(usize::MAX);
         }
@@ -227,7 +227,7 @@
         if let Some(act) = self.on_drop.take().filter(|_| self.is_open) {
             act();
         }
-        self.close(AttemptEnd::Abandoned);
+        self.close(AttemptOutcome::Abandoned);
     }
 }
 
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use heronbend::placement::patience::COME_BACK;
-use heronbend::placement::Answer;
-use heronbend::placement::AttemptEnd;
-use heronbend::placement::History;
-use heronbend::placement::Need;
-use heronbend::placement::Refusal;
-use heronbend::placement::Waited;
+use heronbend::placement::wait_policy::DEFAULT_RETRY_AFTER;
+use heronbend::placement::AttemptHistory;
+use heronbend::placement::AttemptOutcome;
+use heronbend::placement::Decision;
+use heronbend::placement::Rejection;
+use heronbend::placement::Requirements;
+use heronbend::placement::WaitState;
 use heronbend::Moment;
 use http::{HeaderValue, StatusCode};
 use smol::channel::{bounded, Sender};
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardError {
     /// It has not run and never will.
-    NotRun(Refusal),
+    NotRun(Rejection),
     /// It may have run; no server's answer came.
     Unknown,
     /// Its time is over, and it may have run.
@@ -62,7 +62,7 @@
 }
 
 /// The refusal of a request for which time or attempts ran out before a server took it.
-pub(crate) const SPENT: Refusal = Refusal { reason: None, come_back: COME_BACK };
+pub(crate) const SPENT: Rejection = Rejection { reason: None, retry_after: DEFAULT_RETRY_AFTER };
 
 /// What a request may cost.
 #[derive(Debug, Clone)]
@@ -109,10 +109,10 @@
 struct Forwarding {
     gateway: Rc<Gateway>,
     outgoing: Rc<Outgoing>,
-    need: Need,
+    need: Requirements,
     allowance: Allowance,
     /// Servers that have been sent it.
-    history: History,
+    history: AttemptHistory,
     /// When its wait for a server began.
     begun: Moment,
     /// How it may be sent to servers, for what is known of requests like it.
@@ -132,7 +132,7 @@
     /// No server can be sent it for so long.
     Wait(Duration),
     /// None can be in time.
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// Passes a request on to the servers of a service until one has answered.
@@ -152,7 +152,7 @@
         outgoing: Rc::new(outgoing),
         need: places::need(gateway, service, None, allowance.homes.as_ref()),
         allowance,
-        history: History::default(),
+        history: AttemptHistory::default(),
         begun: gateway.now(),
         passage,
         spent: 0,
@@ -175,7 +175,7 @@
                 }
                 match self.start_one(&sender) {
                     Start::Begun => open += 1,
-                    Start::Refused(refusal) => return self.give_up(refusal),
+                    Start::Refused(rejection) => return self.give_up(rejection),
                     Start::Wait(rest) => {
                         self.wait_for_server(rest).await;
                         continue;
@@ -208,7 +208,7 @@
         hedge_at: Moment,
     ) -> Event {
         let may_hedge =
-            self.allowance.is_repeatable && !self.history.is_alone && self.may_try_again();
+            self.allowance.is_repeatable && !self.history.is_isolated && self.may_try_again();
         let hedges = may_hedge && hedge_at < self.allowance.deadline;
         let wake_at = if hedges { hedge_at } else { self.allowance.deadline };
         let answer = async {
@@ -251,9 +251,9 @@
     fn start_one(&mut self, sender: &Sender<Result<WholeAnswer, AttemptFailure>>) -> Start {
         self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
         let choice = match self.decide() {
-            Answer::Place(choice) => choice,
-            Answer::Wait(rest) => return Start::Wait(rest),
-            Answer::Refuse(refusal) => return Start::Refused(refusal),
+            Decision::Place(choice) => choice,
+            Decision::Wait(rest) => return Start::Wait(rest),
+            Decision::Reject(rejection) => return Start::Refused(rejection),
         };
         let Some(server) = self.gateway.directory.borrow().chosen(choice.server) else {
             log::error!("event=chosen_server_unknown server={:?}", choice.server);
@@ -268,7 +268,7 @@
             server,
             outgoing: self.outgoing.clone(),
             deadline: self.allowance.deadline,
-            is_alone: self.history.is_alone,
+            is_alone: self.history.is_isolated,
             is_answered: self.is_answered.clone(),
         };
         let sender = sender.clone();
@@ -281,18 +281,18 @@
     }
 
     /// What becomes of the request now.
-    fn decide(&self) -> Answer {
+    fn decide(&self) -> Decision {
         let gateway = &self.gateway;
-        let waited = Waited {
+        let wait = WaitState {
             since: self.begun,
             deadline: self.allowance.deadline,
             target: self.allowance.target_latency,
-            was_offered: !self.history.tried.is_empty(),
+            was_sent: !self.history.tried.is_empty(),
         };
         let answer = {
             let mut directory = gateway.directory.borrow_mut();
             let pool = &gateway.servers;
-            directory.place_call(gateway.now(), pool, &self.need, &self.history, &waited)
+            directory.place_call(gateway.now(), pool, &self.need, &self.history, &wait)
         };
         permits::ask(gateway);
         answer
@@ -324,10 +324,10 @@
         Timer::after(rest).await;
     }
 
-    fn give_up(self, refusal: Refusal) -> Result<WholeAnswer, ForwardError> {
+    fn give_up(self, rejection: Rejection) -> Result<WholeAnswer, ForwardError> {
         match self.last_failure {
             Some(answer) => Ok(answer),
-            None if self.spent == 0 => Err(ForwardError::NotRun(refusal)),
+            None if self.spent == 0 => Err(ForwardError::NotRun(rejection)),
             None if self.gateway.now() >= self.allowance.deadline => Err(ForwardError::TimedOut),
             None => Err(ForwardError::Unknown),
         }
@@ -370,10 +370,10 @@
         self.bill(begun, &result);
         match &result {
             // A server that fails at all it gets is fast, and would get ever more.
-            Ok(answer) if answer.status.is_server_error() => counted.end(AttemptEnd::Failed),
+            Ok(answer) if answer.status.is_server_error() => counted.end(AttemptOutcome::Failed),
             Ok(_) => {
                 let latency = counted.elapsed();
-                counted.end(AttemptEnd::Answered(latency));
+                counted.end(AttemptOutcome::Succeeded(latency));
             }
             Err(failure) => counted.fail(failure),
         }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -218,7 +218,7 @@
         let permits = Permits::new(identity.node.name.clone());
         let mut directory = Directory::new(rand::rng().random());
         directory.placer.set_region(&identity.zone, &identity.region);
-        directory.placer.set_here(&identity.zone);
+        directory.placer.set_local_zone(&identity.zone);
         let usage = tuning.usage.filter(|_| provider.is_some());
         let usage =
             usage.map(|terms| Rc::new(Book::new(identity.node.clone(), terms, Moment::ZERO)));
@@ -330,7 +330,7 @@
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
             && self.directory_known.get()
-            && self.directory.borrow().placer.knows_evacuations()
+            && self.directory.borrow().placer.evacuations_loaded()
             && self.configuration.borrow().is_some()
     }
 
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -9,8 +9,8 @@
 
 use heronbend::identity::NodeName;
 use heronbend::membership::Liveness;
-use heronbend::placement::ColdTerms;
-use heronbend::placement::Shortage;
+use heronbend::placement::ColdStartLimit;
+use heronbend::placement::PermitDemand;
 use heronbend::rate;
 use heronbend::rate::Lender;
 use heronbend::rate::Loan;
@@ -37,7 +37,7 @@
 
 impl ColdMargin {
     /// What may be lent for a server that bears so much.
-    fn terms(self, cold: ColdTerms) -> rate::Terms {
+    fn terms(self, cold: ColdStartLimit) -> rate::Terms {
         rate::Terms::bounded(cold.per_second, cold.per_second * self.overshoot + self.slack)
     }
 }
@@ -75,7 +75,7 @@
 /// Asks for permits for the cold servers that requests wait for.
 pub fn ask(gateway: &Rc<Gateway>) {
     let now = gateway.now();
-    let shortages = gateway.directory.borrow_mut().placer.take_shortages(now);
+    let shortages = gateway.directory.borrow_mut().placer.take_permit_demand(now);
     for shortage in shortages {
         let gateway = gateway.clone();
         let executor = gateway.executor.clone();
@@ -83,7 +83,7 @@
     }
 }
 
-async fn borrow(gateway: &Rc<Gateway>, shortage: Shortage) {
+async fn borrow(gateway: &Rc<Gateway>, shortage: PermitDemand) {
     let asked = gateway.now();
     let server = gateway.directory.borrow().placer.id(shortage.server).map(str::to_owned);
     let loan = match &server {
@@ -101,7 +101,7 @@
     gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.note_loan(now, shortage.server, permits, until, again);
+        placer.grant_permits(now, shortage.server, permits, until, again);
     }
     if permits > 0 {
         gateway.places.changed.notify(usize::MAX);
@@ -151,7 +151,7 @@
     }
     let cold = {
         let placer = &gateway.directory.borrow().placer;
-        placer.key(server).and_then(|key| placer.cold_terms(key))
+        placer.key(server).and_then(|key| placer.cold_start_limit(key))
     };
     // A server that is not known here bears nothing yet.
     let Some(cold) = cold else {
--- a/crates/heronbend-gateway/src/places.rs
+++ b/crates/heronbend-gateway/src/places.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use event_listener::Event;
+use heronbend::placement::AttemptHistory;
 use heronbend::placement::Exclusion;
-use heronbend::placement::Fitness;
-use heronbend::placement::History;
-use heronbend::placement::Need;
+use heronbend::placement::Requirements;
 use heronbend::placement::ServerKey;
 use heronbend::placement::TicketKey;
 use heronbend::placement::Urgency;
+use heronbend::placement::VersionStatus;
 use smol::channel::bounded;
 use smol::channel::Receiver;
 use smol::channel::Sender;
@@ -39,7 +39,7 @@
     /// Its key.
     pub key: ServerKey,
     /// Whether the server is known to have the version that is needed.
-    pub fitness: Fitness,
+    pub version_status: VersionStatus,
     /// Counts the text at the server.
     pub counted: CountedAttempt,
 }
@@ -59,12 +59,12 @@
     service: &str,
     model: Option<(&str, u64)>,
     homes: Option<&BTreeSet<String>>,
-) -> Need {
+) -> Requirements {
     let placer = &mut gateway.directory.borrow_mut().placer;
-    Need {
+    Requirements {
         service: placer.service(service),
         model: model.map(|(name, min_version)| (placer.model(name), min_version)),
-        homes: homes.map(|homes| placer.homes(homes.iter().map(String::as_str))),
+        allowed_regions: homes.map(|homes| placer.region_set(homes.iter().map(String::as_str))),
     }
 }
 
@@ -77,7 +77,7 @@
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
         self.gateway.places.waiting.borrow_mut().remove(&self.key);
-        self.gateway.directory.borrow_mut().placer.withdraw(self.key);
+        self.gateway.directory.borrow_mut().placer.cancel(self.key);
     }
 }
 
@@ -85,9 +85,9 @@
 pub async fn text(
     gateway: &Rc<Gateway>,
     item: &str,
-    need: Need,
+    need: Requirements,
     urgency: Urgency,
-    history: History,
+    history: AttemptHistory,
 ) -> Placed {
     let begun = gateway.now();
     loop {
@@ -108,15 +108,15 @@
 /// Has a text wait, and gives it a place at once if there is one.
 fn enqueue(
     gateway: &Rc<Gateway>,
-    need: Need,
+    need: Requirements,
     urgency: Urgency,
-    history: History,
+    history: AttemptHistory,
 ) -> (Ticket<'_>, Receiver<Placed>) {
     let (sender, placed) = bounded(1);
     let key = {
         let now = gateway.now();
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.wait(now, need, urgency, history)
+        placer.enqueue(now, need, urgency, history)
     };
     gateway.places.waiting.borrow_mut().insert(key, sender);
     place_waiting(gateway);
@@ -127,10 +127,14 @@
 }
 
 /// What holds a text up: which servers it cannot have, and how many texts come before it.
-fn obstacle(gateway: &Gateway, need: &Need, ticket: TicketKey) -> (Option<Exclusion>, usize) {
+fn obstacle(
+    gateway: &Gateway,
+    need: &Requirements,
+    ticket: TicketKey,
+) -> (Option<Exclusion>, usize) {
     let placer = &gateway.directory.borrow().placer;
-    let behind = placer.place_in_line(ticket).unwrap_or(0);
-    (placer.obstacle(gateway.now(), need), behind)
+    let behind = placer.queue_position(ticket).unwrap_or(0);
+    (placer.main_exclusion(gateway.now(), need), behind)
 }
 
 fn log_wait(
@@ -180,7 +184,8 @@
             continue;
         };
         let counted = CountedAttempt::begin(gateway, &server);
-        let placed = Placed { server, key: choice.server, fitness: choice.fitness, counted };
+        let placed =
+            Placed { server, key: choice.server, version_status: choice.version_status, counted };
         // A text that is gone gives its place back.
         let _ = sender.try_send(placed);
     }
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::placement::AttemptEnd;
+use heronbend::placement::AttemptOutcome;
 use smol::Timer;
 
 use super::note;
@@ -74,7 +74,7 @@
 /// lapse.
 pub fn note_gone(gateway: &Rc<Gateway>, server: &str) {
     let now = gateway.now();
-    gateway.directory.borrow_mut().placer.note(now, server, AttemptEnd::Ended);
+    gateway.directory.borrow_mut().placer.record_outcome(now, server, AttemptOutcome::ServerExited);
     if gateway.quarantine.is_empty() {
         return;
     }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -68,7 +68,7 @@
         server: &str,
         request: Fingerprint,
     ) -> Result<Self, Busy> {
-        gateway.directory.borrow_mut().placer.isolate(server);
+        gateway.directory.borrow_mut().placer.add_suspect(server);
         let mut isolation =
             Self { gateway: gateway.clone(), server: server.to_owned(), is_kept: false };
         let is_last_run = gateway.quarantine.table.borrow().is_last_run(request);
@@ -85,7 +85,7 @@
 
 impl Drop for Isolation {
     fn drop(&mut self) {
-        self.gateway.directory.borrow_mut().placer.end_isolation(&self.server);
+        self.gateway.directory.borrow_mut().placer.remove_suspect(&self.server);
         if self.is_kept {
             let (gateway, server) = (self.gateway.clone(), std::mem::take(&mut self.server));
             let giving_back = async move { give_back(&gateway, &server).await };
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::placement::History;
+use heronbend::placement::AttemptHistory;
 use heronbend::quarantine::table::Change;
 use heronbend::quarantine::Admission;
 use heronbend::quarantine::Fingerprint;
@@ -121,12 +121,12 @@
     gateway: &Gateway,
     pass: Pass,
     request: impl Fn() -> Fingerprint,
-    history: &mut History,
+    history: &mut AttemptHistory,
 ) {
     let is_suspect = admission(gateway, &request) != Admission::Free;
-    history.is_alone = pass != Pass::Free || is_suspect;
+    history.is_isolated = pass != Pass::Free || is_suspect;
     let table = gateway.quarantine.table.borrow();
-    history.spares_last = is_suspect && table.is_last_run(request());
+    history.spares_last_healthy = is_suspect && table.is_last_run(request());
 }
 
 /// What may become of a request. Most of the time nothing is known of any, and none is looked at.
--- a/crates/heronbend-gateway/src/quarantine/passage.rs
+++ b/crates/heronbend-gateway/src/quarantine/passage.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use heronbend::placement::History;
+use heronbend::placement::AttemptHistory;
 
 use super::isolation::Busy;
 use super::Isolation;
@@ -38,7 +38,7 @@
     }
 
     /// Notes in a request's history how it is kept apart from others.
-    pub fn keep_apart(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut History) {
+    pub fn keep_apart(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut AttemptHistory) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         super::keep_apart(gateway, self.pass, fingerprint, history);
     }
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -326,7 +326,7 @@
     fn homeless(&self, configuration: &Configuration) -> Vec<Finding> {
         let placer = &self.gateway.directory.borrow().placer;
         let unknown = |place: String, homes: &BTreeSet<String>| {
-            let missing = homes.iter().find(|region| !placer.knows_region(region))?;
+            let missing = homes.iter().find(|region| !placer.is_known_region(region))?;
             Some(Finding { place, problem: format!("no zone is in the region {missing}") })
         };
         let routes = configuration.routes.iter().filter_map(|route| {
@@ -474,7 +474,7 @@
     let zones: BTreeSet<String> = directory.all().map(|server| server.zone.clone()).collect();
     for zone in zones {
         let key = directory.placer.zone(&zone);
-        gateway.metrics.servers_cold(&zone, directory.placer.cold_servers(now, key));
+        gateway.metrics.servers_cold(&zone, directory.placer.count_cold_servers(now, key));
     }
 }
 
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -13,14 +13,14 @@
 use bytes::BytesMut;
 use futures_lite::stream;
 use futures_lite::FutureExt;
-use heronbend::placement::Answer;
-use heronbend::placement::AttemptEnd;
+use heronbend::placement::AttemptHistory;
+use heronbend::placement::AttemptOutcome;
 use heronbend::placement::Choice;
-use heronbend::placement::Fitness;
-use heronbend::placement::History;
-use heronbend::placement::Need;
-use heronbend::placement::Refusal;
-use heronbend::placement::Waited;
+use heronbend::placement::Decision;
+use heronbend::placement::Rejection;
+use heronbend::placement::Requirements;
+use heronbend::placement::VersionStatus;
+use heronbend::placement::WaitState;
 use heronbend::Moment;
 use http::HeaderMap;
 use http::HeaderValue;
@@ -108,7 +108,7 @@
 struct Relay {
     gateway: Rc<Gateway>,
     outgoing: Outgoing,
-    need: Need,
+    need: Requirements,
     allowance: Allowance,
     is_resumable: bool,
     /// Number of the last event that was passed on.
@@ -118,7 +118,7 @@
     /// Version of the weights that made the last event.
     version: Option<u64>,
     /// Servers that were sent the request.
-    history: History,
+    history: AttemptHistory,
     /// How it may be sent to servers, for what is known of requests like it.
     passage: Passage,
     /// Servers that may have run it.
@@ -158,7 +158,7 @@
         is_resumable,
         has_begun: false,
         version: None,
-        history: History::default(),
+        history: AttemptHistory::default(),
         passage,
         spent: 0,
         run: None,
@@ -220,7 +220,7 @@
                 }
                 Piece::Broken(reason) => self.leave(run, reason)?,
                 Piece::TimeOver => {
-                    run.counted.end(AttemptEnd::Abandoned);
+                    run.counted.end(AttemptOutcome::Abandoned);
                     self.log_end("time over");
                     return Err(Break::Failed(ForwardError::TimedOut));
                 }
@@ -300,7 +300,7 @@
 
     fn finish(&mut self, run: Run) {
         let per_event = run.counted.elapsed() / run.events.max(1);
-        run.counted.end(AttemptEnd::Answered(per_event));
+        run.counted.end(AttemptOutcome::Succeeded(per_event));
         quarantine::note_answer(&self.gateway, &self.outgoing, run.exchange.status);
         run.exchange.keep();
         self.log_end("whole");
@@ -354,15 +354,15 @@
                 return Err(Break::Failed(self.reason_to_give_up(is_late, SPENT)));
             }
             self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
-            let Choice { server: key, fitness } = match self.decide() {
-                Answer::Place(choice) => choice,
-                Answer::Wait(rest) => {
+            let Choice { server: key, version_status } = match self.decide() {
+                Decision::Place(choice) => choice,
+                Decision::Wait(rest) => {
                     self.wait_for_server(rest).await;
                     continue;
                 }
-                Answer::Refuse(refusal) => {
+                Decision::Reject(rejection) => {
                     let is_late = self.gateway.now() >= self.allowance.deadline;
-                    return Err(Break::Failed(self.reason_to_give_up(is_late, refusal)));
+                    return Err(Break::Failed(self.reason_to_give_up(is_late, rejection)));
                 }
             };
             let Some(server) = self.gateway.directory.borrow().chosen(key) else {
@@ -372,7 +372,7 @@
             self.history.tried.push(key);
             self.spent += 1;
             let mut counted = CountedAttempt::begin(&self.gateway, &server);
-            let is_alone = self.history.is_alone;
+            let is_alone = self.history.is_isolated;
             let isolated = passage::isolate(&self.gateway, &server, &self.outgoing, is_alone).await;
             let Ok(isolation) = isolated else {
                 self.take_attempt(AttemptFailure::Held, counted)?;
@@ -383,7 +383,7 @@
                 let outgoing = self.outgoing.clone();
                 move || evidence::note_left(&gateway, &server, &outgoing)
             });
-            let sent = self.send(&server, fitness).await;
+            let sent = self.send(&server, version_status).await;
             self.passage.note_attempt(sent.as_ref().err());
             match sent {
                 Ok(exchange) if exchange.status == StatusCode::OK => {
@@ -413,14 +413,18 @@
         }
     }
 
-    async fn send(&self, server: &Server, fitness: Fitness) -> Result<Exchange, AttemptFailure> {
+    async fn send(
+        &self,
+        server: &Server,
+        version_status: VersionStatus,
+    ) -> Result<Exchange, AttemptFailure> {
         let mut outgoing = self.outgoing.clone();
         let names = self.gateway.dialect.headers();
         if self.last_event > 0 {
             let last_event = HeaderValue::from(self.last_event);
             outgoing.headers.insert(names.last_event.clone(), last_event);
         }
-        if let Fitness::Expected(version) = fitness {
+        if let VersionStatus::Expected(version) = version_status {
             outgoing.headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
         let left = self.allowance.deadline.saturating_sub(self.gateway.now());
@@ -445,7 +449,7 @@
             Err(failure) => return self.take_attempt(failure, counted),
         };
         quarantine::note_answer(&self.gateway, &self.outgoing, answer.status);
-        counted.end(AttemptEnd::Abandoned);
+        counted.end(AttemptOutcome::Abandoned);
         if is_retried && self.may_run_again() {
             return Ok(());
         }
@@ -472,9 +476,9 @@
         }
     }
 
-    fn reason_to_give_up(&self, is_late: bool, refusal: Refusal) -> ForwardError {
+    fn reason_to_give_up(&self, is_late: bool, rejection: Rejection) -> ForwardError {
         if self.spent == 0 && !self.has_begun {
-            ForwardError::NotRun(refusal)
+            ForwardError::NotRun(rejection)
         } else if is_late {
             ForwardError::TimedOut
         } else {
@@ -492,22 +496,22 @@
 
     fn has_other(&self, server: &Server) -> bool {
         let placer = &self.gateway.directory.borrow().placer;
-        placer.has_other(self.gateway.now(), &self.need, &server.id)
+        placer.has_alternative(self.gateway.now(), &self.need, &server.id)
     }
 
     /// What becomes of the request now.
-    fn decide(&self) -> Answer {
+    fn decide(&self) -> Decision {
         let gateway = &self.gateway;
         let now = gateway.now();
-        let waited = Waited {
+        let wait = WaitState {
             since: self.unplaced_since.unwrap_or(now),
             deadline: self.allowance.deadline,
             target: self.allowance.target_latency,
-            was_offered: true,
+            was_sent: true,
         };
         let answer = {
             let placer = &mut gateway.directory.borrow_mut().placer;
-            placer.stream(now, &self.need, &self.history, &waited)
+            placer.place_stream(now, &self.need, &self.history, &wait)
         };
         permits::ask(gateway);
         answer
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/duty.rs
@@ -10,7 +10,7 @@
 use heronbend::identity::Incarnation;
 use heronbend::identity::NodeId;
 use heronbend::identity::NodeName;
-use heronbend::placement::server::EXPECTED_LOAD;
+use heronbend::placement::server::EXPECTED_LOAD_TIME;
 use heronbend::Moment;
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::Full;
@@ -65,7 +65,7 @@
     let is_known_run = directory.get(server).is_none_or(|known| known.incarnation == incarnation);
     // Daemons of an earlier build do not tell which run it was.
     if is_known_run || incarnation == Incarnation::default() {
-        directory.placer.order_taken(now, server, model, version);
+        directory.placer.record_load_order(now, server, model, version);
     }
     drop(directory);
     gateway.versions.order_taken(now, holder);
@@ -77,7 +77,7 @@
 fn wake_when_loaded(gateway: &Rc<Gateway>) {
     let waker = gateway.clone();
     let wake = async move {
-        Timer::after(EXPECTED_LOAD).await;
+        Timer::after(EXPECTED_LOAD_TIME).await;
         waker.places.changed.notify(usize::MAX);
     };
     gateway.executor.spawn(wake).detach();
@@ -226,7 +226,7 @@
             .filter(trains)
             .map(|server| {
                 let placer = &directory.placer;
-                let open = placer.open_order(now, &server.id);
+                let open = placer.pending_load(now, &server.id);
                 let open = open.map(|order| Begun {
                     model: placer.model_name(order.model).to_owned(),
                     version: order.version,
--- a/crates/heronbend-gateway/tests/directory.rs
+++ b/crates/heronbend-gateway/tests/directory.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use heronbend::identity::Incarnation;
-use heronbend::placement::AttemptEnd;
-use heronbend::placement::Need;
+use heronbend::placement::AttemptOutcome;
+use heronbend::placement::Requirements;
 use heronbend_gateway::directory::Directory;
 use heronbend_gateway::directory::Run;
 use heronbend_gateway::directory::Server;
@@ -33,21 +33,21 @@
 fn a_server_that_starts_again_is_believed_nothing_of_its_former_run() {
     let mut directory = Directory::new(SEED);
     assert_eq!(directory.insert(SECOND, run(1, 7)), Run::Same);
-    let former = directory.placer.began(SECOND, "e").unwrap();
-    directory.placer.order_taken(SECOND, "e", "m", 8);
+    let former = directory.placer.request_started(SECOND, "e").unwrap();
+    directory.placer.record_load_order(SECOND, "e", "m", 8);
     for _ in 0..3 {
-        directory.placer.note(SECOND, "e", AttemptEnd::Failed);
+        directory.placer.record_outcome(SECOND, "e", AttemptOutcome::Failed);
     }
-    assert!(directory.placer.is_avoided(SECOND, "e"));
+    assert!(directory.placer.is_in_backoff(SECOND, "e"));
     assert_eq!(directory.insert(2 * SECOND, run(2, 1)), Run::Later);
     let placer = &mut directory.placer;
     assert_eq!(placer.in_flight("e"), 0);
-    assert!(!placer.is_avoided(2 * SECOND, "e"));
-    assert_eq!(placer.open_order(2 * SECOND, "e"), None);
+    assert!(!placer.is_in_backoff(2 * SECOND, "e"));
+    assert_eq!(placer.pending_load(2 * SECOND, "e"), None);
     // What ran at the former run ends there, and not at the one that is listed now.
-    let present = placer.began(2 * SECOND, "e").unwrap();
+    let present = placer.request_started(2 * SECOND, "e").unwrap();
     assert_ne!(present, former);
-    placer.ended(2 * SECOND, former, AttemptEnd::Failed);
+    placer.request_finished(2 * SECOND, former, AttemptOutcome::Failed);
     assert_eq!(placer.in_flight("e"), 1);
     assert_eq!(directory.chosen(former), None);
     assert_eq!(directory.chosen(present).unwrap().incarnation, Incarnation(2));
@@ -88,8 +88,8 @@
     let left = (0..1900).filter(|number| directory.placer.key(&format!("e{number}")).is_some());
     assert!((100..=130).contains(&left.count()));
     let service = directory.placer.service("engines");
-    let need = Need { service, model: None, homes: None };
-    assert_eq!(directory.placer.usable(21 * SECOND, &need).len(), 100);
+    let need = Requirements { service, model: None, allowed_regions: None };
+    assert_eq!(directory.placer.eligible_servers(21 * SECOND, &need).len(), 100);
     directory.retain(30 * SECOND, &BTreeSet::from(["e1999".to_owned()]));
-    assert_eq!(directory.placer.usable(30 * SECOND, &need).len(), 1);
+    assert_eq!(directory.placer.eligible_servers(30 * SECOND, &need).len(), 1);
 }
--- a/crates/heronbend/src/placement/eligible.rs
+++ b/crates/heronbend/src/placement/eligible.rs
@@ -4,28 +4,28 @@
 //! ranked. Rules that hold for all requests of a kind come first, those that concern one request's
 //! own history last.
 
-use super::keys::HomesKey;
 use super::keys::ModelKey;
+use super::keys::RegionSetKey;
 use super::keys::ServerKey;
 use super::keys::ServiceKey;
 use super::server::Server;
-use super::server::EXPECTED_LOAD;
+use super::server::EXPECTED_LOAD_TIME;
 use crate::Moment;
 
 /// What requests of one kind need of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Need {
+pub struct Requirements {
     /// The service.
     pub service: ServiceKey,
     /// The model and the oldest version of it, where one is needed.
     pub model: Option<(ModelKey, u64)>,
     /// The regions in which it may run; anywhere where there are none.
-    pub homes: Option<HomesKey>,
+    pub allowed_regions: Option<RegionSetKey>,
 }
 
 /// What became of one request so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct History {
+pub struct AttemptHistory {
     /// Servers that may not be sent it again.
     pub tried: Vec<ServerKey>,
     /// Servers that failed at it: used again only if there is no other that fits.
@@ -33,20 +33,20 @@
     /// The server whose attempt ended last: not the next one, if there is another.
     pub last: Option<ServerKey>,
     /// Whether it may end the server that runs it, so that it is kept apart from other requests.
-    pub is_alone: bool,
+    pub is_isolated: bool,
     /// Whether it is likely to end it: the last sound server of several is not risked for it.
-    pub spares_last: bool,
+    pub spares_last_healthy: bool,
 }
 
 /// Whether a server can run requests of a model under a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fitness {
+pub enum VersionStatus {
     /// Its entry says so.
     Listed,
     /// It may have loaded this version by now; a request has to say which version it expects.
     Expected(u64),
     /// It cannot.
-    Unfit,
+    Unavailable,
 }
 
 /// Why a server may not run a request now.
@@ -114,7 +114,11 @@
 }
 
 /// Why a server may not be sent anything of a need at all, whatever its load; nothing if it may.
-pub fn barred(server: &Server, need: &Need, at: &Circumstances) -> Option<Exclusion> {
+pub fn barred(
+    server: &Server,
+    requirements: &Requirements,
+    at: &Circumstances,
+) -> Option<Exclusion> {
     let is_usable = server.is_ready() || (!at.has_listed && server.is_lapsed(at.now));
     if !is_usable {
         return Some(Exclusion::Gone);
@@ -128,7 +132,8 @@
     if server.load.has_ended(at.now) {
         return Some(if server.is_ready() { Exclusion::Ended } else { Exclusion::Gone });
     }
-    (fitness(server, need, at.now) == Fitness::Unfit).then_some(Exclusion::Version)
+    (version_status(server, requirements, at.now) == VersionStatus::Unavailable)
+        .then_some(Exclusion::Version)
 }
 
 /// Why a server cannot be sent a request now, though nothing bars it.
@@ -139,7 +144,7 @@
     if needs_slot && server.free_slots() == 0 {
         return Some(Exclusion::Full);
     }
-    if needs_slot && server.load.is_avoided(at.now) {
+    if needs_slot && server.load.is_in_backoff(at.now) {
         return Some(Exclusion::Avoided);
     }
     let needs_permit = at.needs_permit && server.is_cold(at.now);
@@ -147,20 +152,20 @@
 }
 
 /// Whether a server can run requests of a need, by the version of its weights.
-pub fn fitness(server: &Server, need: &Need, now: Moment) -> Fitness {
-    let Some((model, min_version)) = need.model else {
-        return Fitness::Listed;
+pub fn version_status(server: &Server, requirements: &Requirements, now: Moment) -> VersionStatus {
+    let Some((model, min_version)) = requirements.model else {
+        return VersionStatus::Listed;
     };
-    if let Some(order) = server.open_order(now).filter(|order| order.model == model) {
-        let may_be_loaded = now >= order.since + EXPECTED_LOAD;
+    if let Some(order) = server.pending_load(now).filter(|order| order.model == model) {
+        let may_be_loaded = now >= order.since + EXPECTED_LOAD_TIME;
         return if may_be_loaded && order.version >= min_version {
-            Fitness::Expected(order.version)
+            VersionStatus::Expected(order.version)
         } else {
-            Fitness::Unfit
+            VersionStatus::Unavailable
         };
     }
     match server.listed_version(model) {
-        Some(version) if version >= min_version => Fitness::Listed,
-        _ => Fitness::Unfit,
+        Some(version) if version >= min_version => VersionStatus::Listed,
+        _ => VersionStatus::Unavailable,
     }
 }
--- a/crates/heronbend/src/placement/keys.rs
+++ b/crates/heronbend/src/placement/keys.rs
@@ -41,7 +41,7 @@
 );
 key!(
     /// A set of regions in which a request may run.
-    HomesKey
+    RegionSetKey
 );
 
 /// A server in the arena. A key whose server is gone never means another one.
--- a/crates/heronbend/src/placement/load.rs
+++ b/crates/heronbend/src/placement/load.rs
@@ -24,15 +24,15 @@
 
 /// How an attempt at a server ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// It answered after so long.
-    Answered(Duration),
+    Succeeded(Duration),
     /// It refused without running the request.
-    Refused,
+    Rejected,
     /// It could not be reached at all.
     Unreachable,
     /// It is gone: its process has ended.
-    Ended,
+    ServerExited,
     /// It broke off, or did not answer in time.
     Failed,
     /// The attempt was given up for other reasons.
@@ -57,14 +57,14 @@
 
 impl Load {
     /// Whether the server is being avoided.
-    pub fn is_avoided(&self, now: Moment) -> bool {
+    pub fn is_in_backoff(&self, now: Moment) -> bool {
         self.avoid_until > now
     }
 
     /// Whether its process was found to have ended. That is believed for a while only: an entry that stays
     /// may be of a server that could not be reached for another reason.
     pub fn has_ended(&self, now: Moment) -> bool {
-        self.is_ended && self.is_avoided(now)
+        self.is_ended && self.is_in_backoff(now)
     }
 
     /// Mean time in milliseconds. What is known fades towards `best`, the mean of the fastest server.
@@ -76,10 +76,10 @@
     }
 
     /// Notes an outcome.
-    pub fn note(&mut self, now: Moment, end: AttemptEnd) {
+    pub fn record_outcome(&mut self, now: Moment, end: AttemptOutcome) {
         self.is_ended = self.has_ended(now);
         match end {
-            AttemptEnd::Answered(latency) => {
+            AttemptOutcome::Succeeded(latency) => {
                 let millis = latency.as_secs_f64() * 1e3;
                 let old = self.mean_millis.unwrap_or(millis);
                 self.mean_millis = Some(old + (millis - old) * SAMPLE_WEIGHT);
@@ -88,15 +88,15 @@
                 self.avoid_until = Moment::ZERO;
                 self.is_ended = false;
             }
-            AttemptEnd::Refused => self.avoid(now + REFUSED_PAUSE),
-            AttemptEnd::Unreachable => self.fail(now, FAILURES_TO_AVOID),
-            AttemptEnd::Failed => self.fail(now, 1),
+            AttemptOutcome::Rejected => self.avoid(now + REFUSED_PAUSE),
+            AttemptOutcome::Unreachable => self.fail(now, FAILURES_TO_AVOID),
+            AttemptOutcome::Failed => self.fail(now, 1),
             // What starts in its place is another server.
-            AttemptEnd::Ended => {
+            AttemptOutcome::ServerExited => {
                 self.avoid_until = now + LONGEST_PAUSE;
                 self.is_ended = true;
             }
-            AttemptEnd::Abandoned => {}
+            AttemptOutcome::Abandoned => {}
         }
     }
 
--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -11,20 +11,20 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use super::eligible::Fitness;
-use super::eligible::Need;
-use super::keys::HomesKey;
+use super::eligible::Requirements;
+use super::eligible::VersionStatus;
 use super::keys::ModelKey;
 use super::keys::Names;
 use super::keys::RegionKey;
+use super::keys::RegionSetKey;
 use super::keys::ServerKey;
 use super::keys::ServiceKey;
 use super::keys::ZoneKey;
-use super::load::AttemptEnd;
+use super::load::AttemptOutcome;
 use super::queue::Queue;
-use super::server::ColdTerms;
-use super::server::Listing;
-use super::server::OpenOrder;
+use super::server::ColdStartLimit;
+use super::server::PendingLoad;
+use super::server::Registration;
 use super::server::Server;
 use super::server::LAPSED_USE;
 use super::tally::Tally;
@@ -47,12 +47,12 @@
     /// The server.
     pub server: ServerKey,
     /// Whether it is known to have the version that is needed.
-    pub fitness: Fitness,
+    pub version_status: VersionStatus,
 }
 
 /// A cold server that requests wait for, and how many permits would be used there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shortage {
+pub struct PermitDemand {
     /// The server.
     pub server: ServerKey,
     /// Permits that would be used now.
@@ -65,14 +65,14 @@
     /// Requests that this daemon may have at one of its servers.
     pub(super) share: Option<u32>,
     /// What one of its servers bears while it is cold; nothing where that is not bounded.
-    pub(super) cold: Option<ColdTerms>,
+    pub(super) cold: Option<ColdStartLimit>,
     /// Mean time of an answer over a long time, in milliseconds.
     pub(super) usual_millis: Option<f64>,
 }
 
 /// Servers that nothing bars from a need, as of some moment.
 pub(super) struct Open {
-    pub(super) need: Need,
+    pub(super) requirements: Requirements,
     /// Count of changes that it was found after.
     pub(super) changes: u64,
     pub(super) at: Moment,
@@ -91,7 +91,7 @@
     pub(super) zones: Names<ZoneKey>,
     pub(super) regions: Names<RegionKey>,
     pub(super) models: Names<ModelKey>,
-    pub(super) homes: Vec<BTreeSet<RegionKey>>,
+    pub(super) region_sets: Vec<BTreeSet<RegionKey>>,
     pub(super) region_of: HashMap<ZoneKey, RegionKey>,
     pub(super) here: Option<ZoneKey>,
     pub(super) evacuated: BTreeSet<ZoneKey>,
@@ -131,7 +131,7 @@
             zones: Names::default(),
             regions: Names::default(),
             models: Names::default(),
-            homes: Vec::new(),
+            region_sets: Vec::new(),
             region_of: HashMap::new(),
             here: None,
             evacuated: BTreeSet::new(),
@@ -176,14 +176,14 @@
     }
 
     /// The key of a set of regions in which requests may run; of an empty one, that of nowhere.
-    pub fn homes<'a>(&mut self, regions: impl Iterator<Item = &'a str>) -> HomesKey {
+    pub fn region_set<'a>(&mut self, regions: impl Iterator<Item = &'a str>) -> RegionSetKey {
         let set: BTreeSet<RegionKey> = regions.map(|name| self.regions.key(name)).collect();
-        let known = self.homes.iter().position(|known| *known == set);
+        let known = self.region_sets.iter().position(|known| *known == set);
         let index = known.unwrap_or_else(|| {
-            self.homes.push(set);
-            self.homes.len() - 1
+            self.region_sets.push(set);
+            self.region_sets.len() - 1
         });
-        HomesKey::from(u32::try_from(index).unwrap_or(u32::MAX))
+        RegionSetKey::from(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
     // Where things are.
@@ -196,12 +196,12 @@
     }
 
     /// Whether some zone is known to be in a region.
-    pub fn knows_region(&self, name: &str) -> bool {
+    pub fn is_known_region(&self, name: &str) -> bool {
         self.region_of.values().any(|region| self.regions.name(*region) == name)
     }
 
     /// Notes the zone of this daemon.
-    pub fn set_here(&mut self, zone: &str) {
+    pub fn set_local_zone(&mut self, zone: &str) {
         self.here = Some(self.zones.key(zone));
     }
 
@@ -226,7 +226,7 @@
 
     /// Notes how many requests this daemon may have at one server of a service, and what such a server
     /// bears while it is cold.
-    pub fn set_service(&mut self, name: &str, share: u32, cold: Option<ColdTerms>) {
+    pub fn set_service(&mut self, name: &str, share: u32, cold: Option<ColdStartLimit>) {
         let service = self.services.key(name);
         let cold = cold.filter(|terms| terms.per_second > 0.0);
         let state = self.terms.entry(service).or_default();
@@ -234,8 +234,8 @@
     }
 
     /// What a server of a service bears while it is cold, where that is bounded.
-    pub fn cold_terms(&self, key: ServerKey) -> Option<ColdTerms> {
-        let service = self.get(key)?.listing.service;
+    pub fn cold_start_limit(&self, key: ServerKey) -> Option<ColdStartLimit> {
+        let service = self.get(key)?.registration.service;
         self.terms.get(&service)?.cold
     }
 
@@ -245,13 +245,13 @@
     }
 
     /// Notes that the evacuations are known.
-    pub fn know_evacuations(&mut self) {
+    pub fn mark_evacuations_loaded(&mut self) {
         self.changes += 1;
         self.awaits_evacuations = false;
     }
 
     /// Whether the evacuations are known, where there may be any.
-    pub fn knows_evacuations(&self) -> bool {
+    pub fn evacuations_loaded(&self) -> bool {
         !self.awaits_evacuations
     }
 
@@ -272,9 +272,9 @@
         }
         let terms = &self.terms;
         for server in self.places.iter_mut().filter_map(|place| place.server.as_mut()) {
-            let cold = terms.get(&server.listing.service).and_then(|service| service.cold);
-            if let Some(cold) = cold.filter(|_| server.listing.zone == zone) {
-                server.assume_cold(now + cold.lasts);
+            let cold = terms.get(&server.registration.service).and_then(|service| service.cold);
+            if let Some(cold) = cold.filter(|_| server.registration.zone == zone) {
+                server.assume_cold(now + cold.duration);
             }
         }
     }
@@ -285,34 +285,35 @@
     ///
     /// A later run of the server than the one that is known gets another key: nothing that was known of
     /// the former one holds for it. An entry of an earlier run changes nothing.
-    pub fn list(&mut self, now: Moment, id: &str, listing: Listing) -> ServerKey {
+    pub fn register(&mut self, now: Moment, id: &str, registration: Registration) -> ServerKey {
         self.changes += 1;
-        let known = self.key(id).and_then(|key| Some((key, self.get(key)?.listing.incarnation)));
+        let known =
+            self.key(id).and_then(|key| Some((key, self.get(key)?.registration.incarnation)));
         match known {
-            Some((key, known)) if known > listing.incarnation => return key,
-            Some((key, known)) if known == listing.incarnation => {
-                self.relist(now, key, listing);
+            Some((key, known)) if known > registration.incarnation => return key,
+            Some((key, known)) if known == registration.incarnation => {
+                self.update_registration(now, key, registration);
                 return key;
             }
             Some((key, _)) => self.forget(key),
             None => {}
         }
-        let service = listing.service;
-        let key = self.add(Server::new(now, id, listing));
+        let service = registration.service;
+        let key = self.add(Server::new(now, id, registration));
         self.by_id.insert(id.to_owned(), key);
         self.by_service.entry(service).or_default().insert(key);
         key
     }
 
     /// Takes in a further entry of the run of a server that is known.
-    fn relist(&mut self, now: Moment, key: ServerKey, listing: Listing) {
+    fn update_registration(&mut self, now: Moment, key: ServerKey, registration: Registration) {
         self.gone.remove(&key);
-        let service = listing.service;
+        let service = registration.service;
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        let before = server.listing.service;
-        server.relist(now, listing);
+        let before = server.registration.service;
+        server.update_registration(now, registration);
         if before != service {
             self.unlink(before, key);
         }
@@ -332,7 +333,7 @@
     }
 
     /// Notes that a server's entry went; the servers that are forgotten by now.
-    pub fn unlist(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
+    pub fn deregister(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
         self.changes += 1;
         let key = self.key(id);
         if let Some((key, server)) = key.and_then(|key| Some((key, self.get_mut(key)?))) {
@@ -367,7 +368,7 @@
             return;
         };
         self.free.push(key.index);
-        self.unlink(server.listing.service, key);
+        self.unlink(server.registration.service, key);
         self.by_id.remove(&server.id);
         self.asking.remove(&key);
         self.shortages.remove(&key);
@@ -408,26 +409,26 @@
     }
 
     /// Notes an order that a server has taken.
-    pub fn order_taken(&mut self, now: Moment, id: &str, model: &str, version: u64) {
+    pub fn record_load_order(&mut self, now: Moment, id: &str, model: &str, version: u64) {
         self.changes += 1;
         let model = self.models.key(model);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.order_taken(OpenOrder { model, version, since: now });
+            server.record_load_order(PendingLoad { model, version, since: now });
         }
     }
 
     /// The order that a server works on, if its entry does not show the version yet.
-    pub fn open_order(&self, now: Moment, id: &str) -> Option<OpenOrder> {
-        self.get(self.key(id)?)?.open_order(now)
+    pub fn pending_load(&self, now: Moment, id: &str) -> Option<PendingLoad> {
+        self.get(self.key(id)?)?.pending_load(now)
     }
 
     // What is under way.
 
     /// Notes that a request is being sent to the run of a server that is known; one that goes to a cold
     /// server uses a permit.
-    pub fn began(&mut self, now: Moment, id: &str) -> Option<ServerKey> {
+    pub fn request_started(&mut self, now: Moment, id: &str) -> Option<ServerKey> {
         let key = self.key(id)?;
-        let is_bounded = self.cold_terms(key).is_some();
+        let is_bounded = self.cold_start_limit(key).is_some();
         let server = self.get_mut(key)?;
         server.load.in_flight += 1;
         if is_bounded && server.is_cold(now) {
@@ -437,7 +438,7 @@
     }
 
     /// Notes how a request ended at the run of a server that it was sent to.
-    pub fn ended(&mut self, now: Moment, key: ServerKey, end: AttemptEnd) {
+    pub fn request_finished(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
         if let Some(server) = self.get_mut(key) {
             server.load.in_flight = server.load.in_flight.saturating_sub(1);
         }
@@ -445,8 +446,8 @@
     }
 
     /// Notes an outcome without a request ending.
-    pub fn note(&mut self, now: Moment, id: &str, end: AttemptEnd) {
-        if end == AttemptEnd::Ended {
+    pub fn record_outcome(&mut self, now: Moment, id: &str, end: AttemptOutcome) {
+        if end == AttemptOutcome::ServerExited {
             self.changes += 1;
         }
         if let Some(key) = self.key(id) {
@@ -454,13 +455,13 @@
         }
     }
 
-    fn note_at(&mut self, now: Moment, key: ServerKey, end: AttemptEnd) {
+    fn note_at(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        server.load.note(now, end);
-        let service = server.listing.service;
-        if let AttemptEnd::Answered(latency) = end {
+        server.load.record_outcome(now, end);
+        let service = server.registration.service;
+        if let AttemptOutcome::Succeeded(latency) = end {
             let millis = latency.as_secs_f64() * 1e3;
             let usual = &mut self.terms.entry(service).or_default().usual_millis;
             let known = usual.unwrap_or(millis);
@@ -469,7 +470,7 @@
     }
 
     /// Notes that a request runs at a server that may end it.
-    pub fn isolate(&mut self, id: &str) {
+    pub fn add_suspect(&mut self, id: &str) {
         self.suspects += 1;
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
             server.load.suspects += 1;
@@ -477,7 +478,7 @@
     }
 
     /// Notes that it runs there no longer.
-    pub fn end_isolation(&mut self, id: &str) {
+    pub fn remove_suspect(&mut self, id: &str) {
         self.suspects = self.suspects.saturating_sub(1);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
             server.load.suspects = server.load.suspects.saturating_sub(1);
@@ -491,21 +492,21 @@
     }
 
     /// Whether a server is being avoided.
-    pub fn is_avoided(&self, now: Moment, id: &str) -> bool {
+    pub fn is_in_backoff(&self, now: Moment, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.is_some_and(|server| server.load.is_avoided(now))
+        server.is_some_and(|server| server.load.is_in_backoff(now))
     }
 
     /// Whether texts that run at a server had better go on elsewhere: its zone is evacuated.
-    pub fn is_to_be_left(&self, id: &str) -> bool {
+    pub fn is_in_evacuated_zone(&self, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.is_some_and(|server| self.evacuated.contains(&server.listing.zone))
+        server.is_some_and(|server| self.evacuated.contains(&server.registration.zone))
     }
 
     // Permits.
 
     /// Cold servers that requests wait for since the last call, which are not being asked for yet.
-    pub fn take_shortages(&mut self, now: Moment) -> Vec<Shortage> {
+    pub fn take_permit_demand(&mut self, now: Moment) -> Vec<PermitDemand> {
         let shortages = std::mem::take(&mut self.shortages);
         let mut due = Vec::new();
         for (server, permits) in shortages {
@@ -516,14 +517,14 @@
             };
             if may_ask {
                 self.asking.insert(server, None);
-                due.push(Shortage { server, permits });
+                due.push(PermitDemand { server, permits });
             }
         }
         due
     }
 
     /// Takes in what a lender gave: permits that hold until then, or none before `again`.
-    pub fn note_loan(
+    pub fn grant_permits(
         &mut self,
         now: Moment,
         key: ServerKey,
@@ -544,8 +545,8 @@
     }
 
     /// Servers that are cold, by zone.
-    pub fn cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
+    pub fn count_cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
         let servers = self.places.iter().filter_map(|place| place.server.as_ref());
-        servers.filter(|server| server.listing.zone == zone && server.is_cold(now)).count()
+        servers.filter(|server| server.registration.zone == zone && server.is_cold(now)).count()
     }
 }
--- a/crates/heronbend/src/placement/queue.rs
+++ b/crates/heronbend/src/placement/queue.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use super::eligible::History;
-use super::eligible::Need;
+use super::eligible::AttemptHistory;
+use super::eligible::Requirements;
 use crate::Moment;
 
 /// A text that waits.
@@ -33,9 +33,9 @@
 
 #[derive(Debug, Clone)]
 struct Ticket {
-    need: Need,
+    requirements: Requirements,
     urgency: Urgency,
-    history: History,
+    history: AttemptHistory,
     since: Moment,
 }
 
@@ -46,7 +46,7 @@
 pub struct Queue {
     next: u64,
     tickets: HashMap<TicketKey, Ticket>,
-    lanes: BTreeMap<Need, Lane>,
+    lanes: BTreeMap<Requirements, Lane>,
 }
 
 impl Queue {
@@ -54,24 +54,24 @@
     pub fn add(
         &mut self,
         now: Moment,
-        need: Need,
+        requirements: Requirements,
         urgency: Urgency,
-        history: History,
+        history: AttemptHistory,
     ) -> TicketKey {
         let key = TicketKey(self.next);
         self.next += 1;
-        self.lanes.entry(need).or_default().insert((urgency, key), ());
-        self.tickets.insert(key, Ticket { need, urgency, history, since: now });
+        self.lanes.entry(requirements).or_default().insert((urgency, key), ());
+        self.tickets.insert(key, Ticket { requirements, urgency, history, since: now });
         key
     }
 
     /// Takes a ticket out; since when it has waited, if it was there.
     pub fn remove(&mut self, key: TicketKey) -> Option<Moment> {
         let ticket = self.tickets.remove(&key)?;
-        if let Some(lane) = self.lanes.get_mut(&ticket.need) {
+        if let Some(lane) = self.lanes.get_mut(&ticket.requirements) {
             lane.remove(&(ticket.urgency, key));
             if lane.is_empty() {
-                self.lanes.remove(&ticket.need);
+                self.lanes.remove(&ticket.requirements);
             }
         }
         Some(ticket.since)
@@ -88,39 +88,39 @@
     }
 
     /// Tickets of a need.
-    pub fn waiting(&self, need: &Need) -> usize {
-        self.lanes.get(need).map_or(0, Lane::len)
+    pub fn waiting(&self, requirements: &Requirements) -> usize {
+        self.lanes.get(requirements).map_or(0, Lane::len)
     }
 
     /// The needs that somebody waits with, the most urgent first.
-    pub fn needs(&self) -> Vec<Need> {
-        let mut needs: Vec<(Urgency, TicketKey, Need)> = self
+    pub fn needs(&self) -> Vec<Requirements> {
+        let mut needs: Vec<(Urgency, TicketKey, Requirements)> = self
             .lanes
             .iter()
-            .filter_map(|(need, lane)| {
+            .filter_map(|(requirements, lane)| {
                 let ((urgency, key), ()) = lane.first_key_value()?;
-                Some((*urgency, *key, *need))
+                Some((*urgency, *key, *requirements))
             })
             .collect();
         needs.sort_unstable();
-        needs.into_iter().map(|(_, _, need)| need).collect()
+        needs.into_iter().map(|(_, _, requirements)| requirements).collect()
     }
 
     /// The most urgent tickets of a need, in order.
-    pub fn first(&self, need: &Need, count: usize) -> Vec<TicketKey> {
-        let lane = self.lanes.get(need).into_iter().flatten();
+    pub fn first(&self, requirements: &Requirements, count: usize) -> Vec<TicketKey> {
+        let lane = self.lanes.get(requirements).into_iter().flatten();
         lane.map(|((_, key), ())| *key).take(count).collect()
     }
 
     /// Tickets that are served before this one among those with the same need.
-    pub fn place_in_line(&self, key: TicketKey) -> Option<usize> {
+    pub fn queue_position(&self, key: TicketKey) -> Option<usize> {
         let ticket = self.tickets.get(&key)?;
-        let lane = self.lanes.get(&ticket.need)?;
+        let lane = self.lanes.get(&ticket.requirements)?;
         Some(lane.range(..(ticket.urgency, key)).count())
     }
 
     /// What became of a ticket's text so far.
-    pub fn history(&self, key: TicketKey) -> Option<&History> {
+    pub fn history(&self, key: TicketKey) -> Option<&AttemptHistory> {
         self.tickets.get(&key).map(|ticket| &ticket.history)
     }
 }
--- a/crates/heronbend/src/placement/rank.rs
+++ b/crates/heronbend/src/placement/rank.rs
@@ -91,7 +91,7 @@
     let mean = server.load.faded_millis(weights.now, weights.best_millis).max(LEAST_MILLIS);
     let is_as_fast = mean <= weights.best_millis * weights.spread;
     let mean = if is_as_fast { weights.best_millis.max(LEAST_MILLIS) } else { mean };
-    let occupied = f64::from(server.load.in_flight) / f64::from(server.listing.slots.max(1));
+    let occupied = f64::from(server.load.in_flight) / f64::from(server.registration.slots.max(1));
     let connecting = if is_connected { 0.0 } else { CONNECT_MILLIS };
     let distance = distance_millis * weights.distance;
     mean * (1.0 + weights.crowding * occupied) + distance + connecting
--- a/crates/heronbend/src/placement/server.rs
+++ b/crates/heronbend/src/placement/server.rs
@@ -10,7 +10,7 @@
 use crate::Moment;
 
 /// Time from an order until the server may have loaded the version.
-pub const EXPECTED_LOAD: Duration = Duration::from_millis(850);
+pub const EXPECTED_LOAD_TIME: Duration = Duration::from_millis(850);
 /// Time after which an order that does not show is no longer believed in.
 const ORDER_BELIEVED: Duration = Duration::from_secs(6);
 /// How long a server whose entry went is still used where its service has no listed one. Entries
@@ -19,7 +19,7 @@
 
 /// What a server's entry says, as the decisions need it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listing {
+pub struct Registration {
     /// The run of the server that wrote it; zero where servers do not say.
     pub incarnation: Incarnation,
     /// Its service.
@@ -29,7 +29,7 @@
     /// Requests that it works on at the same time.
     pub slots: u32,
     /// Whether it is about to leave and gets nothing new.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Versions of the models that it holds.
     pub versions: Vec<(ModelKey, u64)>,
     /// How much longer it is cold, counted from when the entry was written.
@@ -40,16 +40,16 @@
 
 /// What a server of a service bears while it is cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdTerms {
+pub struct ColdStartLimit {
     /// Requests a second, from all daemons together.
     pub per_second: f64,
     /// How long a server is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// An order to load a version that a server has taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpenOrder {
+pub struct PendingLoad {
     /// The model.
     pub model: ModelKey,
     /// The version.
@@ -64,7 +64,7 @@
     /// Its identifier.
     pub id: String,
     /// What its entry says.
-    pub listing: Listing,
+    pub registration: Registration,
     /// Since when its entry is gone, if it is.
     pub gone_since: Option<Moment>,
     /// Until when it is cold by its entry.
@@ -72,7 +72,7 @@
     /// Until when it has to be taken for cold whatever its entry says.
     assumed_cold_until: Moment,
     /// The order that it took last.
-    order: Option<OpenOrder>,
+    order: Option<PendingLoad>,
     /// Permits to send one request each to it while it is cold: until when each holds.
     pub permits: Vec<Moment>,
     /// Load and health.
@@ -81,11 +81,11 @@
 
 impl Server {
     /// A server that was listed at `now`.
-    pub fn new(now: Moment, id: &str, listing: Listing) -> Self {
-        let cold_until = now.saturating_add(listing.cold_for);
+    pub fn new(now: Moment, id: &str, registration: Registration) -> Self {
+        let cold_until = now.saturating_add(registration.cold_for);
         Self {
             id: id.to_owned(),
-            listing,
+            registration,
             gone_since: None,
             cold_until,
             assumed_cold_until: Moment::ZERO,
@@ -96,11 +96,11 @@
     }
 
     /// Takes a newer entry in. One that is known already says nothing of how cold the server is now.
-    pub fn relist(&mut self, now: Moment, listing: Listing) {
-        if listing.revision > self.listing.revision {
-            self.cold_until = now.saturating_add(listing.cold_for);
+    pub fn update_registration(&mut self, now: Moment, registration: Registration) {
+        if registration.revision > self.registration.revision {
+            self.cold_until = now.saturating_add(registration.cold_for);
         }
-        self.listing = listing;
+        self.registration = registration;
         self.gone_since = None;
     }
 
@@ -116,33 +116,33 @@
 
     /// Whether it takes requests, as far as its entry says.
     pub fn is_ready(&self) -> bool {
-        self.gone_since.is_none() && !self.listing.is_leaving
+        self.gone_since.is_none() && !self.registration.is_draining
     }
 
     /// Whether its entry went so short a time ago that it may serve on.
     pub fn is_lapsed(&self, now: Moment) -> bool {
-        let since = self.gone_since.filter(|_| !self.listing.is_leaving);
+        let since = self.gone_since.filter(|_| !self.registration.is_draining);
         since.is_some_and(|since| now < since + LAPSED_USE)
     }
 
     /// Requests that it could take beside those that this daemon has there.
     pub fn free_slots(&self) -> u32 {
-        self.listing.slots.saturating_sub(self.load.in_flight)
+        self.registration.slots.saturating_sub(self.load.in_flight)
     }
 
     /// The version of a model that its entry shows.
     pub fn listed_version(&self, model: ModelKey) -> Option<u64> {
-        let held = self.listing.versions.iter().find(|(held, _)| *held == model);
+        let held = self.registration.versions.iter().find(|(held, _)| *held == model);
         held.map(|(_, version)| *version)
     }
 
     /// Notes an order that it has taken.
-    pub fn order_taken(&mut self, order: OpenOrder) {
+    pub fn record_load_order(&mut self, order: PendingLoad) {
         self.order = Some(order);
     }
 
     /// The order that it works on, if its entry does not show the version yet.
-    pub fn open_order(&self, now: Moment) -> Option<OpenOrder> {
+    pub fn pending_load(&self, now: Moment) -> Option<PendingLoad> {
         let order = self.order?;
         let is_shown = self.listed_version(order.model).is_some_and(|held| held >= order.version);
         let is_believed = now < order.since + ORDER_BELIEVED;
--- a/crates/heronbend/src/placement/tally.rs
+++ b/crates/heronbend/src/placement/tally.rs
@@ -19,11 +19,11 @@
     /// What keeps most of the servers that are there from it. An operator's word counts only where
     /// it concerns all of them: the others may have a place soon.
     pub fn reason(&self) -> Option<Exclusion> {
-        let lasts = |exclusion: &Exclusion| {
+        let is_persistent = |exclusion: &Exclusion| {
             matches!(exclusion, Exclusion::Evacuated | Exclusion::OutsideHomes)
         };
         let there = self.counts.iter().filter(|(exclusion, _)| **exclusion != Exclusion::Gone);
-        let passing = there.clone().filter(|(exclusion, _)| !lasts(exclusion));
+        let passing = there.clone().filter(|(exclusion, _)| !is_persistent(exclusion));
         let most = |counts: &mut dyn Iterator<Item = (&Exclusion, &u32)>| {
             counts.max_by_key(|(_, count)| **count).map(|(exclusion, _)| *exclusion)
         };
--- a/crates/heronbend/src/placement/patience.rs
+++ b/crates/heronbend/src/placement/wait_policy.rs
@@ -21,14 +21,14 @@
 /// a second or so. After its target an answer is worth little.
 const OFFERED_SHARE: f64 = 1.0;
 /// When a refused caller is to come back if nothing is known of when a server will be free.
-pub const COME_BACK: Duration = Duration::from_millis(400);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// The same where an operator has taken all servers out, or all but one are gone: that takes longer
 /// than a call may wait.
-const COME_BACK_LATER: Duration = Duration::from_secs(1);
+const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How long a call has waited, and how long it may.
 #[derive(Debug, Clone, Copy)]
-pub struct Waited {
+pub struct WaitState {
     /// When its wait for a server began.
     pub since: Moment,
     /// When its caller's time is over.
@@ -36,41 +36,41 @@
     /// Time within which an answer is of full value.
     pub target: Duration,
     /// Whether a server has been sent it.
-    pub was_offered: bool,
+    pub was_sent: bool,
 }
 
 /// Why a call is refused, and when its caller is to come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// What keeps most of the servers from it; nothing where there are none.
     pub reason: Option<Exclusion>,
     /// Time until it is worth coming back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// What becomes of a call now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum Decision {
     /// It is sent to a server.
     Place(Choice),
     /// It looks for a server again after so long.
     Wait(Duration),
     /// It is refused.
-    Refuse(Refusal),
+    Reject(Rejection),
 }
 
 /// What becomes of a call that no server can be sent now, where `reason` keeps it from most of them.
-pub fn unplaced(now: Moment, waited: &Waited, reason: Option<Exclusion>) -> Answer {
+pub fn unplaced(now: Moment, wait: &WaitState, reason: Option<Exclusion>) -> Decision {
     let changes_by_itself =
         !matches!(reason, Some(Exclusion::Evacuated | Exclusion::OutsideHomes | Exclusion::Last));
     if !changes_by_itself {
-        return Answer::Refuse(Refusal { reason, come_back: COME_BACK_LATER });
+        return Decision::Reject(Rejection { reason, retry_after: LONG_RETRY_AFTER });
     }
-    let may_soon_be_offered = waited.was_offered || reason == Some(Exclusion::Ended);
+    let may_soon_be_offered = wait.was_sent || reason == Some(Exclusion::Ended);
     let share = if may_soon_be_offered { OFFERED_SHARE } else { UNOFFERED_SHARE };
-    let give_up_at = (waited.since + waited.target.mul_f64(share)).min(waited.deadline);
+    let give_up_at = (wait.since + wait.target.mul_f64(share)).min(wait.deadline);
     if now >= give_up_at {
-        return Answer::Refuse(Refusal { reason, come_back: COME_BACK });
+        return Decision::Reject(Rejection { reason, retry_after: DEFAULT_RETRY_AFTER });
     }
-    Answer::Wait(ASK_AGAIN)
+    Decision::Wait(ASK_AGAIN)
 }
