--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -230,7 +230,7 @@
     /// What tells that the item has come before.
     fn fingerprint(&self, route: &Route) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let outgoing = self.outgoing(VersionStatus::Listed, route);
+            let outgoing = self.outgoing(VersionStatus::Registered, route);
             // One that cannot be sent at all ends no engine.
             let names = self.gateway.dialect.headers();
             outgoing.map_or_else(Fingerprint::default, |outgoing| outgoing.fingerprint(names))
@@ -304,8 +304,8 @@
         let rest = self.gateway.lengths.borrow().expected_rest(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
-            due: self.job.known_since + route.result_deadline.unwrap_or_default(),
-            expected: Reverse(u64::from(rest)),
+            deadline: self.job.known_since + route.result_deadline.unwrap_or_default(),
+            remaining_tokens: Reverse(u64::from(rest)),
         }
     }
 
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/duty.rs
@@ -65,7 +65,7 @@
     let is_known_run = directory.get(server).is_none_or(|known| known.incarnation == incarnation);
     // Daemons of an earlier build do not tell which run it was.
     if is_known_run || incarnation == Incarnation::default() {
-        directory.placer.record_load_order(now, server, model, version);
+        directory.placer.record_load_command(now, server, model, version);
     }
     drop(directory);
     gateway.versions.order_taken(now, holder);
--- a/crates/heronbend-gateway/tests/directory.rs
+++ b/crates/heronbend-gateway/tests/directory.rs
@@ -34,7 +34,7 @@
     let mut directory = Directory::new(SEED);
     assert_eq!(directory.insert(SECOND, run(1, 7)), Run::Same);
     let former = directory.placer.request_started(SECOND, "e").unwrap();
-    directory.placer.record_load_order(SECOND, "e", "m", 8);
+    directory.placer.record_load_command(SECOND, "e", "m", 8);
     for _ in 0..3 {
         directory.placer.record_outcome(SECOND, "e", AttemptOutcome::Failed);
     }
--- a/crates/heronbend/src/placement/eligible.rs
+++ b/crates/heronbend/src/placement/eligibility.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionStatus {
     /// Its entry says so.
-    Listed,
+    Registered,
     /// It may have loaded this version by now; a request has to say which version it expects.
     Expected(u64),
     /// It cannot.
@@ -54,118 +54,123 @@
 pub enum Exclusion {
     /// Its process ended a moment ago, and its entry still stands. What starts in its place may be listed at
     /// any time.
-    Ended,
+    ServerExited,
     /// Its entry went, or says that it is about to leave.
-    Gone,
+    NotReady,
     /// The operator has its zone evacuated.
     Evacuated,
     /// It stands in a region that is none of the request's homes.
-    OutsideHomes,
+    RegionNotAllowed,
     /// It has not the version of the weights that is needed.
-    Version,
+    VersionMismatch,
     /// It has as many requests of this daemon as fall to it.
-    Share,
+    InFlightLimit,
     /// All of its places are taken, as far as is known.
-    Full,
+    NoFreeSlot,
     /// It failed or refused a moment ago.
-    Avoided,
+    Backoff,
     /// It is cold, and no permit is at hand.
-    Cold,
+    NoPermit,
     /// The request may not be sent there again.
-    Tried,
+    AlreadyTried,
     /// It is the last sound one, and the request is likely to end it.
-    Last,
+    LastHealthy,
 }
 
 impl Exclusion {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Ended => "ended",
-            Self::Gone => "gone",
+            Self::ServerExited => "ended",
+            Self::NotReady => "gone",
             Self::Evacuated => "evacuated",
-            Self::OutsideHomes => "outside_homes",
-            Self::Version => "version",
-            Self::Share => "share",
-            Self::Full => "full",
-            Self::Avoided => "avoided",
-            Self::Cold => "cold",
-            Self::Tried => "tried",
-            Self::Last => "last",
+            Self::RegionNotAllowed => "outside_homes",
+            Self::VersionMismatch => "version",
+            Self::InFlightLimit => "share",
+            Self::NoFreeSlot => "full",
+            Self::Backoff => "avoided",
+            Self::NoPermit => "cold",
+            Self::AlreadyTried => "tried",
+            Self::LastHealthy => "last",
         }
     }
 }
 
 /// What an exclusion depends on beside the server.
 #[derive(Debug, Clone, Copy)]
-pub struct Circumstances {
+pub struct EligibilityContext {
     /// The time.
     pub now: Moment,
     /// Whether the service has a server whose entry is there and which does not leave.
-    pub has_listed: bool,
+    pub has_ready_server: bool,
     /// Whether the server's zone is evacuated.
     pub is_evacuated: bool,
     /// Whether the server's region is one of the request's homes.
-    pub is_home: bool,
+    pub is_region_allowed: bool,
     /// Requests that this daemon may have at one server of the service.
-    pub share: u32,
+    pub max_in_flight: u32,
     /// Whether a cold server of the service may only be sent to with a permit.
     pub needs_permit: bool,
 }
 
 /// Why a server may not be sent anything of a need at all, whatever its load; nothing if it may.
-pub fn barred(
+pub fn check_eligibility(
     server: &Server,
     requirements: &Requirements,
-    at: &Circumstances,
+    context: &EligibilityContext,
 ) -> Option<Exclusion> {
-    let is_usable = server.is_ready() || (!at.has_listed && server.is_lapsed(at.now));
-    if !is_usable {
-        return Some(Exclusion::Gone);
+    let is_ready =
+        server.is_ready() || (!context.has_ready_server && server.is_in_grace_period(context.now));
+    if !is_ready {
+        return Some(Exclusion::NotReady);
     }
-    if at.is_evacuated {
+    if context.is_evacuated {
         return Some(Exclusion::Evacuated);
     }
-    if !at.is_home {
-        return Some(Exclusion::OutsideHomes);
+    if !context.is_region_allowed {
+        return Some(Exclusion::RegionNotAllowed);
     }
-    if server.load.has_ended(at.now) {
-        return Some(if server.is_ready() { Exclusion::Ended } else { Exclusion::Gone });
+    if server.health.has_exited(context.now) {
+        return Some(if server.is_ready() { Exclusion::ServerExited } else { Exclusion::NotReady });
     }
-    (version_status(server, requirements, at.now) == VersionStatus::Unavailable)
-        .then_some(Exclusion::Version)
+    (version_status(server, requirements, context.now) == VersionStatus::Unavailable)
+        .then_some(Exclusion::VersionMismatch)
 }
 
 /// Why a server cannot be sent a request now, though nothing bars it.
-pub fn engaged(server: &Server, at: &Circumstances, needs_slot: bool) -> Option<Exclusion> {
-    if server.load.in_flight >= at.share {
-        return Some(Exclusion::Share);
+pub fn check_availability(
+    server: &Server,
+    context: &EligibilityContext,
+    needs_slot: bool,
+) -> Option<Exclusion> {
+    if server.health.in_flight >= context.max_in_flight {
+        return Some(Exclusion::InFlightLimit);
     }
     if needs_slot && server.free_slots() == 0 {
-        return Some(Exclusion::Full);
+        return Some(Exclusion::NoFreeSlot);
     }
-    if needs_slot && server.load.is_in_backoff(at.now) {
-        return Some(Exclusion::Avoided);
+    if needs_slot && server.health.is_in_backoff(context.now) {
+        return Some(Exclusion::Backoff);
     }
-    let needs_permit = at.needs_permit && server.is_cold(at.now);
-    (needs_permit && !server.has_permit(at.now)).then_some(Exclusion::Cold)
+    let needs_permit = context.needs_permit && server.is_cold(context.now);
+    (needs_permit && !server.has_permit(context.now)).then_some(Exclusion::NoPermit)
 }
 
 /// Whether a server can run requests of a need, by the version of its weights.
 pub fn version_status(server: &Server, requirements: &Requirements, now: Moment) -> VersionStatus {
     let Some((model, min_version)) = requirements.model else {
-        return VersionStatus::Listed;
+        return VersionStatus::Registered;
     };
-    if let Some(order) = server.pending_load(now).filter(|order| order.model == model) {
-        let may_be_loaded = now >= order.since + EXPECTED_LOAD_TIME;
-        return if may_be_loaded && order.version >= min_version {
-            VersionStatus::Expected(order.version)
+    if let Some(load) = server.pending_load(now).filter(|load| load.model == model) {
+        let may_be_loaded = now >= load.since + EXPECTED_LOAD_TIME;
+        return if may_be_loaded && load.version >= min_version {
+            VersionStatus::Expected(load.version)
         } else {
             VersionStatus::Unavailable
         };
     }
-    match server.listed_version(model) {
-        Some(version) if version >= min_version => VersionStatus::Listed,
+    match server.registered_version(model) {
+        Some(version) if version >= min_version => VersionStatus::Registered,
         _ => VersionStatus::Unavailable,
     }
 }
--- a/crates/heronbend/src/placement/mod.rs
+++ b/crates/heronbend/src/placement/mod.rs
@@ -16,30 +16,30 @@
 //! - [`tally`]: what keeps servers from a request.
 
 pub mod decisions;
-pub mod eligible;
+pub mod eligibility;
+pub mod exclusion_counts;
+pub mod health;
 pub mod keys;
-pub mod load;
 pub mod placer;
 pub mod queue;
 pub mod rank;
 pub mod server;
 pub mod share;
-pub mod tally;
 #[cfg(test)]
 mod tests;
 pub mod wait_policy;
 
-pub use eligible::AttemptHistory;
-pub use eligible::Exclusion;
-pub use eligible::Requirements;
-pub use eligible::VersionStatus;
+pub use eligibility::AttemptHistory;
+pub use eligibility::Exclusion;
+pub use eligibility::Requirements;
+pub use eligibility::VersionStatus;
+pub use health::AttemptOutcome;
 pub use keys::ModelKey;
 pub use keys::RegionKey;
 pub use keys::RegionSetKey;
 pub use keys::ServerKey;
 pub use keys::ServiceKey;
 pub use keys::ZoneKey;
-pub use load::AttemptOutcome;
 pub use placer::Choice;
 pub use placer::PermitDemand;
 pub use placer::Placer;
--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -11,8 +11,10 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use super::eligible::Requirements;
-use super::eligible::VersionStatus;
+use super::eligibility::Requirements;
+use super::eligibility::VersionStatus;
+use super::exclusion_counts::ExclusionCounts;
+use super::health::AttemptOutcome;
 use super::keys::ModelKey;
 use super::keys::Names;
 use super::keys::RegionKey;
@@ -20,26 +22,24 @@
 use super::keys::ServerKey;
 use super::keys::ServiceKey;
 use super::keys::ZoneKey;
-use super::load::AttemptOutcome;
 use super::queue::Queue;
 use super::server::ColdStartLimit;
 use super::server::PendingLoad;
 use super::server::Registration;
 use super::server::Server;
-use super::server::LAPSED_USE;
-use super::tally::Tally;
+use super::server::DEREGISTRATION_GRACE;
 use crate::Moment;
 
 /// Weight of a new sample in the usual time of a service's answers: one server that turns slow is told
 /// from it also by a daemon that sends to no other.
-const USUAL_WEIGHT: f64 = 0.02;
+const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
 /// Time that a server of another zone of the same region adds to a request: a round trip and some more,
 /// so that a zone's calls stay in it.
-const OTHER_ZONE: Duration = Duration::from_millis(2);
+const CROSS_ZONE_LATENCY: Duration = Duration::from_millis(2);
 /// The same of another region.
-const OTHER_REGION: Duration = Duration::from_millis(20);
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(20);
 /// Rest after a lender gave no permit, unless it says when there will be one.
-const PERMIT_REST: Duration = Duration::from_millis(100);
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A server that was chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,24 +63,24 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceState {
     /// Requests that this daemon may have at one of its servers.
-    pub(super) share: Option<u32>,
+    pub(super) max_in_flight: Option<u32>,
     /// What one of its servers bears while it is cold; nothing where that is not bounded.
-    pub(super) cold: Option<ColdStartLimit>,
+    pub(super) cold_start: Option<ColdStartLimit>,
     /// Mean time of an answer over a long time, in milliseconds.
-    pub(super) usual_millis: Option<f64>,
+    pub(super) baseline_millis: Option<f64>,
 }
 
 /// Servers that nothing bars from a need, as of some moment.
-pub(super) struct Open {
+pub(super) struct EligibleServers {
     pub(super) requirements: Requirements,
     /// Count of changes that it was found after.
-    pub(super) changes: u64,
-    pub(super) at: Moment,
+    pub(super) change_count: u64,
+    pub(super) computed_at: Moment,
     pub(super) servers: Rc<[ServerKey]>,
-    pub(super) tally: Tally,
+    pub(super) exclusions: ExclusionCounts,
 }
 
-pub(super) struct Place {
+pub(super) struct ArenaSlot {
     generation: u32,
     server: Option<Server>,
 }
@@ -93,39 +93,39 @@
     pub(super) models: Names<ModelKey>,
     pub(super) region_sets: Vec<BTreeSet<RegionKey>>,
     pub(super) region_of: HashMap<ZoneKey, RegionKey>,
-    pub(super) here: Option<ZoneKey>,
+    pub(super) local_zone: Option<ZoneKey>,
     pub(super) evacuated: BTreeSet<ZoneKey>,
     /// Whether the evacuations are still to be heard of: any zone may be evacuated until then.
     pub(super) awaits_evacuations: bool,
-    pub(super) terms: HashMap<ServiceKey, ServiceState>,
-    pub(super) places: Vec<Place>,
+    pub(super) service_states: HashMap<ServiceKey, ServiceState>,
+    pub(super) arena: Vec<ArenaSlot>,
     /// Indices of `places` that hold no server.
-    free: Vec<u32>,
+    free_indices: Vec<u32>,
     /// Servers whose entries went and that are not forgotten yet: a release of thousands costs for each
     /// that leaves a look at those that left a moment ago, and not at all that there are.
-    gone: BTreeSet<ServerKey>,
+    deregistered: BTreeSet<ServerKey>,
     pub(super) by_id: HashMap<String, ServerKey>,
     pub(super) by_service: BTreeMap<ServiceKey, BTreeSet<ServerKey>>,
     pub(super) queue: Queue,
     /// Requests under way that may end their servers.
     pub(super) suspects: u32,
     /// Permits that a lender is being asked for, or after which time it may be asked again.
-    pub(super) asking: HashMap<ServerKey, Option<Moment>>,
-    pub(super) shortages: BTreeMap<ServerKey, u32>,
+    pub(super) permit_requests: HashMap<ServerKey, Option<Moment>>,
+    pub(super) permit_demand: BTreeMap<ServerKey, u32>,
     pub(super) random: SmallRng,
     /// Where the subset of this daemon begins among all servers, from 0 to 1.
-    pub(super) own_place: f64,
+    pub(super) subset_offset: f64,
     /// Counts what may change which servers a need is barred from.
-    pub(super) changes: u64,
+    pub(super) change_count: u64,
     /// What was found last, by need.
-    pub(super) known_open: Vec<Open>,
+    pub(super) eligible_cache: Vec<EligibleServers>,
 }
 
 impl Placer {
     /// A machine that knows nothing yet and draws among equals by `seed`.
     pub fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let own_place = random.random();
+        let subset_offset = random.random();
         Self {
             services: Names::default(),
             zones: Names::default(),
@@ -133,23 +133,23 @@
             models: Names::default(),
             region_sets: Vec::new(),
             region_of: HashMap::new(),
-            here: None,
+            local_zone: None,
             evacuated: BTreeSet::new(),
             awaits_evacuations: false,
-            terms: HashMap::new(),
-            places: Vec::new(),
-            free: Vec::new(),
-            gone: BTreeSet::new(),
+            service_states: HashMap::new(),
+            arena: Vec::new(),
+            free_indices: Vec::new(),
+            deregistered: BTreeSet::new(),
             by_id: HashMap::new(),
             by_service: BTreeMap::new(),
             queue: Queue::default(),
             suspects: 0,
-            asking: HashMap::new(),
-            shortages: BTreeMap::new(),
+            permit_requests: HashMap::new(),
+            permit_demand: BTreeMap::new(),
             random,
-            own_place,
-            changes: 0,
-            known_open: Vec::new(),
+            subset_offset,
+            change_count: 0,
+            eligible_cache: Vec::new(),
         }
     }
 
@@ -190,7 +190,7 @@
 
     /// Notes the region of a zone.
     pub fn set_region(&mut self, zone: &str, region: &str) {
-        self.changes += 1;
+        self.change_count += 1;
         let (zone, region) = (self.zones.key(zone), self.regions.key(region));
         self.region_of.insert(zone, region);
     }
@@ -202,23 +202,23 @@
 
     /// Notes the zone of this daemon.
     pub fn set_local_zone(&mut self, zone: &str) {
-        self.here = Some(self.zones.key(zone));
+        self.local_zone = Some(self.zones.key(zone));
     }
 
     /// Time that a zone adds to a request.
-    pub fn distance(&self, zone: ZoneKey) -> Duration {
-        if Some(zone) == self.here {
+    pub fn zone_latency(&self, zone: ZoneKey) -> Duration {
+        if Some(zone) == self.local_zone {
             return Duration::ZERO;
         }
         let region = |zone: ZoneKey| self.region_of.get(&zone);
-        let is_far = match (region(zone), self.here.and_then(region)) {
-            (Some(there), Some(here)) => there != here,
+        let is_far = match (region(zone), self.local_zone.and_then(region)) {
+            (Some(there), Some(local_region)) => there != local_region,
             _ => false,
         };
         if is_far {
-            OTHER_REGION
+            CROSS_REGION_LATENCY
         } else {
-            OTHER_ZONE
+            CROSS_ZONE_LATENCY
         }
     }
 
@@ -226,17 +226,22 @@
 
     /// Notes how many requests this daemon may have at one server of a service, and what such a server
     /// bears while it is cold.
-    pub fn set_service(&mut self, name: &str, share: u32, cold: Option<ColdStartLimit>) {
+    pub fn set_service(
+        &mut self,
+        name: &str,
+        max_in_flight: u32,
+        cold_start: Option<ColdStartLimit>,
+    ) {
         let service = self.services.key(name);
-        let cold = cold.filter(|terms| terms.per_second > 0.0);
-        let state = self.terms.entry(service).or_default();
-        (state.share, state.cold) = (Some(share), cold);
+        let cold_start = cold_start.filter(|service_states| service_states.per_second > 0.0);
+        let state = self.service_states.entry(service).or_default();
+        (state.max_in_flight, state.cold_start) = (Some(max_in_flight), cold_start);
     }
 
     /// What a server of a service bears while it is cold, where that is bounded.
     pub fn cold_start_limit(&self, key: ServerKey) -> Option<ColdStartLimit> {
         let service = self.get(key)?.registration.service;
-        self.terms.get(&service)?.cold
+        self.service_states.get(&service)?.cold_start
     }
 
     /// Has no server used until the evacuations are known.
@@ -246,7 +251,7 @@
 
     /// Notes that the evacuations are known.
     pub fn mark_evacuations_loaded(&mut self) {
-        self.changes += 1;
+        self.change_count += 1;
         self.awaits_evacuations = false;
     }
 
@@ -257,7 +262,7 @@
 
     /// Notes that nothing may be sent to a zone's servers any more.
     pub fn evacuate(&mut self, zone: &str) {
-        self.changes += 1;
+        self.change_count += 1;
         let zone = self.zones.key(zone);
         self.evacuated.insert(zone);
     }
@@ -265,16 +270,18 @@
     /// Notes that a zone's servers may be sent to again. They may have turned cold a moment ago,
     /// before their entries tell of it.
     pub fn readmit(&mut self, now: Moment, zone: &str) {
-        self.changes += 1;
+        self.change_count += 1;
         let zone = self.zones.key(zone);
         if !self.evacuated.remove(&zone) {
             return;
         }
-        let terms = &self.terms;
-        for server in self.places.iter_mut().filter_map(|place| place.server.as_mut()) {
-            let cold = terms.get(&server.registration.service).and_then(|service| service.cold);
-            if let Some(cold) = cold.filter(|_| server.registration.zone == zone) {
-                server.assume_cold(now + cold.duration);
+        let service_states = &self.service_states;
+        for server in self.arena.iter_mut().filter_map(|slot| slot.server.as_mut()) {
+            let cold_start = service_states
+                .get(&server.registration.service)
+                .and_then(|service| service.cold_start);
+            if let Some(cold_start) = cold_start.filter(|_| server.registration.zone == zone) {
+                server.assume_cold(now + cold_start.duration);
             }
         }
     }
@@ -286,7 +293,7 @@
     /// A later run of the server than the one that is known gets another key: nothing that was known of
     /// the former one holds for it. An entry of an earlier run changes nothing.
     pub fn register(&mut self, now: Moment, id: &str, registration: Registration) -> ServerKey {
-        self.changes += 1;
+        self.change_count += 1;
         let known =
             self.key(id).and_then(|key| Some((key, self.get(key)?.registration.incarnation)));
         match known {
@@ -295,11 +302,11 @@
                 self.update_registration(now, key, registration);
                 return key;
             }
-            Some((key, _)) => self.forget(key),
+            Some((key, _)) => self.evict(key),
             None => {}
         }
         let service = registration.service;
-        let key = self.add(Server::new(now, id, registration));
+        let key = self.insert_server(Server::new(now, id, registration));
         self.by_id.insert(id.to_owned(), key);
         self.by_service.entry(service).or_default().insert(key);
         key
@@ -307,7 +314,7 @@
 
     /// Takes in a further entry of the run of a server that is known.
     fn update_registration(&mut self, now: Moment, key: ServerKey, registration: Registration) {
-        self.gone.remove(&key);
+        self.deregistered.remove(&key);
         let service = registration.service;
         let Some(server) = self.get_mut(key) else {
             return;
@@ -315,66 +322,71 @@
         let before = server.registration.service;
         server.update_registration(now, registration);
         if before != service {
-            self.unlink(before, key);
+            self.remove_from_service(before, key);
         }
         self.by_service.entry(service).or_default().insert(key);
     }
 
-    fn add(&mut self, server: Server) -> ServerKey {
-        if let Some(index) = self.free.pop() {
-            let place = &mut self.places[index as usize];
-            place.generation += 1;
-            place.server = Some(server);
-            return ServerKey { index, generation: place.generation };
+    fn insert_server(&mut self, server: Server) -> ServerKey {
+        if let Some(index) = self.free_indices.pop() {
+            let slot = &mut self.arena[index as usize];
+            slot.generation += 1;
+            slot.server = Some(server);
+            return ServerKey { index, generation: slot.generation };
         }
-        let index = u32::try_from(self.places.len()).unwrap_or(u32::MAX);
-        self.places.push(Place { generation: 0, server: Some(server) });
+        let index = u32::try_from(self.arena.len()).unwrap_or(u32::MAX);
+        self.arena.push(ArenaSlot { generation: 0, server: Some(server) });
         ServerKey { index, generation: 0 }
     }
 
     /// Notes that a server's entry went; the servers that are forgotten by now.
     pub fn deregister(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
-        self.changes += 1;
+        self.change_count += 1;
         let key = self.key(id);
         if let Some((key, server)) = key.and_then(|key| Some((key, self.get_mut(key)?))) {
-            server.gone_since.get_or_insert(now);
-            self.gone.insert(key);
+            server.deregistered_at.get_or_insert(now);
+            self.deregistered.insert(key);
         }
-        self.forget_gone(now)
+        self.evict_deregistered(now)
     }
 
     /// Forgets servers whose entries went long ago and at which nothing is under way.
-    fn forget_gone(&mut self, now: Moment) -> Vec<ServerKey> {
-        let is_over = |server: &Server| {
-            let gone = server.gone_since.is_some_and(|since| now >= since + LAPSED_USE);
-            gone && server.load.in_flight == 0
+    fn evict_deregistered(&mut self, now: Moment) -> Vec<ServerKey> {
+        let is_expired = |server: &Server| {
+            let deregistered =
+                server.deregistered_at.is_some_and(|since| now >= since + DEREGISTRATION_GRACE);
+            deregistered && server.health.in_flight == 0
         };
-        let over: Vec<ServerKey> =
-            self.gone.iter().copied().filter(|key| self.get(*key).is_none_or(&is_over)).collect();
-        for key in &over {
-            self.forget(*key);
+        let expired: Vec<ServerKey> = self
+            .deregistered
+            .iter()
+            .copied()
+            .filter(|key| self.get(*key).is_none_or(&is_expired))
+            .collect();
+        for key in &expired {
+            self.evict(*key);
         }
-        over
+        expired
     }
 
     /// Forgets a server, with whatever was known of it.
-    fn forget(&mut self, key: ServerKey) {
-        self.gone.remove(&key);
-        let place = self.places.get_mut(key.index as usize);
-        let Some(place) = place.filter(|place| place.generation == key.generation) else {
+    fn evict(&mut self, key: ServerKey) {
+        self.deregistered.remove(&key);
+        let slot = self.arena.get_mut(key.index as usize);
+        let Some(slot) = slot.filter(|slot| slot.generation == key.generation) else {
             return;
         };
-        let Some(server) = place.server.take() else {
+        let Some(server) = slot.server.take() else {
             return;
         };
-        self.free.push(key.index);
-        self.unlink(server.registration.service, key);
+        self.free_indices.push(key.index);
+        self.remove_from_service(server.registration.service, key);
         self.by_id.remove(&server.id);
-        self.asking.remove(&key);
-        self.shortages.remove(&key);
+        self.permit_requests.remove(&key);
+        self.permit_demand.remove(&key);
     }
 
-    fn unlink(&mut self, service: ServiceKey, key: ServerKey) {
+    fn remove_from_service(&mut self, service: ServiceKey, key: ServerKey) {
         if let Some(servers) = self.by_service.get_mut(&service) {
             servers.remove(&key);
         }
@@ -391,16 +403,16 @@
     }
 
     pub(super) fn get(&self, key: ServerKey) -> Option<&Server> {
-        let place = self.places.get(key.index as usize)?;
-        place.server.as_ref().filter(|_| place.generation == key.generation)
+        let slot = self.arena.get(key.index as usize)?;
+        slot.server.as_ref().filter(|_| slot.generation == key.generation)
     }
 
     pub(super) fn get_mut(&mut self, key: ServerKey) -> Option<&mut Server> {
-        let place = self.places.get_mut(key.index as usize)?;
-        place.server.as_mut().filter(|_| place.generation == key.generation)
+        let slot = self.arena.get_mut(key.index as usize)?;
+        slot.server.as_mut().filter(|_| slot.generation == key.generation)
     }
 
-    pub(super) fn of_service(
+    pub(super) fn servers_of(
         &self,
         service: ServiceKey,
     ) -> impl Iterator<Item = (ServerKey, &Server)> {
@@ -409,11 +421,11 @@
     }
 
     /// Notes an order that a server has taken.
-    pub fn record_load_order(&mut self, now: Moment, id: &str, model: &str, version: u64) {
-        self.changes += 1;
+    pub fn record_load_command(&mut self, now: Moment, id: &str, model: &str, version: u64) {
+        self.change_count += 1;
         let model = self.models.key(model);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.record_load_order(PendingLoad { model, version, since: now });
+            server.record_load_command(PendingLoad { model, version, since: now });
         }
     }
 
@@ -430,7 +442,7 @@
         let key = self.key(id)?;
         let is_bounded = self.cold_start_limit(key).is_some();
         let server = self.get_mut(key)?;
-        server.load.in_flight += 1;
+        server.health.in_flight += 1;
         if is_bounded && server.is_cold(now) {
             server.use_permit(now);
         }
@@ -440,32 +452,32 @@
     /// Notes how a request ended at the run of a server that it was sent to.
     pub fn request_finished(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
         if let Some(server) = self.get_mut(key) {
-            server.load.in_flight = server.load.in_flight.saturating_sub(1);
+            server.health.in_flight = server.health.in_flight.saturating_sub(1);
         }
-        self.note_at(now, key, end);
+        self.record_outcome_at(now, key, end);
     }
 
     /// Notes an outcome without a request ending.
     pub fn record_outcome(&mut self, now: Moment, id: &str, end: AttemptOutcome) {
         if end == AttemptOutcome::ServerExited {
-            self.changes += 1;
+            self.change_count += 1;
         }
         if let Some(key) = self.key(id) {
-            self.note_at(now, key, end);
+            self.record_outcome_at(now, key, end);
         }
     }
 
-    fn note_at(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
+    fn record_outcome_at(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        server.load.record_outcome(now, end);
+        server.health.record_outcome(now, end);
         let service = server.registration.service;
         if let AttemptOutcome::Succeeded(latency) = end {
             let millis = latency.as_secs_f64() * 1e3;
-            let usual = &mut self.terms.entry(service).or_default().usual_millis;
-            let known = usual.unwrap_or(millis);
-            *usual = Some(known + (millis - known) * USUAL_WEIGHT);
+            let baseline = &mut self.service_states.entry(service).or_default().baseline_millis;
+            let known = baseline.unwrap_or(millis);
+            *baseline = Some(known + (millis - known) * BASELINE_SAMPLE_WEIGHT);
         }
     }
 
@@ -473,7 +485,7 @@
     pub fn add_suspect(&mut self, id: &str) {
         self.suspects += 1;
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.load.suspects += 1;
+            server.health.suspects += 1;
         }
     }
 
@@ -481,20 +493,20 @@
     pub fn remove_suspect(&mut self, id: &str) {
         self.suspects = self.suspects.saturating_sub(1);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.load.suspects = server.load.suspects.saturating_sub(1);
+            server.health.suspects = server.health.suspects.saturating_sub(1);
         }
     }
 
     /// Requests that this daemon has under way at a server.
     pub fn in_flight(&self, id: &str) -> u32 {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.map_or(0, |server| server.load.in_flight)
+        server.map_or(0, |server| server.health.in_flight)
     }
 
     /// Whether a server is being avoided.
     pub fn is_in_backoff(&self, now: Moment, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.is_some_and(|server| server.load.is_in_backoff(now))
+        server.is_some_and(|server| server.health.is_in_backoff(now))
     }
 
     /// Whether texts that run at a server had better go on elsewhere: its zone is evacuated.
@@ -507,16 +519,16 @@
 
     /// Cold servers that requests wait for since the last call, which are not being asked for yet.
     pub fn take_permit_demand(&mut self, now: Moment) -> Vec<PermitDemand> {
-        let shortages = std::mem::take(&mut self.shortages);
+        let permit_demand = std::mem::take(&mut self.permit_demand);
         let mut due = Vec::new();
-        for (server, permits) in shortages {
-            let may_ask = match self.asking.get(&server) {
+        for (server, permits) in permit_demand {
+            let may_request = match self.permit_requests.get(&server) {
                 None => true,
                 Some(None) => false,
                 Some(Some(from)) => now >= *from,
             };
-            if may_ask {
-                self.asking.insert(server, None);
+            if may_request {
+                self.permit_requests.insert(server, None);
                 due.push(PermitDemand { server, permits });
             }
         }
@@ -530,14 +542,14 @@
         key: ServerKey,
         permits: u32,
         until: Moment,
-        again: Option<Duration>,
+        retry_after: Option<Duration>,
     ) {
         if permits == 0 {
-            let rest = again.unwrap_or(PERMIT_REST);
-            self.asking.insert(key, Some(now + rest));
+            let delay = retry_after.unwrap_or(PERMIT_RETRY_DELAY);
+            self.permit_requests.insert(key, Some(now + delay));
             return;
         }
-        self.asking.remove(&key);
+        self.permit_requests.remove(&key);
         if let Some(server) = self.get_mut(key) {
             server.permits.retain(|until| now < *until);
             server.permits.extend((0..permits).map(|_| until));
@@ -546,7 +558,7 @@
 
     /// Servers that are cold, by zone.
     pub fn count_cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
-        let servers = self.places.iter().filter_map(|place| place.server.as_ref());
+        let servers = self.arena.iter().filter_map(|slot| slot.server.as_ref());
         servers.filter(|server| server.registration.zone == zone && server.is_cold(now)).count()
     }
 }
--- a/crates/heronbend/src/placement/queue.rs
+++ b/crates/heronbend/src/placement/queue.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use super::eligible::AttemptHistory;
-use super::eligible::Requirements;
+use super::eligibility::AttemptHistory;
+use super::eligibility::Requirements;
 use crate::Moment;
 
 /// A text that waits.
@@ -26,9 +26,9 @@
     /// Rank; 0 is the highest.
     pub priority: u8,
     /// When its step is due.
-    pub due: Moment,
+    pub deadline: Moment,
     /// Tokens that are expected to come out yet.
-    pub expected: Reverse<u64>,
+    pub remaining_tokens: Reverse<u64>,
 }
 
 #[derive(Debug, Clone)]
@@ -44,7 +44,7 @@
 /// Tickets by need, each lane in order of urgency.
 #[derive(Debug, Default)]
 pub struct Queue {
-    next: u64,
+    next_ticket: u64,
     tickets: HashMap<TicketKey, Ticket>,
     lanes: BTreeMap<Requirements, Lane>,
 }
@@ -58,8 +58,8 @@
         urgency: Urgency,
         history: AttemptHistory,
     ) -> TicketKey {
-        let key = TicketKey(self.next);
-        self.next += 1;
+        let key = TicketKey(self.next_ticket);
+        self.next_ticket += 1;
         self.lanes.entry(requirements).or_default().insert((urgency, key), ());
         self.tickets.insert(key, Ticket { requirements, urgency, history, since: now });
         key
@@ -88,13 +88,13 @@
     }
 
     /// Tickets of a need.
-    pub fn waiting(&self, requirements: &Requirements) -> usize {
+    pub fn waiting_count(&self, requirements: &Requirements) -> usize {
         self.lanes.get(requirements).map_or(0, Lane::len)
     }
 
     /// The needs that somebody waits with, the most urgent first.
-    pub fn needs(&self) -> Vec<Requirements> {
-        let mut needs: Vec<(Urgency, TicketKey, Requirements)> = self
+    pub fn lanes_by_urgency(&self) -> Vec<Requirements> {
+        let mut lanes_by_urgency: Vec<(Urgency, TicketKey, Requirements)> = self
             .lanes
             .iter()
             .filter_map(|(requirements, lane)| {
@@ -102,12 +102,12 @@
                 Some((*urgency, *key, *requirements))
             })
             .collect();
-        needs.sort_unstable();
-        needs.into_iter().map(|(_, _, requirements)| requirements).collect()
+        lanes_by_urgency.sort_unstable();
+        lanes_by_urgency.into_iter().map(|(_, _, requirements)| requirements).collect()
     }
 
     /// The most urgent tickets of a need, in order.
-    pub fn first(&self, requirements: &Requirements, count: usize) -> Vec<TicketKey> {
+    pub fn most_urgent(&self, requirements: &Requirements, count: usize) -> Vec<TicketKey> {
         let lane = self.lanes.get(requirements).into_iter().flatten();
         lane.map(|((_, key), ())| *key).take(count).collect()
     }
--- a/crates/heronbend/src/placement/server.rs
+++ b/crates/heronbend/src/placement/server.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
+use super::health::ServerHealth;
 use super::keys::ModelKey;
 use super::keys::ServiceKey;
 use super::keys::ZoneKey;
-use super::load::Load;
 use crate::identity::Incarnation;
 use crate::Moment;
 
 /// Time from an order until the server may have loaded the version.
 pub const EXPECTED_LOAD_TIME: Duration = Duration::from_millis(850);
 /// Time after which an order that does not show is no longer believed in.
-const ORDER_BELIEVED: Duration = Duration::from_secs(6);
+const PENDING_LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a server whose entry went is still used where its service has no listed one. Entries
 /// may lapse while the store is down although the servers are well.
-pub const LAPSED_USE: Duration = Duration::from_millis(1200);
+pub const DEREGISTRATION_GRACE: Duration = Duration::from_millis(1200);
 
 /// What a server's entry says, as the decisions need it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,17 +66,17 @@
     /// What its entry says.
     pub registration: Registration,
     /// Since when its entry is gone, if it is.
-    pub gone_since: Option<Moment>,
+    pub deregistered_at: Option<Moment>,
     /// Until when it is cold by its entry.
     cold_until: Moment,
     /// Until when it has to be taken for cold whatever its entry says.
     assumed_cold_until: Moment,
     /// The order that it took last.
-    order: Option<PendingLoad>,
+    last_load: Option<PendingLoad>,
     /// Permits to send one request each to it while it is cold: until when each holds.
     pub permits: Vec<Moment>,
     /// Load and health.
-    pub load: Load,
+    pub health: ServerHealth,
 }
 
 impl Server {
@@ -86,12 +86,12 @@
         Self {
             id: id.to_owned(),
             registration,
-            gone_since: None,
+            deregistered_at: None,
             cold_until,
             assumed_cold_until: Moment::ZERO,
-            order: None,
+            last_load: None,
             permits: Vec::new(),
-            load: Load::default(),
+            health: ServerHealth::default(),
         }
     }
 
@@ -101,7 +101,7 @@
             self.cold_until = now.saturating_add(registration.cold_for);
         }
         self.registration = registration;
-        self.gone_since = None;
+        self.deregistered_at = None;
     }
 
     /// Takes the server for cold until then, whatever its entry says.
@@ -116,37 +116,38 @@
 
     /// Whether it takes requests, as far as its entry says.
     pub fn is_ready(&self) -> bool {
-        self.gone_since.is_none() && !self.registration.is_draining
+        self.deregistered_at.is_none() && !self.registration.is_draining
     }
 
     /// Whether its entry went so short a time ago that it may serve on.
-    pub fn is_lapsed(&self, now: Moment) -> bool {
-        let since = self.gone_since.filter(|_| !self.registration.is_draining);
-        since.is_some_and(|since| now < since + LAPSED_USE)
+    pub fn is_in_grace_period(&self, now: Moment) -> bool {
+        let since = self.deregistered_at.filter(|_| !self.registration.is_draining);
+        since.is_some_and(|since| now < since + DEREGISTRATION_GRACE)
     }
 
     /// Requests that it could take beside those that this daemon has there.
     pub fn free_slots(&self) -> u32 {
-        self.registration.slots.saturating_sub(self.load.in_flight)
+        self.registration.slots.saturating_sub(self.health.in_flight)
     }
 
     /// The version of a model that its entry shows.
-    pub fn listed_version(&self, model: ModelKey) -> Option<u64> {
+    pub fn registered_version(&self, model: ModelKey) -> Option<u64> {
         let held = self.registration.versions.iter().find(|(held, _)| *held == model);
         held.map(|(_, version)| *version)
     }
 
     /// Notes an order that it has taken.
-    pub fn record_load_order(&mut self, order: PendingLoad) {
-        self.order = Some(order);
+    pub fn record_load_command(&mut self, load: PendingLoad) {
+        self.last_load = Some(load);
     }
 
     /// The order that it works on, if its entry does not show the version yet.
     pub fn pending_load(&self, now: Moment) -> Option<PendingLoad> {
-        let order = self.order?;
-        let is_shown = self.listed_version(order.model).is_some_and(|held| held >= order.version);
-        let is_believed = now < order.since + ORDER_BELIEVED;
-        (!is_shown && is_believed).then_some(order)
+        let load = self.last_load?;
+        let is_registered =
+            self.registered_version(load.model).is_some_and(|held| held >= load.version);
+        let is_recent = now < load.since + PENDING_LOAD_TIMEOUT;
+        (!is_registered && is_recent).then_some(load)
     }
 
     /// Whether a permit to send it a request is at hand.
@@ -157,8 +158,8 @@
     /// Uses the permit that holds the shortest time.
     pub fn use_permit(&mut self, now: Moment) {
         self.permits.retain(|until| now < *until);
-        let soonest = (0..self.permits.len()).min_by_key(|index| self.permits[*index]);
-        if let Some(index) = soonest {
+        let next_expiring = (0..self.permits.len()).min_by_key(|index| self.permits[*index]);
+        if let Some(index) = next_expiring {
             self.permits.swap_remove(index);
         }
     }
--- a/crates/heronbend/src/placement/share.rs
+++ b/crates/heronbend/src/placement/share.rs
@@ -7,9 +7,9 @@
 //! half of the connections are the large daemons'.
 
 /// A daemon with less than this share of the largest one's processor is a small one.
-pub const LARGE_SHARE: f64 = 0.5;
+pub const LARGE_CPU_FRACTION: f64 = 0.5;
 /// Of a server's connections one part in so many is for the large daemons alone.
-const LARGE_PART: u32 = 2;
+const LARGE_CONNECTIONS_DIVISOR: u32 = 2;
 
 /// The daemons that are alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,21 +19,22 @@
     /// The others.
     pub small: u32,
     /// Thousandths of a core that the largest one may use.
-    largest: u32,
+    max_cpu_millis: u32,
 }
 
 impl Daemons {
     /// Counts daemons by the thousandths of a core that each may use.
-    pub fn count(processor_millis: &[u32]) -> Self {
-        let largest = processor_millis.iter().copied().max().unwrap_or(0);
-        let large = processor_millis.iter().filter(|own| is_large(**own, largest)).count();
+    pub fn count(cpu_millis: &[u32]) -> Self {
+        let max_cpu_millis = cpu_millis.iter().copied().max().unwrap_or(0);
+        let large =
+            cpu_millis.iter().filter(|reserved| is_large(**reserved, max_cpu_millis)).count();
         let count = |daemons: usize| u32::try_from(daemons).unwrap_or(u32::MAX);
-        Self { large: count(large), small: count(processor_millis.len() - large), largest }
+        Self { large: count(large), small: count(cpu_millis.len() - large), max_cpu_millis }
     }
 
     /// Requests that a daemon with so much processor may have at a server that takes so many connections.
-    pub fn share(&self, processor_millis: u32, max_connections: u32) -> u32 {
-        if is_large(processor_millis, self.largest) {
+    pub fn share(&self, cpu_millis: u32, max_connections: u32) -> u32 {
+        if is_large(cpu_millis, self.max_cpu_millis) {
             self.share_of_large(max_connections)
         } else {
             self.share_of_small(max_connections)
@@ -43,11 +44,11 @@
     /// Requests that a large daemon may have at a server that takes so many connections.
     pub fn share_of_large(&self, max_connections: u32) -> u32 {
         let equal = self.equal_share(max_connections);
-        let own = max_connections / LARGE_PART / self.large.max(1);
+        let reserved = max_connections / LARGE_CONNECTIONS_DIVISOR / self.large.max(1);
         if self.small == 0 {
             equal
         } else {
-            equal.max(own)
+            equal.max(reserved)
         }
     }
 
@@ -64,15 +65,15 @@
 }
 
 /// Whether a daemon has much processor, where the largest has so much.
-pub fn is_large(processor_millis: u32, largest: u32) -> bool {
-    f64::from(processor_millis) >= f64::from(largest) * LARGE_SHARE
+pub fn is_large(cpu_millis: u32, max_cpu_millis: u32) -> bool {
+    f64::from(cpu_millis) >= f64::from(max_cpu_millis) * LARGE_CPU_FRACTION
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const PLACES: u32 = 6;
+    const SLOTS: u32 = 6;
 
     fn fleet(large: usize, small: usize) -> Daemons {
         Daemons::count(&[vec![500; large], vec![120; small]].concat())
@@ -84,7 +85,7 @@
         for (large, small) in [(15, 235), (50, 785), (100, 1570)] {
             let daemons = fleet(large, small);
             let share = daemons.share_of_large(1600);
-            assert!(share >= PLACES, "{share} of {daemons:?}");
+            assert!(share >= SLOTS, "{share} of {daemons:?}");
         }
     }
 
--- a/crates/heronbend/src/placement/tests.rs
+++ b/crates/heronbend/src/placement/tests.rs
@@ -84,8 +84,8 @@
     WaitState { since, deadline: since + SECOND, target: 200 * MILLI, was_sent: false }
 }
 
-fn urgency(due: Moment, expected: u64) -> Urgency {
-    Urgency { priority: 1, due, expected: Reverse(expected) }
+fn urgency(deadline: Moment, remaining_tokens: u64) -> Urgency {
+    Urgency { priority: 1, deadline, remaining_tokens: Reverse(remaining_tokens) }
 }
 
 #[test]
@@ -256,9 +256,9 @@
             fleet.placer.place_batch_item(now, &requirements(min), &AttemptHistory::default());
         choice.map(|choice| choice.version_status)
     };
-    assert_eq!(version_status(&mut fleet, SECOND, 3), Some(VersionStatus::Listed));
+    assert_eq!(version_status(&mut fleet, SECOND, 3), Some(VersionStatus::Registered));
     assert_eq!(version_status(&mut fleet, SECOND, 4), None);
-    fleet.placer.record_load_order(SECOND, "e", "m", 5);
+    fleet.placer.record_load_command(SECOND, "e", "m", 5);
     assert_eq!(version_status(&mut fleet, SECOND, 3), None);
     assert_eq!(
         version_status(&mut fleet, SECOND + EXPECTED_LOAD_TIME, 4),
@@ -267,7 +267,7 @@
     assert_eq!(version_status(&mut fleet, SECOND + EXPECTED_LOAD_TIME, 6), None);
     let loaded = Registration { versions: vec![(model, 5)], ..fleet.registration("engines", "a") };
     fleet.placer.register(SECOND, "e", loaded);
-    assert_eq!(version_status(&mut fleet, SECOND, 5), Some(VersionStatus::Listed));
+    assert_eq!(version_status(&mut fleet, SECOND, 5), Some(VersionStatus::Registered));
 }
 
 #[test]
@@ -441,7 +441,7 @@
         let refused = fleet.call(SECOND, &bound(allowed_regions, requirements));
         assert_matches!(
             refused,
-            Decision::Reject(Rejection { reason: Some(Exclusion::OutsideHomes), .. })
+            Decision::Reject(Rejection { reason: Some(Exclusion::RegionNotAllowed), .. })
         );
     }
 }
@@ -587,7 +587,7 @@
         placer.request_finished(SECOND, key, AttemptOutcome::Abandoned);
     }
     assert_eq!(order, [first, long, short, later]);
-    assert_eq!(placer.main_exclusion(SECOND, &requirements(5)), Some(Exclusion::Version));
+    assert_eq!(placer.main_exclusion(SECOND, &requirements(5)), Some(Exclusion::VersionMismatch));
     placer.cancel(unfit);
     assert_eq!(placer.queue_len(), 0);
 }
@@ -598,7 +598,7 @@
     requirements: Requirements,
     /// Work on a sound server that has it alone.
     work: Duration,
-    due: Moment,
+    deadline: Moment,
 }
 
 /// Engines in virtual time, driven by the machine alone.
@@ -622,8 +622,8 @@
 
     /// Longer texts are expected to be longer.
     fn hand_in(&mut self, text: Text) {
-        let expected = u64::try_from(text.work.as_millis()).unwrap();
-        let urgency = urgency(text.due, expected);
+        let remaining_tokens = u64::try_from(text.work.as_millis()).unwrap();
+        let urgency = urgency(text.deadline, remaining_tokens);
         let ticket = self.fleet.placer.enqueue(
             self.now,
             text.requirements,
@@ -695,7 +695,7 @@
         for _ in 0..texts {
             let is_long = random.random_bool(0.02);
             let work = if is_long { 7000 } else { random.random_range(200..900) } * MILLI;
-            replay.hand_in(Text { requirements, work, due: SECOND * 8 });
+            replay.hand_in(Text { requirements, work, deadline: SECOND * 8 });
         }
     }
     replay
@@ -765,10 +765,10 @@
         (text.requirements, 900 * MILLI)
     };
     for _ in 0..200 {
-        replay.hand_in(Text { requirements, work, due: SECOND * 12 });
+        replay.hand_in(Text { requirements, work, deadline: SECOND * 12 });
     }
     replay.place();
-    assert!(replay.running.iter().all(|(.., text)| text.due == SECOND * 8));
+    assert!(replay.running.iter().all(|(.., text)| text.deadline == SECOND * 8));
 }
 
 #[test]
@@ -865,7 +865,10 @@
     assert_matches!(call(&mut fleet, SECOND), Decision::Place(_));
     fleet.placer.record_outcome(SECOND, "b", AttemptOutcome::ServerExited);
     let refused = call(&mut fleet, SECOND);
-    assert_matches!(refused, Decision::Reject(Rejection { reason: Some(Exclusion::Last), .. }));
+    assert_matches!(
+        refused,
+        Decision::Reject(Rejection { reason: Some(Exclusion::LastHealthy), .. })
+    );
     // Others are served by it.
     let chosen = fleet.call(SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "c");
@@ -898,7 +901,10 @@
     assert_matches!(answer, Decision::Wait(_));
     let late = wait(SECOND);
     let answer = fleet.placer.place_call(2 * SECOND, &requirements, &none, &late, |_| true);
-    assert_matches!(answer, Decision::Reject(Rejection { reason: Some(Exclusion::Ended), .. }));
+    assert_matches!(
+        answer,
+        Decision::Reject(Rejection { reason: Some(Exclusion::ServerExited), .. })
+    );
     // What was taken for its end may have been a fault of the way there.
     let chosen = fleet.call(5 * SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "a");
@@ -965,7 +971,7 @@
             fleet.placer.deregister(now, &format!("e{left}"));
         }
     }
-    assert!(fleet.placer.places.len() <= 340, "{} places", fleet.placer.places.len());
+    assert!(fleet.placer.arena.len() <= 340, "{} places", fleet.placer.arena.len());
 }
 
 #[test]
--- a/crates/heronbend/src/placement/wait_policy.rs
+++ b/crates/heronbend/src/placement/wait_policy.rs
@@ -6,20 +6,20 @@
 
 use std::time::Duration;
 
-use super::eligible::Exclusion;
+use super::eligibility::Exclusion;
 use super::placer::Choice;
 use crate::Moment;
 
 /// Pause before servers that refused are asked again. Answers of busy servers come some hundredths of
 /// a second apart, so that a place becomes free about as often.
-pub const ASK_AGAIN: Duration = Duration::from_millis(15);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(15);
 /// Share of the target latency that a call which was offered to nobody waits for a server to be
 /// listed: entries that lapse by mistake are back within a second, later than that its caller had
 /// better come back.
-const UNOFFERED_SHARE: f64 = 0.2;
+const UNSENT_WAIT_FRACTION: f64 = 0.2;
 /// The same for a call that servers refused, or whose servers ended a moment ago: these start anew within
 /// a second or so. After its target an answer is worth little.
-const OFFERED_SHARE: f64 = 1.0;
+const SENT_WAIT_FRACTION: f64 = 1.0;
 /// When a refused caller is to come back if nothing is known of when a server will be free.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// The same where an operator has taken all servers out, or all but one are gone: that takes longer
@@ -60,17 +60,19 @@
 }
 
 /// What becomes of a call that no server can be sent now, where `reason` keeps it from most of them.
-pub fn unplaced(now: Moment, wait: &WaitState, reason: Option<Exclusion>) -> Decision {
-    let changes_by_itself =
-        !matches!(reason, Some(Exclusion::Evacuated | Exclusion::OutsideHomes | Exclusion::Last));
-    if !changes_by_itself {
+pub fn wait_or_reject(now: Moment, wait: &WaitState, reason: Option<Exclusion>) -> Decision {
+    let is_transient = !matches!(
+        reason,
+        Some(Exclusion::Evacuated | Exclusion::RegionNotAllowed | Exclusion::LastHealthy)
+    );
+    if !is_transient {
         return Decision::Reject(Rejection { reason, retry_after: LONG_RETRY_AFTER });
     }
-    let may_soon_be_offered = wait.was_sent || reason == Some(Exclusion::Ended);
-    let share = if may_soon_be_offered { OFFERED_SHARE } else { UNOFFERED_SHARE };
-    let give_up_at = (wait.since + wait.target.mul_f64(share)).min(wait.deadline);
+    let may_recover_soon = wait.was_sent || reason == Some(Exclusion::ServerExited);
+    let fraction = if may_recover_soon { SENT_WAIT_FRACTION } else { UNSENT_WAIT_FRACTION };
+    let give_up_at = (wait.since + wait.target.mul_f64(fraction)).min(wait.deadline);
     if now >= give_up_at {
         return Decision::Reject(Rejection { reason, retry_after: DEFAULT_RETRY_AFTER });
     }
-    Decision::Wait(ASK_AGAIN)
+    Decision::Wait(RETRY_INTERVAL)
 }
