--- a/crates/heronbend/src/placement/decisions.rs
+++ b/crates/heronbend/src/placement/decisions.rs
@@ -1,4 +1,4 @@
-//! Where requests go: the decisions of the [`Placer`], over what it is fed with.
+//! Placement decisions of the [`Placer`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,30 +23,29 @@
 use super::queue::TicketKey;
 use super::queue::Urgency;
 use super::rank;
+use super::rank::CostParameters;
 use super::rank::Profile;
-use super::rank::Weights;
 use super::server::Server;
 use super::wait_policy;
 use super::wait_policy::Decision;
 use super::wait_policy::WaitState;
 use crate::Moment;
 
-/// How long what bars servers from a need is believed without looking again, while nothing is told of
-/// any server: only the mere passing of time changes it then.
+/// Lifetime of a cached set of eligible servers while no server changes. Eligibility still depends
+/// on time, for example when a backoff ends.
 const ELIGIBLE_CACHE_TTL: Duration = Duration::from_millis(50);
-/// Of more servers than this a text is offered a subset, always the same one of a daemon while it has
-/// places: a fleet of thousands costs no more than one of a hundred, and each daemon keeps to servers
-/// that it is connected to and whose pace it knows. Drawn anew for each text, nearly every text of a fleet
-/// of 7,777 servers would open a connection. So many places hold two steps of some hundred texts.
+/// Batch items are offered a subset of at most this many servers, which bounds the cost of a
+/// decision in a large fleet. The subset is stable per daemon, so that its connections and latency
+/// estimates are reused.
 const SUBSET_SIZE: usize = 128;
-/// A subset with fewer free servers than this is no choice, and a larger one is looked at.
+/// A subset with fewer available servers than this is widened.
 const MIN_SUBSET_CANDIDATES: usize = 8;
-/// How much larger the next subset is.
+/// Factor by which a subset grows each time it is widened.
 const SUBSET_GROWTH: usize = 4;
-/// Texts of a lane that a free server is offered to: the first one takes it unless all free servers
-/// failed at it.
+/// Number of tickets of a lane that are tried when a slot is free. The first one is skipped only if
+/// every free server has already failed for it.
 const LOOK_AHEAD: usize = 16;
-/// Another server counts as faster from this ratio on; paces vary by a few parts in a hundred.
+/// Ratio of latencies above which another server counts as faster; smaller differences are noise.
 const MIN_SPEEDUP: f64 = 1.15;
 
 impl Placer {
@@ -86,7 +85,7 @@
         self.servers_of(service).any(|(_, server)| is_running(server))
     }
 
-    /// Servers that nothing bars from a need, with what bars the others, as of a moment ago.
+    /// Like [`Self::find_eligible`], but reuses a recent result for the same requirements.
     fn cached_eligible(
         &mut self,
         now: Moment,
@@ -116,7 +115,8 @@
         found
     }
 
-    /// Servers that nothing bars from a need, with what bars the others.
+    /// Returns the servers that are eligible for `requirements`, in key order, and counts why the
+    /// others are excluded.
     fn find_eligible(
         &self,
         now: Moment,
@@ -136,19 +136,21 @@
         (eligible, exclusions)
     }
 
-    /// Servers that may be sent requests of a need.
+    /// Returns the servers that are eligible for `requirements`, whatever their load.
     pub fn eligible_servers(&self, now: Moment, requirements: &Requirements) -> Vec<ServerKey> {
         self.find_eligible(now, requirements).0
     }
 
-    /// Places of the servers that may be sent requests of a need.
+    /// Returns the total number of slots of the eligible servers.
     pub fn total_slots(&self, now: Moment, requirements: &Requirements) -> u32 {
         let eligible_servers = self.eligible_servers(now, requirements);
         eligible_servers.into_iter().filter_map(|key| Some(self.get(key)?.registration.slots)).sum()
     }
 
-    /// What becomes of a call. Servers that are not connected cost a little more; a server whose
-    /// places are all taken is used if no other is better, one that is avoided only if all are.
+    /// Chooses a server for a call.
+    ///
+    /// Servers without an open connection are slightly more expensive. A server without a free slot
+    /// is used if no better one exists, and one in backoff only if all are.
     pub fn place_call(
         &mut self,
         now: Moment,
@@ -177,8 +179,8 @@
         }
     }
 
-    /// What becomes of a stream: of the servers with free places one with the newest weights, or the
-    /// best of all if none has a free place.
+    /// Chooses a server for a stream: among the servers with a free slot, one with the newest
+    /// weights, or the best of all servers if none has a free slot.
     pub fn place_stream(
         &mut self,
         now: Moment,
@@ -215,13 +217,13 @@
         }
     }
 
-    /// Whether a stream that runs at a server could go on at another one.
+    /// Whether a stream that runs on server `id` could continue on another server.
     pub fn has_alternative(&self, now: Moment, requirements: &Requirements, id: &str) -> bool {
         let current = self.key(id);
         self.eligible_servers(now, requirements).into_iter().any(|key| Some(key) != current)
     }
 
-    /// Has a text wait for a place.
+    /// Adds a batch item to the queue.
     pub fn enqueue(
         &mut self,
         now: Moment,
@@ -232,30 +234,33 @@
         self.queue.add(now, requirements, urgency, history)
     }
 
-    /// Takes back a text that waited.
+    /// Removes a batch item from the queue.
     pub fn cancel(&mut self, ticket: TicketKey) {
         self.queue.remove(ticket);
     }
 
-    /// Texts that wait.
+    /// Number of queued batch items.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// What keeps most servers from texts of a need now.
+    /// Returns the most frequent reason why servers cannot take a batch item now.
     pub fn main_exclusion(&self, now: Moment, requirements: &Requirements) -> Option<Exclusion> {
         let (eligible, mut exclusions) = self.find_eligible(now, requirements);
         self.filter_available(now, requirements, &eligible, true, &mut exclusions);
         exclusions.dominant()
     }
 
-    /// Texts of the same need that are placed before this one.
+    /// Number of queued items with the same requirements ahead of this one.
     pub fn queue_position(&self, ticket: TicketKey) -> Option<usize> {
         self.queue.queue_position(ticket)
     }
 
-    /// The most urgent text that a place is free for, with the place. Whoever drives the machine notes
-    /// that it began before it asks for the next one. Servers that are not connected cost a little more.
+    /// Places the most urgent batch item that an available server can run, and removes it from the
+    /// queue.
+    ///
+    /// The caller must report the item with [`Self::request_started`] before it asks for the next
+    /// one. Servers without an open connection are slightly more expensive.
     pub fn place_next(
         &mut self,
         now: Moment,
@@ -270,7 +275,7 @@
         None
     }
 
-    /// The first text of a lane that some free server fits.
+    /// Places the first item of a lane that an available server can run.
     fn place_first_in_lane(
         &mut self,
         now: Moment,
@@ -297,8 +302,9 @@
         None
     }
 
-    /// The place of a text among `free` servers: not one that failed at it while another one of `open`
-    /// has not, and not the one whose attempt ended last while another one is free.
+    /// Selects one of the `available` servers for a batch item. Skips servers that failed for the
+    /// item while another eligible one has not, and the server of the last attempt while another
+    /// one is available.
     fn select_for_batch_item(
         &mut self,
         now: Moment,
@@ -325,10 +331,11 @@
             .or_else(|| self.cheapest(now, &candidates, rank::BATCH_ITEM, is_connected))
     }
 
-    /// Those of some servers where requests that may end theirs are kept apart from all others. Two of
-    /// them never meet: if their server ended, nothing would tell which of them it was. One goes to a
-    /// server without any other request of this daemon if there is one, and any other request to a
-    /// server without such a one.
+    /// Keeps suspects, requests that may crash their server, away from other requests.
+    ///
+    /// Two suspects never share a server, since a crash could not be attributed to either of them.
+    /// A suspect goes to an idle server if possible, and other requests avoid servers that run a
+    /// suspect if possible.
     fn separate_suspects(&self, servers: Vec<ServerKey>, is_isolated: bool) -> Vec<ServerKey> {
         if !is_isolated && self.suspects == 0 {
             return servers;
@@ -349,8 +356,7 @@
         }
     }
 
-    /// Whether some servers, which could be chosen, hold the last sound one of a service that lists
-    /// several.
+    /// Whether `servers` contains the only healthy server of a service that has several ready ones.
     fn includes_last_healthy(
         &self,
         now: Moment,
@@ -365,7 +371,7 @@
         healthy.len() == 1 && ready().count() > 1 && is_included
     }
 
-    /// A place for a text now, without waiting.
+    /// Chooses a server for a batch item now, without queueing it.
     pub fn place_batch_item(
         &mut self,
         now: Moment,
@@ -379,8 +385,10 @@
         self.choice(now, requirements, key)
     }
 
-    /// Time that a text with `remaining` events would win at the best other server with a free place,
-    /// where an event takes `per_event` at its own.
+    /// Returns the time that a batch item with `remaining` events would save by migrating from
+    /// server `id`, where each event takes `per_event`, to the best other server with a free slot.
+    ///
+    /// Returns `None` if no other server is noticeably faster.
     pub fn migration_gain(
         &mut self,
         now: Moment,
@@ -400,8 +408,8 @@
         is_faster.then(|| (per_event - other_latency) * remaining)
     }
 
-    /// Expected latency of a server's answers, or of the events of its texts; nothing where no latency
-    /// of any server of its service is known.
+    /// Expected latency of a response of the server, or of an event of a batch item. `None` if no
+    /// latency of any server of the service is known.
     fn expected_latency(
         &self,
         now: Moment,
@@ -418,7 +426,8 @@
         is_known.then(|| Duration::from_secs_f64(millis / 1e3))
     }
 
-    /// Those of `open` servers that have a place for a text: of many only some, where that is enough.
+    /// Returns the `eligible` servers that have a slot for a batch item. In a large fleet only a
+    /// subset is examined, which is widened until it has enough candidates.
     fn available_for_batch_item(
         &self,
         now: Moment,
@@ -445,8 +454,8 @@
         self.filter_available(now, requirements, eligible, true, exclusions)
     }
 
-    /// Those of `open` servers that can be sent a call: of many only some, where enough of these have
-    /// free places.
+    /// Returns the `eligible` servers that can be sent a call. In a large fleet only a subset is
+    /// examined if it has enough servers with a free slot.
     fn available_for_call(
         &self,
         now: Moment,
@@ -470,8 +479,8 @@
         self.filter_available(now, requirements, eligible, false, exclusions)
     }
 
-    /// So many of some servers, which are in the order of their keys: those that follow a place of this
-    /// daemon's own in that order. Servers that come and go move it by as many.
+    /// Returns the `size` servers that follow this daemon's offset in key order, wrapping around. A
+    /// server that joins or leaves shifts the subset by at most one.
     fn subset(&self, servers: &[ServerKey], size: usize) -> Vec<ServerKey> {
         let offset = self.subset_offset * self.arena.len() as f64;
         let first = servers.partition_point(|key| f64::from(key.index) < offset);
@@ -479,8 +488,8 @@
         from.iter().chain(before).take(size).copied().collect()
     }
 
-    /// Those of `open` servers that can be sent a request now. Warm ones come alone where there are
-    /// any: a cold server's rate is kept for when nothing else is free.
+    /// Returns the `eligible` servers that can be sent a request now. Cold servers are returned
+    /// only if no warm one is available, which saves their permits.
     fn filter_available(
         &self,
         now: Moment,
@@ -506,7 +515,8 @@
         }
     }
 
-    /// Notes which cold servers `waiting` requests would use, as far as they have places.
+    /// Records the permits that `waiting` requests could use on cold servers, up to their free
+    /// slots.
     fn record_permit_demand(
         &mut self,
         now: Moment,
@@ -535,7 +545,7 @@
         }
     }
 
-    /// The cheapest of some servers; one that is avoided only if all are.
+    /// Returns the server with the lowest cost; one in backoff only if all are.
     fn cheapest(
         &mut self,
         now: Moment,
@@ -548,7 +558,7 @@
         let baseline =
             service.and_then(|service| self.service_states.get(&service)?.baseline_millis);
         let best_millis = rank::best_millis(found(), baseline, profile);
-        let weights = Weights::new(now, best_millis, profile);
+        let parameters = CostParameters::new(now, best_millis, profile);
         let ignores_connections = self.random.random_range(0..rank::EXPLORE_EVERY) == 0;
         let mut best: Option<(bool, f64, ServerKey)> = None;
         for key in keys {
@@ -558,7 +568,7 @@
             };
             let latency_millis = self.zone_latency(server.registration.zone).as_secs_f64() * 1e3;
             let is_connected = ignores_connections || is_connected(*key);
-            let cost = rank::cost(server, &weights, latency_millis, is_connected) + jitter;
+            let cost = rank::cost(server, &parameters, latency_millis, is_connected) + jitter;
             let candidate = (server.health.is_in_backoff(now), cost, *key);
             let is_better = best.is_none_or(|(avoided, known, _)| {
                 candidate.0.cmp(&avoided).then(candidate.1.total_cmp(&known)).is_lt()
@@ -575,7 +585,7 @@
         Some(Choice { server: key, version_status })
     }
 
-    /// The version of the weights that a server has for a need.
+    /// Version of the required model that a server has or is expected to have; 0 if there is none.
     fn version_at(&self, now: Moment, requirements: &Requirements, key: ServerKey) -> u64 {
         let Some(server) = self.get(key) else {
             return 0;
@@ -590,7 +600,7 @@
     }
 }
 
-/// Leaves out servers that may not be sent a request again.
+/// Removes servers that must not be sent the request again.
 fn exclude_tried(
     eligible: &mut Vec<ServerKey>,
     history: &AttemptHistory,
--- a/crates/heronbend/src/placement/eligibility.rs
+++ b/crates/heronbend/src/placement/eligibility.rs
@@ -1,8 +1,9 @@
 //! Which servers may run a request.
 //!
-//! Every rule that keeps a request from a server stands here, in [`exclusion`]; what is left is
-//! ranked. Rules that hold for all requests of a kind come first, those that concern one request's
-//! own history last.
+//! All rules that exclude a server are in this module; the remaining servers are ranked by
+//! [`rank`](super::rank). [`check_eligibility`] depends on the requirements only,
+//! [`check_availability`] also on the load. Rules that depend on a request's own attempts are
+//! applied by the caller.
 
 use super::keys::ModelKey;
 use super::keys::RegionSetKey;
@@ -12,73 +13,73 @@
 use super::server::EXPECTED_LOAD_TIME;
 use crate::Moment;
 
-/// What requests of one kind need of a server.
+/// What requests of one kind require of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Requirements {
-    /// The service.
     pub service: ServiceKey,
-    /// The model and the oldest version of it, where one is needed.
+    /// The model and its minimum version, if one is required.
     pub model: Option<(ModelKey, u64)>,
-    /// The regions in which it may run; anywhere where there are none.
+    /// The regions in which the request may run; `None` allows any region.
     pub allowed_regions: Option<RegionSetKey>,
 }
 
-/// What became of one request so far.
+/// The previous attempts of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Servers that may not be sent it again.
+    /// Servers that must not be sent the request again.
     pub tried: Vec<ServerKey>,
-    /// Servers that failed at it: used again only if there is no other that fits.
+    /// Servers that failed for the request. They are used again only if no other server is
+    /// eligible.
     pub failed: Vec<ServerKey>,
-    /// The server whose attempt ended last: not the next one, if there is another.
+    /// The server of the last attempt. Another one is preferred.
     pub last: Option<ServerKey>,
-    /// Whether it may end the server that runs it, so that it is kept apart from other requests.
+    /// Whether the request may crash its server and must be kept away from other requests.
     pub is_isolated: bool,
-    /// Whether it is likely to end it: the last sound server of several is not risked for it.
+    /// Whether the request must not run on the last healthy server of a service that has several.
     pub spares_last_healthy: bool,
 }
 
-/// Whether a server can run requests of a model under a version.
+/// Whether a server has the required version of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// Its entry says so.
+    /// Its registration shows the version.
     Registered,
-    /// It may have loaded this version by now; a request has to say which version it expects.
+    /// It should have loaded this version by now, but its registration does not show it yet. The
+    /// request must state the version that it expects.
     Expected(u64),
-    /// It cannot.
+    /// It does not have the version.
     Unavailable,
 }
 
-/// Why a server may not run a request now.
+/// Why a server cannot run a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exclusion {
-    /// Its process ended a moment ago, and its entry still stands. What starts in its place may be listed at
-    /// any time.
+    /// Its process has exited, but it is still registered. A replacement may register at any time.
     ServerExited,
-    /// Its entry went, or says that it is about to leave.
+    /// It is not registered, or is draining.
     NotReady,
-    /// The operator has its zone evacuated.
+    /// Its zone is evacuated by the operator.
     Evacuated,
-    /// It stands in a region that is none of the request's homes.
+    /// Its region is not one of the allowed regions.
     RegionNotAllowed,
-    /// It has not the version of the weights that is needed.
+    /// It does not have the required version of the weights.
     VersionMismatch,
-    /// It has as many requests of this daemon as fall to it.
+    /// This daemon has reached its limit of requests in flight on the server.
     InFlightLimit,
-    /// All of its places are taken, as far as is known.
+    /// It has no free slot, as far as this daemon knows.
     NoFreeSlot,
-    /// It failed or refused a moment ago.
+    /// It is in backoff after a failure or rejection.
     Backoff,
-    /// It is cold, and no permit is at hand.
+    /// It is cold and no permit is available.
     NoPermit,
-    /// The request may not be sent there again.
+    /// The request must not be sent to it again.
     AlreadyTried,
-    /// It is the last sound one, and the request is likely to end it.
+    /// It is the last healthy server, and the request is likely to crash it.
     LastHealthy,
 }
 
 impl Exclusion {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::ServerExited => "ended",
@@ -96,24 +97,23 @@
     }
 }
 
-/// What an exclusion depends on beside the server.
+/// Conditions other than the server's own state that decide whether it is excluded.
 #[derive(Debug, Clone, Copy)]
 pub struct EligibilityContext {
-    /// The time.
     pub now: Moment,
-    /// Whether the service has a server whose entry is there and which does not leave.
+    /// Whether the service has any ready server whose process has not exited.
     pub has_ready_server: bool,
-    /// Whether the server's zone is evacuated.
     pub is_evacuated: bool,
-    /// Whether the server's region is one of the request's homes.
+    /// Whether the server's region is one of the allowed regions.
     pub is_region_allowed: bool,
-    /// Requests that this daemon may have at one server of the service.
+    /// Maximum number of requests this daemon may have in flight on the server.
     pub max_in_flight: u32,
-    /// Whether a cold server of the service may only be sent to with a permit.
+    /// Whether a cold server of the service requires a permit per request.
     pub needs_permit: bool,
 }
 
-/// Why a server may not be sent anything of a need at all, whatever its load; nothing if it may.
+/// Returns why a server is ineligible for `requirements` regardless of its load, or `None` if it is
+/// eligible.
 pub fn check_eligibility(
     server: &Server,
     requirements: &Requirements,
@@ -137,7 +137,7 @@
         .then_some(Exclusion::VersionMismatch)
 }
 
-/// Why a server cannot be sent a request now, though nothing bars it.
+/// Returns why an eligible server cannot be sent a request now, or `None` if it can.
 pub fn check_availability(
     server: &Server,
     context: &EligibilityContext,
@@ -156,7 +156,7 @@
     (needs_permit && !server.has_permit(context.now)).then_some(Exclusion::NoPermit)
 }
 
-/// Whether a server can run requests of a need, by the version of its weights.
+/// Whether a server has the required version of a model.
 pub fn version_status(server: &Server, requirements: &Requirements, now: Moment) -> VersionStatus {
     let Some((model, min_version)) = requirements.model else {
         return VersionStatus::Registered;
--- a/crates/heronbend/src/placement/exclusion_counts.rs
+++ b/crates/heronbend/src/placement/exclusion_counts.rs
@@ -1,23 +1,24 @@
-//! What keeps servers from a request.
+//! Counts of the reasons that exclude servers from a request.
 
 use std::collections::BTreeMap;
 
 use super::eligibility::Exclusion;
 
-/// What keeps servers from a request, counted.
+/// Number of excluded servers by reason.
 #[derive(Debug, Clone, Default)]
 pub struct ExclusionCounts {
     counts: BTreeMap<Exclusion, u32>,
 }
 
 impl ExclusionCounts {
-    /// Adds a server that something keeps.
+    /// Counts an excluded server.
     pub fn add(&mut self, exclusion: Exclusion) {
         *self.counts.entry(exclusion).or_default() += 1;
     }
 
-    /// What keeps most of the servers that are there from it. An operator's word counts only where
-    /// it concerns all of them: the others may have a place soon.
+    /// Returns the most frequent reason among servers that are ready. Evacuation and disallowed
+    /// regions count only if they are the only reasons, since servers excluded for other reasons
+    /// may become available soon.
     pub fn dominant(&self) -> Option<Exclusion> {
         let is_persistent = |exclusion: &Exclusion| {
             matches!(exclusion, Exclusion::Evacuated | Exclusion::RegionNotAllowed)
--- a/crates/heronbend/src/placement/health.rs
+++ b/crates/heronbend/src/placement/health.rs
@@ -1,7 +1,7 @@
-//! What this daemon sees of a server's load and health.
+//! Load and health of a server as observed by this daemon.
 //!
-//! No server is probed: latencies, refusals and failures of real requests decide. What is known of a
-//! server fades, so that one that was slow is tried again.
+//! Servers are not probed: the outcomes of real requests determine their health. Observations
+//! decay, so that a server that was slow is tried again.
 
 use std::time::Duration;
 
@@ -9,65 +9,66 @@
 
 /// Weight of a new sample in a server's mean latency.
 const SAMPLE_WEIGHT: f64 = 0.3;
-/// Time after which half of the difference to the fastest server is forgotten.
+/// Half-life of the difference between a server's mean latency and that of the fastest server.
 const DECAY_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Time for which a server that refused is avoided: its queue moves within that.
+/// Backoff of a server that rejected a request.
 const REJECTED_BACKOFF: Duration = Duration::from_millis(60);
-/// Time for which a server that failed is avoided at first; doubled by each further failure.
+/// Backoff of a server that reaches the failure threshold; doubled by each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest time for which a server that fails is avoided.
+/// Maximum backoff of a failing server.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// Failures in a row from which on a server is avoided; a single lost answer says little.
+/// Number of consecutive failures from which on a server is in backoff.
 const FAILURE_THRESHOLD: u32 = 2;
-/// Doublings after which the pause is the longest.
+/// Maximum number of times the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// How an attempt at a server ended.
+/// Outcome of an attempt on a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
-    /// It answered after so long.
+    /// It responded after this time.
     Succeeded(Duration),
-    /// It refused without running the request.
+    /// It rejected the request without running it.
     Rejected,
-    /// It could not be reached at all.
+    /// No connection could be established.
     Unreachable,
-    /// It is gone: its process has ended.
+    /// Its process has exited.
     ServerExited,
-    /// It broke off, or did not answer in time.
+    /// It broke off the response or timed out.
     Failed,
-    /// The attempt was given up for other reasons.
+    /// The attempt was cancelled for other reasons.
     Abandoned,
 }
 
 /// Load and health of one server.
 #[derive(Debug, Clone, Default)]
 pub struct ServerHealth {
-    /// Requests that this daemon has under way there.
+    /// Number of requests this daemon has in flight on the server.
     pub in_flight: u32,
-    /// Those of them that may end the server.
+    /// Number of those requests that may crash the server.
     pub suspects: u32,
-    /// Mean time of an answer, or of an event of a text, in milliseconds.
+    /// Mean time of a response, or of an event of a batch item, in milliseconds.
     pub mean_millis: Option<f64>,
     last_sample_at: Moment,
     consecutive_failures: u32,
     backoff_until: Moment,
-    /// Whether it is avoided since its process was found to have ended.
-    has_exited_flag: bool,
+    /// Whether the current backoff began because the process exited.
+    exited: bool,
 }
 
 impl ServerHealth {
-    /// Whether the server is being avoided.
+    /// Whether the server is in backoff.
     pub fn is_in_backoff(&self, now: Moment) -> bool {
         self.backoff_until > now
     }
 
-    /// Whether its process was found to have ended. That is believed for a while only: an entry that stays
-    /// may be of a server that could not be reached for another reason.
+    /// Whether the process is believed to have exited. This holds only during the backoff, since a
+    /// server that stays registered may have been unreachable for another reason.
     pub fn has_exited(&self, now: Moment) -> bool {
-        self.has_exited_flag && self.is_in_backoff(now)
+        self.exited && self.is_in_backoff(now)
     }
 
-    /// Mean time in milliseconds. What is known fades towards `best`, the mean of the fastest server.
+    /// Mean latency in milliseconds, which decays towards `best`, the mean latency of the fastest
+    /// server.
     pub fn decayed_mean_millis(&self, now: Moment, best: f64) -> f64 {
         let age = now.saturating_sub(self.last_sample_at).as_secs_f64();
         let remaining = 0.5_f64.powf(age / DECAY_HALF_LIFE.as_secs_f64());
@@ -75,10 +76,10 @@
         best + (known - best) * remaining
     }
 
-    /// Notes an outcome.
-    pub fn record_outcome(&mut self, now: Moment, end: AttemptOutcome) {
-        self.has_exited_flag = self.has_exited(now);
-        match end {
+    /// Records the outcome of an attempt.
+    pub fn record_outcome(&mut self, now: Moment, outcome: AttemptOutcome) {
+        self.exited = self.has_exited(now);
+        match outcome {
             AttemptOutcome::Succeeded(latency) => {
                 let millis = latency.as_secs_f64() * 1e3;
                 let old = self.mean_millis.unwrap_or(millis);
@@ -86,15 +87,15 @@
                 self.last_sample_at = now;
                 self.consecutive_failures = 0;
                 self.backoff_until = Moment::ZERO;
-                self.has_exited_flag = false;
+                self.exited = false;
             }
             AttemptOutcome::Rejected => self.set_backoff(now + REJECTED_BACKOFF),
             AttemptOutcome::Unreachable => self.record_failure(now, FAILURE_THRESHOLD),
             AttemptOutcome::Failed => self.record_failure(now, 1),
-            // What starts in its place is another server.
+            // A replacement process is registered as another server.
             AttemptOutcome::ServerExited => {
                 self.backoff_until = now + MAX_BACKOFF;
-                self.has_exited_flag = true;
+                self.exited = true;
             }
             AttemptOutcome::Abandoned => {}
         }
@@ -109,9 +110,8 @@
         }
     }
 
-    /// Avoids the server until then; one that has ended for no less than it is already.
+    /// Sets the backoff; never shortens that of an exited server.
     fn set_backoff(&mut self, until: Moment) {
-        self.backoff_until =
-            if self.has_exited_flag { self.backoff_until.max(until) } else { until };
+        self.backoff_until = if self.exited { self.backoff_until.max(until) } else { until };
     }
 }
--- a/crates/heronbend/src/placement/keys.rs
+++ b/crates/heronbend/src/placement/keys.rs
@@ -1,4 +1,4 @@
-//! Small keys that stand for names, so that decisions compare numbers.
+//! Interned names and keys of servers, which are cheap to copy and compare.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
@@ -24,36 +24,36 @@
 }
 
 key!(
-    /// A service.
+    /// Key of a service.
     ServiceKey
 );
 key!(
-    /// A zone.
+    /// Key of a zone.
     ZoneKey
 );
 key!(
-    /// A region.
+    /// Key of a region.
     RegionKey
 );
 key!(
-    /// A model.
+    /// Key of a model.
     ModelKey
 );
 key!(
-    /// A set of regions in which a request may run.
+    /// Key of a set of regions.
     RegionSetKey
 );
 
-/// A server in the arena. A key whose server is gone never means another one.
+/// Key of a server in the arena. Keys are never reused for another server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey {
-    /// Place in the arena.
+    /// Index in the arena.
     pub(super) index: u32,
-    /// How many servers have had that place before.
+    /// Number of servers that occupied the index before.
     pub(super) generation: u32,
 }
 
-/// Names with their keys. Names are never given up: services, zones, regions and models are few.
+/// Interner of names. Names are never removed.
 #[derive(Debug)]
 pub struct Names<K> {
     keys: HashMap<String, u32>,
@@ -68,7 +68,7 @@
 }
 
 impl<K: From<u32> + Into<u32>> Names<K> {
-    /// The key of a name, made where there is none yet.
+    /// Returns the key of a name, adding it if necessary.
     pub fn key(&mut self, name: &str) -> K {
         if let Some(key) = self.keys.get(name) {
             return K::from(*key);
@@ -79,7 +79,7 @@
         K::from(key)
     }
 
-    /// The name of a key.
+    /// Returns the name of a key.
     pub fn name(&self, key: K) -> &str {
         let index: u32 = key.into();
         self.names.get(index as usize).map_or("", String::as_str)
--- a/crates/heronbend/src/placement/mod.rs
+++ b/crates/heronbend/src/placement/mod.rs
@@ -1,19 +1,18 @@
-//! Which server runs a request, how long work waits for one, and when it is turned away.
+//! Decides which server runs a request, how long requests wait, and when they are rejected.
 //!
-//! One machine without I/O decides all of it. It is fed with servers and their states, with what is
-//! under way, with what waits, with limits and the time; it answers "there", "wait" or "refuse, and
-//! come back then". Whoever drives it only carries that out.
+//! The [`Placer`] performs no I/O. Callers report servers, requests in flight, limits and the time to
+//! it, and carry out its decisions.
 //!
-//! - [`keys`]: small keys for names, and the arena's key of a server.
-//! - [`server`]: what is known of a server.
-//! - [`load`]: what this daemon sees of a server's load and health.
-//! - [`eligible`]: which servers may run a request. Nothing else says so.
-//! - [`rank`]: which of those is the best.
-//! - [`queue`]: texts that wait for a place, in order of urgency.
-//! - [`patience`]: how long a call waits for a server, and when it is refused.
-//! - [`placer`], [`decisions`]: the machine: what it is fed with, and what it decides.
-//! - [`share`]: how many requests one daemon may have at a server that all daemons share.
-//! - [`tally`]: what keeps servers from a request.
+//! - [`keys`]: interned names and keys of servers.
+//! - [`server`]: the state of a server.
+//! - [`health`]: load and health of a server as observed by this daemon.
+//! - [`eligibility`]: which servers may run a request.
+//! - [`rank`]: which of the eligible servers is the best.
+//! - [`queue`]: queue of batch items, in order of urgency.
+//! - [`wait_policy`]: how long a call waits for a server, and when it is rejected.
+//! - [`placer`], [`decisions`]: the state of the placer, and its decisions.
+//! - [`share`]: how daemons divide the connections of a server.
+//! - [`exclusion_counts`]: counts of the reasons that exclude servers.
 
 pub mod decisions;
 pub mod eligibility;
--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -1,5 +1,4 @@
-//! The machine that decides where requests go: what it is fed with. What it decides is in
-//! [`super::decisions`].
+//! The state of the [`Placer`] and its updates. Its decisions are in [`super::decisions`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,50 +29,48 @@
 use super::server::DEREGISTRATION_GRACE;
 use crate::Moment;
 
-/// Weight of a new sample in the usual time of a service's answers: one server that turns slow is told
-/// from it also by a daemon that sends to no other.
+/// Weight of a new sample in a service's baseline latency. It is low, so that a server that becomes
+/// slow is noticed even by a daemon that uses no other server.
 const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
-/// Time that a server of another zone of the same region adds to a request: a round trip and some more,
-/// so that a zone's calls stay in it.
+/// Latency added by a server in another zone of the same region. It exceeds the network round trip,
+/// so that calls prefer their own zone.
 const CROSS_ZONE_LATENCY: Duration = Duration::from_millis(2);
-/// The same of another region.
+/// Latency added by a server in another region.
 const CROSS_REGION_LATENCY: Duration = Duration::from_millis(20);
-/// Rest after a lender gave no permit, unless it says when there will be one.
+/// Delay before permits are requested again after a request was declined without a retry time.
 const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A server that was chosen for a request.
+/// The server chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
     pub server: ServerKey,
-    /// Whether it is known to have the version that is needed.
+    /// Whether the server has the required version of the weights.
     pub version_status: VersionStatus,
 }
 
-/// A cold server that requests wait for, and how many permits would be used there.
+/// Permits that waiting requests could use on a cold server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDemand {
-    /// The server.
     pub server: ServerKey,
-    /// Permits that would be used now.
+    /// Number of permits that could be used now.
     pub permits: u32,
 }
 
-/// What is known of a service.
+/// Limits and latency of a service.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceState {
-    /// Requests that this daemon may have at one of its servers.
+    /// Maximum number of requests this daemon may have in flight per server.
     pub(super) max_in_flight: Option<u32>,
-    /// What one of its servers bears while it is cold; nothing where that is not bounded.
+    /// Rate limit of a cold server; `None` if cold servers are not limited.
     pub(super) cold_start: Option<ColdStartLimit>,
-    /// Mean time of an answer over a long time, in milliseconds.
+    /// Long-term mean latency, in milliseconds.
     pub(super) baseline_millis: Option<f64>,
 }
 
-/// Servers that nothing bars from a need, as of some moment.
+/// A cached set of eligible servers.
 pub(super) struct EligibleServers {
     pub(super) requirements: Requirements,
-    /// Count of changes that it was found after.
+    /// Value of [`Placer::change_count`] when the set was computed.
     pub(super) change_count: u64,
     pub(super) computed_at: Moment,
     pub(super) servers: Rc<[ServerKey]>,
@@ -85,7 +82,10 @@
     server: Option<Server>,
 }
 
-/// Decides which server runs a request, how long work waits and when it is turned away.
+/// Decides which server runs a request, how long requests wait, and when they are rejected.
+///
+/// It performs no I/O: callers report servers, limits, requests and the time, and carry out its
+/// decisions.
 pub struct Placer {
     pub(super) services: Names<ServiceKey>,
     pub(super) zones: Names<ZoneKey>,
@@ -95,34 +95,35 @@
     pub(super) region_of: HashMap<ZoneKey, RegionKey>,
     pub(super) local_zone: Option<ZoneKey>,
     pub(super) evacuated: BTreeSet<ZoneKey>,
-    /// Whether the evacuations are still to be heard of: any zone may be evacuated until then.
+    /// Whether the evacuated zones are still unknown. No server is eligible until they are known.
     pub(super) awaits_evacuations: bool,
     pub(super) service_states: HashMap<ServiceKey, ServiceState>,
     pub(super) arena: Vec<ArenaSlot>,
-    /// Indices of `places` that hold no server.
+    /// Indices of `arena` that hold no server.
     free_indices: Vec<u32>,
-    /// Servers whose entries went and that are not forgotten yet: a release of thousands costs for each
-    /// that leaves a look at those that left a moment ago, and not at all that there are.
+    /// Deregistered servers that are not evicted yet. Kept separately, so that a deregistration
+    /// does not scan all servers.
     deregistered: BTreeSet<ServerKey>,
     pub(super) by_id: HashMap<String, ServerKey>,
     pub(super) by_service: BTreeMap<ServiceKey, BTreeSet<ServerKey>>,
     pub(super) queue: Queue,
-    /// Requests under way that may end their servers.
+    /// Number of requests in flight that may crash their server.
     pub(super) suspects: u32,
-    /// Permits that a lender is being asked for, or after which time it may be asked again.
+    /// Cold servers for which permits have been requested. The value is `None` while a request is
+    /// in flight, else the time after which permits may be requested again.
     pub(super) permit_requests: HashMap<ServerKey, Option<Moment>>,
     pub(super) permit_demand: BTreeMap<ServerKey, u32>,
     pub(super) random: SmallRng,
-    /// Where the subset of this daemon begins among all servers, from 0 to 1.
+    /// Start of this daemon's subset of servers, as a fraction of the arena from 0 to 1.
     pub(super) subset_offset: f64,
-    /// Counts what may change which servers a need is barred from.
+    /// Incremented by each change that may affect eligibility; invalidates `eligible_cache`.
     pub(super) change_count: u64,
-    /// What was found last, by need.
+    /// Recently computed sets of eligible servers, at most one for each set of requirements.
     pub(super) eligible_cache: Vec<EligibleServers>,
 }
 
 impl Placer {
-    /// A machine that knows nothing yet and draws among equals by `seed`.
+    /// Creates an empty placer. `seed` initializes the random choice between equal servers.
     pub fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let subset_offset = random.random();
@@ -155,27 +156,27 @@
 
     // Names.
 
-    /// The key of a service.
+    /// Returns the key of a service.
     pub fn service(&mut self, name: &str) -> ServiceKey {
         self.services.key(name)
     }
 
-    /// The key of a zone.
+    /// Returns the key of a zone.
     pub fn zone(&mut self, name: &str) -> ZoneKey {
         self.zones.key(name)
     }
 
-    /// The key of a model.
+    /// Returns the key of a model.
     pub fn model(&mut self, name: &str) -> ModelKey {
         self.models.key(name)
     }
 
-    /// The name of a model.
+    /// Returns the name of a model.
     pub fn model_name(&self, key: ModelKey) -> &str {
         self.models.name(key)
     }
 
-    /// The key of a set of regions in which requests may run; of an empty one, that of nowhere.
+    /// Returns the key of a set of allowed regions. An empty set allows no region.
     pub fn region_set<'a>(&mut self, regions: impl Iterator<Item = &'a str>) -> RegionSetKey {
         let set: BTreeSet<RegionKey> = regions.map(|name| self.regions.key(name)).collect();
         let known = self.region_sets.iter().position(|known| *known == set);
@@ -186,26 +187,26 @@
         RegionSetKey::from(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    // Where things are.
+    // Topology.
 
-    /// Notes the region of a zone.
+    /// Sets the region of a zone.
     pub fn set_region(&mut self, zone: &str, region: &str) {
         self.change_count += 1;
         let (zone, region) = (self.zones.key(zone), self.regions.key(region));
         self.region_of.insert(zone, region);
     }
 
-    /// Whether some zone is known to be in a region.
+    /// Whether any known zone is in the region.
     pub fn is_known_region(&self, name: &str) -> bool {
         self.region_of.values().any(|region| self.regions.name(*region) == name)
     }
 
-    /// Notes the zone of this daemon.
+    /// Sets the zone of this daemon.
     pub fn set_local_zone(&mut self, zone: &str) {
         self.local_zone = Some(self.zones.key(zone));
     }
 
-    /// Time that a zone adds to a request.
+    /// Network latency that a server in `zone` adds to a request.
     pub fn zone_latency(&self, zone: ZoneKey) -> Duration {
         if Some(zone) == self.local_zone {
             return Duration::ZERO;
@@ -224,8 +225,8 @@
 
     // Limits.
 
-    /// Notes how many requests this daemon may have at one server of a service, and what such a server
-    /// bears while it is cold.
+    /// Sets the limits of a service: the number of requests this daemon may have in flight per
+    /// server, and the rate limit of cold servers, if there is one.
     pub fn set_service(
         &mut self,
         name: &str,
@@ -238,37 +239,37 @@
         (state.max_in_flight, state.cold_start) = (Some(max_in_flight), cold_start);
     }
 
-    /// What a server of a service bears while it is cold, where that is bounded.
+    /// Returns the rate limit that applies to a server while it is cold, if there is one.
     pub fn cold_start_limit(&self, key: ServerKey) -> Option<ColdStartLimit> {
         let service = self.get(key)?.registration.service;
         self.service_states.get(&service)?.cold_start
     }
 
-    /// Has no server used until the evacuations are known.
+    /// Makes all servers ineligible until [`Self::mark_evacuations_loaded`] is called.
     pub fn await_evacuations(&mut self) {
         self.awaits_evacuations = true;
     }
 
-    /// Notes that the evacuations are known.
+    /// Marks the evacuated zones as known.
     pub fn mark_evacuations_loaded(&mut self) {
         self.change_count += 1;
         self.awaits_evacuations = false;
     }
 
-    /// Whether the evacuations are known, where there may be any.
+    /// Whether the evacuated zones are known.
     pub fn evacuations_loaded(&self) -> bool {
         !self.awaits_evacuations
     }
 
-    /// Notes that nothing may be sent to a zone's servers any more.
+    /// Excludes the servers of a zone from new requests.
     pub fn evacuate(&mut self, zone: &str) {
         self.change_count += 1;
         let zone = self.zones.key(zone);
         self.evacuated.insert(zone);
     }
 
-    /// Notes that a zone's servers may be sent to again. They may have turned cold a moment ago,
-    /// before their entries tell of it.
+    /// Ends the evacuation of a zone. Its servers are treated as cold, since they may have become
+    /// cold before their registrations show it.
     pub fn readmit(&mut self, now: Moment, zone: &str) {
         self.change_count += 1;
         let zone = self.zones.key(zone);
@@ -288,10 +289,10 @@
 
     // Servers.
 
-    /// Takes in a server's entry.
+    /// Adds or updates a server.
     ///
-    /// A later run of the server than the one that is known gets another key: nothing that was known of
-    /// the former one holds for it. An entry of an earlier run changes nothing.
+    /// A new incarnation of a known server gets a new key and starts without the state of the
+    /// previous one. A registration of an older incarnation is ignored.
     pub fn register(&mut self, now: Moment, id: &str, registration: Registration) -> ServerKey {
         self.change_count += 1;
         let known =
@@ -312,7 +313,7 @@
         key
     }
 
-    /// Takes in a further entry of the run of a server that is known.
+    /// Updates the registration of a known incarnation.
     fn update_registration(&mut self, now: Moment, key: ServerKey, registration: Registration) {
         self.deregistered.remove(&key);
         let service = registration.service;
@@ -339,7 +340,7 @@
         ServerKey { index, generation: 0 }
     }
 
-    /// Notes that a server's entry went; the servers that are forgotten by now.
+    /// Marks a server as deregistered. Returns the keys of all servers that are evicted by now.
     pub fn deregister(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
         self.change_count += 1;
         let key = self.key(id);
@@ -350,7 +351,7 @@
         self.evict_deregistered(now)
     }
 
-    /// Forgets servers whose entries went long ago and at which nothing is under way.
+    /// Evicts idle servers whose grace period after deregistration is over.
     fn evict_deregistered(&mut self, now: Moment) -> Vec<ServerKey> {
         let is_expired = |server: &Server| {
             let deregistered =
@@ -369,7 +370,7 @@
         expired
     }
 
-    /// Forgets a server, with whatever was known of it.
+    /// Removes a server and all its state.
     fn evict(&mut self, key: ServerKey) {
         self.deregistered.remove(&key);
         let slot = self.arena.get_mut(key.index as usize);
@@ -392,12 +393,12 @@
         }
     }
 
-    /// The key of a server.
+    /// Returns the key of a server.
     pub fn key(&self, id: &str) -> Option<ServerKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The identifier of a server.
+    /// Returns the identifier of a server.
     pub fn id(&self, key: ServerKey) -> Option<&str> {
         self.get(key).map(|server| server.id.as_str())
     }
@@ -420,7 +421,7 @@
         keys.filter_map(|key| Some((*key, self.get(*key)?)))
     }
 
-    /// Notes an order that a server has taken.
+    /// Records that a server has accepted a command to load a version of a model.
     pub fn record_load_command(&mut self, now: Moment, id: &str, model: &str, version: u64) {
         self.change_count += 1;
         let model = self.models.key(model);
@@ -429,15 +430,15 @@
         }
     }
 
-    /// The order that a server works on, if its entry does not show the version yet.
+    /// Returns the version a server is loading, unless its registration already shows it.
     pub fn pending_load(&self, now: Moment, id: &str) -> Option<PendingLoad> {
         self.get(self.key(id)?)?.pending_load(now)
     }
 
-    // What is under way.
+    // Requests in flight.
 
-    /// Notes that a request is being sent to the run of a server that is known; one that goes to a cold
-    /// server uses a permit.
+    /// Records that a request is sent to the current incarnation of a server. Uses a permit if the
+    /// server is cold. Returns the key to pass to [`Self::request_finished`].
     pub fn request_started(&mut self, now: Moment, id: &str) -> Option<ServerKey> {
         let key = self.key(id)?;
         let is_bounded = self.cold_start_limit(key).is_some();
@@ -449,31 +450,31 @@
         Some(key)
     }
 
-    /// Notes how a request ended at the run of a server that it was sent to.
-    pub fn request_finished(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
+    /// Records the outcome of a request.
+    pub fn request_finished(&mut self, now: Moment, key: ServerKey, outcome: AttemptOutcome) {
         if let Some(server) = self.get_mut(key) {
             server.health.in_flight = server.health.in_flight.saturating_sub(1);
         }
-        self.record_outcome_at(now, key, end);
+        self.record_outcome_at(now, key, outcome);
     }
 
-    /// Notes an outcome without a request ending.
-    pub fn record_outcome(&mut self, now: Moment, id: &str, end: AttemptOutcome) {
-        if end == AttemptOutcome::ServerExited {
+    /// Records an outcome without finishing a request.
+    pub fn record_outcome(&mut self, now: Moment, id: &str, outcome: AttemptOutcome) {
+        if outcome == AttemptOutcome::ServerExited {
             self.change_count += 1;
         }
         if let Some(key) = self.key(id) {
-            self.record_outcome_at(now, key, end);
+            self.record_outcome_at(now, key, outcome);
         }
     }
 
-    fn record_outcome_at(&mut self, now: Moment, key: ServerKey, end: AttemptOutcome) {
+    fn record_outcome_at(&mut self, now: Moment, key: ServerKey, outcome: AttemptOutcome) {
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        server.health.record_outcome(now, end);
+        server.health.record_outcome(now, outcome);
         let service = server.registration.service;
-        if let AttemptOutcome::Succeeded(latency) = end {
+        if let AttemptOutcome::Succeeded(latency) = outcome {
             let millis = latency.as_secs_f64() * 1e3;
             let baseline = &mut self.service_states.entry(service).or_default().baseline_millis;
             let known = baseline.unwrap_or(millis);
@@ -481,7 +482,7 @@
         }
     }
 
-    /// Notes that a request runs at a server that may end it.
+    /// Records that a request that may crash its server is running on a server.
     pub fn add_suspect(&mut self, id: &str) {
         self.suspects += 1;
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
@@ -489,7 +490,7 @@
         }
     }
 
-    /// Notes that it runs there no longer.
+    /// Records that such a request has finished.
     pub fn remove_suspect(&mut self, id: &str) {
         self.suspects = self.suspects.saturating_sub(1);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
@@ -497,19 +498,19 @@
         }
     }
 
-    /// Requests that this daemon has under way at a server.
+    /// Number of requests this daemon has in flight on a server.
     pub fn in_flight(&self, id: &str) -> u32 {
         let server = self.key(id).and_then(|key| self.get(key));
         server.map_or(0, |server| server.health.in_flight)
     }
 
-    /// Whether a server is being avoided.
+    /// Whether a server is in backoff.
     pub fn is_in_backoff(&self, now: Moment, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
         server.is_some_and(|server| server.health.is_in_backoff(now))
     }
 
-    /// Whether texts that run at a server had better go on elsewhere: its zone is evacuated.
+    /// Whether the server's zone is evacuated, so that its batch items should migrate.
     pub fn is_in_evacuated_zone(&self, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
         server.is_some_and(|server| self.evacuated.contains(&server.registration.zone))
@@ -517,7 +518,8 @@
 
     // Permits.
 
-    /// Cold servers that requests wait for since the last call, which are not being asked for yet.
+    /// Takes the permit demand recorded since the last call, except for servers whose permits are
+    /// being requested or may not be requested yet.
     pub fn take_permit_demand(&mut self, now: Moment) -> Vec<PermitDemand> {
         let permit_demand = std::mem::take(&mut self.permit_demand);
         let mut due = Vec::new();
@@ -535,7 +537,8 @@
         due
     }
 
-    /// Takes in what a lender gave: permits that hold until then, or none before `again`.
+    /// Records the response to a permit request: `permits` that are valid until `until`. If there
+    /// are none, permits may be requested again after `retry_after`.
     pub fn grant_permits(
         &mut self,
         now: Moment,
@@ -556,7 +559,7 @@
         }
     }
 
-    /// Servers that are cold, by zone.
+    /// Number of cold servers in a zone.
     pub fn count_cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
         let servers = self.arena.iter().filter_map(|slot| slot.server.as_ref());
         servers.filter(|server| server.registration.zone == zone && server.is_cold(now)).count()
--- a/crates/heronbend/src/placement/queue.rs
+++ b/crates/heronbend/src/placement/queue.rs
@@ -1,8 +1,7 @@
-//! Texts that wait for a place, in order of urgency.
+//! Queue of batch items, in order of urgency.
 //!
-//! All tickets of one need wait for the same servers. So they stand in one lane, and a lane whose
-//! first ticket finds no place is left alone: a server that becomes free is offered to the most
-//! urgent ticket that it fits, and nobody else is woken.
+//! Tickets with the same requirements wait for the same servers and share a lane. If the first
+//! ticket of a lane cannot be placed, the rest of the lane is skipped.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,22 +11,22 @@
 use super::eligibility::Requirements;
 use crate::Moment;
 
-/// A text that waits.
+/// Key of a queued batch item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketKey(u64);
 
-/// How urgent a text is; the least comes first.
+/// Urgency of a batch item; the lowest value comes first.
 ///
-/// The rank of its tenant or route goes first, then the step that is due first, which holds up all
-/// later ones of its trainer. Within a step the longest goes first: the last text that ends decides
-/// when the step is whole (Graham, "Bounds on multiprocessing timing anomalies", 1969).
+/// Items are ordered by priority, then by the deadline of their step, then longest first: the last
+/// item to finish decides when the step is complete (Graham, "Bounds on multiprocessing timing
+/// anomalies", 1969).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Rank; 0 is the highest.
+    /// Priority of the tenant or route; 0 is the highest.
     pub priority: u8,
-    /// When its step is due.
+    /// Deadline of the step.
     pub deadline: Moment,
-    /// Tokens that are expected to come out yet.
+    /// Expected number of remaining tokens.
     pub remaining_tokens: Reverse<u64>,
 }
 
@@ -41,7 +40,7 @@
 
 type Lane = BTreeMap<(Urgency, TicketKey), ()>;
 
-/// Tickets by need, each lane in order of urgency.
+/// Queued tickets in lanes by requirements, each in order of urgency.
 #[derive(Debug, Default)]
 pub struct Queue {
     next_ticket: u64,
@@ -65,7 +64,7 @@
         key
     }
 
-    /// Takes a ticket out; since when it has waited, if it was there.
+    /// Removes a ticket. Returns when it was added, or `None` if it is not queued.
     pub fn remove(&mut self, key: TicketKey) -> Option<Moment> {
         let ticket = self.tickets.remove(&key)?;
         if let Some(lane) = self.lanes.get_mut(&ticket.requirements) {
@@ -77,22 +76,22 @@
         Some(ticket.since)
     }
 
-    /// Tickets that wait.
+    /// Number of tickets.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether there are no tickets.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Tickets of a need.
+    /// Number of tickets in a lane.
     pub fn waiting_count(&self, requirements: &Requirements) -> usize {
         self.lanes.get(requirements).map_or(0, Lane::len)
     }
 
-    /// The needs that somebody waits with, the most urgent first.
+    /// Returns the requirements of all lanes, the most urgent first.
     pub fn lanes_by_urgency(&self) -> Vec<Requirements> {
         let mut lanes_by_urgency: Vec<(Urgency, TicketKey, Requirements)> = self
             .lanes
@@ -106,20 +105,20 @@
         lanes_by_urgency.into_iter().map(|(_, _, requirements)| requirements).collect()
     }
 
-    /// The most urgent tickets of a need, in order.
+    /// Returns the `count` most urgent tickets of a lane, in order.
     pub fn most_urgent(&self, requirements: &Requirements, count: usize) -> Vec<TicketKey> {
         let lane = self.lanes.get(requirements).into_iter().flatten();
         lane.map(|((_, key), ())| *key).take(count).collect()
     }
 
-    /// Tickets that are served before this one among those with the same need.
+    /// Number of tickets ahead of this one in its lane.
     pub fn queue_position(&self, key: TicketKey) -> Option<usize> {
         let ticket = self.tickets.get(&key)?;
         let lane = self.lanes.get(&ticket.requirements)?;
         Some(lane.range(..(ticket.urgency, key)).count())
     }
 
-    /// What became of a ticket's text so far.
+    /// Previous attempts of a ticket's item.
     pub fn history(&self, key: TicketKey) -> Option<&AttemptHistory> {
         self.tickets.get(&key).map(|ticket| &ticket.history)
     }
--- a/crates/heronbend/src/placement/server.rs
+++ b/crates/heronbend/src/placement/server.rs
@@ -1,4 +1,4 @@
-//! What is known of a server.
+//! The state of a server.
 
 use std::time::Duration;
 
@@ -9,78 +9,74 @@
 use crate::identity::Incarnation;
 use crate::Moment;
 
-/// Time from an order until the server may have loaded the version.
+/// Time from a load command until the server is expected to have loaded the version.
 pub const EXPECTED_LOAD_TIME: Duration = Duration::from_millis(850);
-/// Time after which an order that does not show is no longer believed in.
+/// Time after which a load that the registration does not show is assumed to have failed.
 const PENDING_LOAD_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long a server whose entry went is still used where its service has no listed one. Entries
-/// may lapse while the store is down although the servers are well.
+/// How long a deregistered server is still used if its service has no ready one. Registrations may
+/// expire while the store is unavailable although the servers are healthy.
 pub const DEREGISTRATION_GRACE: Duration = Duration::from_millis(1200);
 
-/// What a server's entry says, as the decisions need it.
+/// The parts of a server's registration that placement depends on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Registration {
-    /// The run of the server that wrote it; zero where servers do not say.
+    /// The incarnation of the server; zero if servers do not report one.
     pub incarnation: Incarnation,
-    /// Its service.
     pub service: ServiceKey,
-    /// Its zone.
     pub zone: ZoneKey,
-    /// Requests that it works on at the same time.
+    /// Number of requests the server runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and gets nothing new.
+    /// Whether the server is draining and accepts no new requests.
     pub is_draining: bool,
-    /// Versions of the models that it holds.
+    /// Versions of the loaded models.
     pub versions: Vec<(ModelKey, u64)>,
-    /// How much longer it is cold, counted from when the entry was written.
+    /// Remaining time for which the server is cold, as of the time the registration was written.
     pub cold_for: Duration,
-    /// The store's revision of the entry: one that is read again tells nothing new.
+    /// The store's revision of the registration. A revision that is read again does not restart
+    /// `cold_for`.
     pub revision: u64,
 }
 
-/// What a server of a service bears while it is cold.
+/// Rate limit of a server while it is cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStartLimit {
-    /// Requests a second, from all daemons together.
+    /// Requests per second, from all daemons together.
     pub per_second: f64,
-    /// How long a server is cold after its start.
+    /// How long a server is cold after it starts.
     pub duration: Duration,
 }
 
-/// An order to load a version that a server has taken.
+/// A load of a model version that a server has accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingLoad {
-    /// The model.
     pub model: ModelKey,
-    /// The version.
     pub version: u64,
-    /// When this daemon heard of it.
+    /// When this daemon learned of the load.
     pub since: Moment,
 }
 
 /// A server in the arena.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Its identifier.
     pub id: String,
-    /// What its entry says.
+    /// Its latest registration.
     pub registration: Registration,
-    /// Since when its entry is gone, if it is.
+    /// When the server was deregistered, if it is.
     pub deregistered_at: Option<Moment>,
-    /// Until when it is cold by its entry.
+    /// End of the cold period according to the registration.
     cold_until: Moment,
-    /// Until when it has to be taken for cold whatever its entry says.
+    /// End of a cold period that holds whatever the registration says.
     assumed_cold_until: Moment,
-    /// The order that it took last.
+    /// The last load that the server accepted.
     last_load: Option<PendingLoad>,
-    /// Permits to send one request each to it while it is cold: until when each holds.
+    /// Expiry times of the permits for this server. Each permit allows one request while the server
+    /// is cold.
     pub permits: Vec<Moment>,
-    /// Load and health.
     pub health: ServerHealth,
 }
 
 impl Server {
-    /// A server that was listed at `now`.
+    /// Creates a server that was registered at `now`.
     pub fn new(now: Moment, id: &str, registration: Registration) -> Self {
         let cold_until = now.saturating_add(registration.cold_for);
         Self {
@@ -95,7 +91,7 @@
         }
     }
 
-    /// Takes a newer entry in. One that is known already says nothing of how cold the server is now.
+    /// Replaces the registration. The cold period is updated only by a newer revision.
     pub fn update_registration(&mut self, now: Moment, registration: Registration) {
         if registration.revision > self.registration.revision {
             self.cold_until = now.saturating_add(registration.cold_for);
@@ -104,44 +100,45 @@
         self.deregistered_at = None;
     }
 
-    /// Takes the server for cold until then, whatever its entry says.
+    /// Treats the server as cold until `until`, whatever its registration says.
     pub fn assume_cold(&mut self, until: Moment) {
         self.assumed_cold_until = self.assumed_cold_until.max(until);
     }
 
-    /// Whether the server may be cold.
+    /// Whether the server is cold or assumed to be cold.
     pub fn is_cold(&self, now: Moment) -> bool {
         now < self.cold_until.max(self.assumed_cold_until)
     }
 
-    /// Whether it takes requests, as far as its entry says.
+    /// Whether the server is registered and not draining.
     pub fn is_ready(&self) -> bool {
         self.deregistered_at.is_none() && !self.registration.is_draining
     }
 
-    /// Whether its entry went so short a time ago that it may serve on.
+    /// Whether the server was deregistered recently without draining, so that it may still be
+    /// serving.
     pub fn is_in_grace_period(&self, now: Moment) -> bool {
         let since = self.deregistered_at.filter(|_| !self.registration.is_draining);
         since.is_some_and(|since| now < since + DEREGISTRATION_GRACE)
     }
 
-    /// Requests that it could take beside those that this daemon has there.
+    /// Number of slots that are not used by this daemon's requests.
     pub fn free_slots(&self) -> u32 {
         self.registration.slots.saturating_sub(self.health.in_flight)
     }
 
-    /// The version of a model that its entry shows.
+    /// The version of a model that the registration shows.
     pub fn registered_version(&self, model: ModelKey) -> Option<u64> {
         let held = self.registration.versions.iter().find(|(held, _)| *held == model);
         held.map(|(_, version)| *version)
     }
 
-    /// Notes an order that it has taken.
+    /// Records that the server has accepted a load command.
     pub fn record_load_command(&mut self, load: PendingLoad) {
         self.last_load = Some(load);
     }
 
-    /// The order that it works on, if its entry does not show the version yet.
+    /// The load in progress, unless the registration already shows the version.
     pub fn pending_load(&self, now: Moment) -> Option<PendingLoad> {
         let load = self.last_load?;
         let is_registered =
@@ -150,12 +147,12 @@
         (!is_registered && is_recent).then_some(load)
     }
 
-    /// Whether a permit to send it a request is at hand.
+    /// Whether there is a valid permit.
     pub fn has_permit(&self, now: Moment) -> bool {
         self.permits.iter().any(|until| now < *until)
     }
 
-    /// Uses the permit that holds the shortest time.
+    /// Uses the permit that expires first.
     pub fn use_permit(&mut self, now: Moment) {
         self.permits.retain(|until| now < *until);
         let next_expiring = (0..self.permits.len()).min_by_key(|index| self.permits[*index]);
--- a/crates/heronbend/src/placement/share.rs
+++ b/crates/heronbend/src/placement/share.rs
@@ -1,29 +1,28 @@
-//! How many requests one daemon may have at one server, so that all daemons together keep to the
-//! connections that the server takes.
+//! Divides the connections of a server between daemons.
 //!
-//! Equal parts fall below a server's places once there are many daemons: of 1,600 connections each of 835
-//! has one, and whoever runs a job can give each server a single text. But jobs are run by the daemons
-//! with much processor, which are few, and the others send calls that are spread over all servers. So
-//! half of the connections are the large daemons'.
+//! Daemons with much CPU run jobs and need several connections per server; small ones spread their
+//! calls over all servers. With equal shares a large fleet would leave each daemon fewer
+//! connections than a server has slots, so part of the connections is reserved for the large
+//! daemons.
 
-/// A daemon with less than this share of the largest one's processor is a small one.
+/// A daemon with less than this fraction of the largest daemon's CPU is small.
 pub const LARGE_CPU_FRACTION: f64 = 0.5;
-/// Of a server's connections one part in so many is for the large daemons alone.
+/// One in this many of a server's connections is reserved for the large daemons.
 const LARGE_CONNECTIONS_DIVISOR: u32 = 2;
 
-/// The daemons that are alive.
+/// The number of live daemons by size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Daemons {
-    /// Those with much processor.
+    /// Number of large daemons.
     pub large: u32,
-    /// The others.
+    /// Number of small daemons.
     pub small: u32,
-    /// Thousandths of a core that the largest one may use.
+    /// CPU limit of the largest daemon, in thousandths of a core.
     max_cpu_millis: u32,
 }
 
 impl Daemons {
-    /// Counts daemons by the thousandths of a core that each may use.
+    /// Counts daemons by their CPU limits, in thousandths of a core.
     pub fn count(cpu_millis: &[u32]) -> Self {
         let max_cpu_millis = cpu_millis.iter().copied().max().unwrap_or(0);
         let large =
@@ -32,7 +31,8 @@
         Self { large: count(large), small: count(cpu_millis.len() - large), max_cpu_millis }
     }
 
-    /// Requests that a daemon with so much processor may have at a server that takes so many connections.
+    /// Maximum number of requests that a daemon may have in flight on a server that accepts
+    /// `max_connections` connections.
     pub fn share(&self, cpu_millis: u32, max_connections: u32) -> u32 {
         if is_large(cpu_millis, self.max_cpu_millis) {
             self.share_of_large(max_connections)
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Requests that a large daemon may have at a server that takes so many connections.
+    /// [`Self::share`] of a large daemon.
     pub fn share_of_large(&self, max_connections: u32) -> u32 {
         let equal = self.equal_share(max_connections);
         let reserved = max_connections / LARGE_CONNECTIONS_DIVISOR / self.large.max(1);
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The same for a small one; one at the least, since any daemon may have a call for any server.
+    /// [`Self::share`] of a small daemon. At least one, since any daemon may have a call for any
+    /// server.
     pub fn share_of_small(&self, max_connections: u32) -> u32 {
         let large = self.large.saturating_mul(self.share_of_large(max_connections));
         let left = max_connections.saturating_sub(large);
@@ -64,7 +65,7 @@
     }
 }
 
-/// Whether a daemon has much processor, where the largest has so much.
+/// Whether a daemon is large, given the CPU limit of the largest daemon.
 pub fn is_large(cpu_millis: u32, max_cpu_millis: u32) -> bool {
     f64::from(cpu_millis) >= f64::from(max_cpu_millis) * LARGE_CPU_FRACTION
 }
@@ -81,7 +82,6 @@
 
     #[test]
     fn whoever_runs_a_job_fills_a_server_in_fleets_of_any_size() {
-        // Servers that take 1,600 connections, before the daemons of the whole fleet and twice as many.
         for (large, small) in [(15, 235), (50, 785), (100, 1570)] {
             let daemons = fleet(large, small);
             let share = daemons.share_of_large(1600);
@@ -96,7 +96,7 @@
                 let daemons = fleet(large, small);
                 let most = daemons.large * daemons.share_of_large(max)
                     + daemons.small * daemons.share_of_small(max);
-                // Where there are more daemons than connections each may still have one.
+                // With more daemons than connections, each daemon may still have one connection.
                 let bound = max.max(daemons.large + daemons.small) + daemons.small;
                 assert!(most <= bound, "{most} of {max} by {daemons:?}");
                 if daemons.small < max / 4 {
--- a/crates/heronbend/src/placement/wait_policy.rs
+++ b/crates/heronbend/src/placement/wait_policy.rs
@@ -1,8 +1,8 @@
-//! How long a call waits for a server, and when it is refused.
+//! How long a call waits for a server, and when it is rejected.
 //!
-//! A call that cannot be served is refused at once: its caller may come back elsewhere, and a request
-//! that waits here until its time is over is lost. It waits only for what may change in time: a server
-//! that refused may have a place a moment later, one whose entry is missing may be listed again.
+//! A call waits only while a server may become available soon: one that rejected it may have a free
+//! slot, and one that is missing may register again. Otherwise it is rejected early, so that its
+//! caller can retry elsewhere in time.
 
 use std::time::Duration;
 
@@ -10,56 +10,54 @@
 use super::placer::Choice;
 use crate::Moment;
 
-/// Pause before servers that refused are asked again. Answers of busy servers come some hundredths of
-/// a second apart, so that a place becomes free about as often.
+/// Interval between attempts to place a waiting call.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(15);
-/// Share of the target latency that a call which was offered to nobody waits for a server to be
-/// listed: entries that lapse by mistake are back within a second, later than that its caller had
-/// better come back.
+/// Fraction of the target latency that a call waits if it has not been sent to any server.
 const UNSENT_WAIT_FRACTION: f64 = 0.2;
-/// The same for a call that servers refused, or whose servers ended a moment ago: these start anew within
-/// a second or so. After its target an answer is worth little.
+/// Fraction of the target latency that a call waits if servers rejected it or have just exited,
+/// since these are expected to recover soon.
 const SENT_WAIT_FRACTION: f64 = 1.0;
-/// When a refused caller is to come back if nothing is known of when a server will be free.
+/// Retry-after of a rejected call if it is unknown when a server will be available.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// The same where an operator has taken all servers out, or all but one are gone: that takes longer
-/// than a call may wait.
+/// Retry-after of a call whose servers are evacuated, outside its allowed regions, or reduced to
+/// the last healthy one, which a call cannot wait out.
 const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a call has waited, and how long it may.
+/// The wait of a call for a server.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitState {
-    /// When its wait for a server began.
+    /// When the wait began.
     pub since: Moment,
-    /// When its caller's time is over.
+    /// Deadline of the call.
     pub deadline: Moment,
-    /// Time within which an answer is of full value.
+    /// Target latency of the call.
     pub target: Duration,
-    /// Whether a server has been sent it.
+    /// Whether the call has been sent to a server before.
     pub was_sent: bool,
 }
 
-/// Why a call is refused, and when its caller is to come back.
+/// Rejection of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// What keeps most of the servers from it; nothing where there are none.
+    /// The most frequent reason why servers are excluded; `None` if there are no servers.
     pub reason: Option<Exclusion>,
-    /// Time until it is worth coming back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// What becomes of a call now.
+/// What to do with a call now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It is sent to a server.
+    /// Send it to a server.
     Place(Choice),
-    /// It looks for a server again after so long.
+    /// Try to place it again after this delay.
     Wait(Duration),
-    /// It is refused.
+    /// Reject it.
     Reject(Rejection),
 }
 
-/// What becomes of a call that no server can be sent now, where `reason` keeps it from most of them.
+/// Decides whether a call that cannot be placed now waits or is rejected. `reason` is the most
+/// frequent reason why servers are excluded.
 pub fn wait_or_reject(now: Moment, wait: &WaitState, reason: Option<Exclusion>) -> Decision {
     let is_transient = !matches!(
         reason,
