--- a/crates/heronbend/src/placement/decisions.rs
+++ b/crates/heronbend/src/placement/decisions.rs
@@ -42,8 +42,8 @@
 const MIN_SUBSET_CANDIDATES: usize = 8;
 /// Factor by which a subset grows each time it is widened.
 const SUBSET_GROWTH: usize = 4;
-/// Number of tickets of a lane that are tried when a slot is free. The first one is skipped only if
-/// every free server has already failed for it.
+/// Maximum number of tickets of a lane that are tried if servers are available but not suitable for
+/// the first ticket.
 const LOOK_AHEAD: usize = 16;
 /// Ratio of latencies above which another server counts as faster; smaller differences are noise.
 const MIN_SPEEDUP: f64 = 1.15;
@@ -197,11 +197,13 @@
         {
             return wait_policy::wait_or_reject(now, wait, Some(Exclusion::LastHealthy));
         }
-        let has_place =
+        let has_free_slot =
             |key: &ServerKey| self.get(*key).is_some_and(|server| server.free_slots() > 0);
-        let idle: Vec<ServerKey> = available.iter().copied().filter(has_place).collect();
-        let newest = idle.iter().map(|key| self.version_at(now, requirements, *key)).max();
-        let best: Vec<ServerKey> = idle
+        let with_free_slot: Vec<ServerKey> =
+            available.iter().copied().filter(has_free_slot).collect();
+        let newest =
+            with_free_slot.iter().map(|key| self.version_at(now, requirements, *key)).max();
+        let best: Vec<ServerKey> = with_free_slot
             .into_iter()
             .filter(|key| Some(self.version_at(now, requirements, *key)) == newest)
             .collect();
@@ -285,7 +287,7 @@
         let (eligible, mut exclusions) = self.cached_eligible(now, requirements);
         let available =
             self.available_for_batch_item(now, requirements, &eligible, &mut exclusions);
-        let waiting = u32::try_from(self.queue.waiting_count(requirements)).unwrap_or(u32::MAX);
+        let waiting = u32::try_from(self.queue.lane_len(requirements)).unwrap_or(u32::MAX);
         if available.is_empty() {
             self.record_permit_demand(now, requirements, &eligible, waiting);
             return None;
@@ -341,7 +343,8 @@
             return servers;
         }
         let with = |is_wanted: fn(&ServerHealth) -> bool| -> Vec<ServerKey> {
-            let wanted = |key: &ServerKey| self.get(*key).is_some_and(|it| is_wanted(&it.health));
+            let wanted =
+                |key: &ServerKey| self.get(*key).is_some_and(|server| is_wanted(&server.health));
             servers.iter().copied().filter(wanted).collect()
         };
         let without_suspects = with(|health| health.suspects == 0);
@@ -479,8 +482,8 @@
         self.filter_available(now, requirements, eligible, false, exclusions)
     }
 
-    /// Returns the `size` servers that follow this daemon's offset in key order, wrapping around. A
-    /// server that joins or leaves shifts the subset by at most one.
+    /// Returns the `size` servers that follow this daemon's offset in key order, wrapping around.
+    /// Each server that joins or leaves shifts the subset by at most one position.
     fn subset(&self, servers: &[ServerKey], size: usize) -> Vec<ServerKey> {
         let offset = self.subset_offset * self.arena.len() as f64;
         let first = servers.partition_point(|key| f64::from(key.index) < offset);
@@ -553,11 +556,11 @@
         profile: Profile,
         is_connected: impl Fn(ServerKey) -> bool,
     ) -> Option<ServerKey> {
-        let found = || keys.iter().filter_map(|key| self.get(*key));
-        let service = found().next().map(|server| server.registration.service);
+        let servers = || keys.iter().filter_map(|key| self.get(*key));
+        let service = servers().next().map(|server| server.registration.service);
         let baseline =
             service.and_then(|service| self.service_states.get(&service)?.baseline_millis);
-        let best_millis = rank::best_millis(found(), baseline, profile);
+        let best_millis = rank::best_millis(servers(), baseline, profile);
         let parameters = CostParameters::new(now, best_millis, profile);
         let ignores_connections = self.random.random_range(0..rank::EXPLORE_EVERY) == 0;
         let mut best: Option<(bool, f64, ServerKey)> = None;
@@ -570,8 +573,8 @@
             let is_connected = ignores_connections || is_connected(*key);
             let cost = rank::cost(server, &parameters, latency_millis, is_connected) + jitter;
             let candidate = (server.health.is_in_backoff(now), cost, *key);
-            let is_better = best.is_none_or(|(avoided, known, _)| {
-                candidate.0.cmp(&avoided).then(candidate.1.total_cmp(&known)).is_lt()
+            let is_better = best.is_none_or(|(in_backoff, known, _)| {
+                candidate.0.cmp(&in_backoff).then(candidate.1.total_cmp(&known)).is_lt()
             });
             if is_better {
                 best = Some(candidate);
--- a/crates/heronbend/src/placement/eligibility.rs
+++ b/crates/heronbend/src/placement/eligibility.rs
@@ -119,9 +119,9 @@
     requirements: &Requirements,
     context: &EligibilityContext,
 ) -> Option<Exclusion> {
-    let is_ready =
+    let is_usable =
         server.is_ready() || (!context.has_ready_server && server.is_in_grace_period(context.now));
-    if !is_ready {
+    if !is_usable {
         return Some(Exclusion::NotReady);
     }
     if context.is_evacuated {
--- a/crates/heronbend/src/placement/exclusion_counts.rs
+++ b/crates/heronbend/src/placement/exclusion_counts.rs
@@ -16,9 +16,9 @@
         *self.counts.entry(exclusion).or_default() += 1;
     }
 
-    /// Returns the most frequent reason among servers that are ready. Evacuation and disallowed
-    /// regions count only if they are the only reasons, since servers excluded for other reasons
-    /// may become available soon.
+    /// Returns the most frequent reason, ignoring servers that are not ready unless all are.
+    /// Evacuation and disallowed regions count only if there are no other reasons, since servers
+    /// excluded for other reasons may become available soon.
     pub fn dominant(&self) -> Option<Exclusion> {
         let is_persistent = |exclusion: &Exclusion| {
             matches!(exclusion, Exclusion::Evacuated | Exclusion::RegionNotAllowed)
--- a/crates/heronbend/src/placement/keys.rs
+++ b/crates/heronbend/src/placement/keys.rs
@@ -55,19 +55,19 @@
 
 /// Interner of names. Names are never removed.
 #[derive(Debug)]
-pub struct Names<K> {
+pub struct Interner<K> {
     keys: HashMap<String, u32>,
     names: Vec<String>,
-    kind: PhantomData<K>,
+    marker: PhantomData<K>,
 }
 
-impl<K> Default for Names<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Self { keys: HashMap::new(), names: Vec::new(), kind: PhantomData }
+        Self { keys: HashMap::new(), names: Vec::new(), marker: PhantomData }
     }
 }
 
-impl<K: From<u32> + Into<u32>> Names<K> {
+impl<K: From<u32> + Into<u32>> Interner<K> {
     /// Returns the key of a name, adding it if necessary.
     pub fn key(&mut self, name: &str) -> K {
         if let Some(key) = self.keys.get(name) {
--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -14,8 +14,8 @@
 use super::eligibility::VersionStatus;
 use super::exclusion_counts::ExclusionCounts;
 use super::health::AttemptOutcome;
+use super::keys::Interner;
 use super::keys::ModelKey;
-use super::keys::Names;
 use super::keys::RegionKey;
 use super::keys::RegionSetKey;
 use super::keys::ServerKey;
@@ -87,10 +87,10 @@
 /// It performs no I/O: callers report servers, limits, requests and the time, and carry out its
 /// decisions.
 pub struct Placer {
-    pub(super) services: Names<ServiceKey>,
-    pub(super) zones: Names<ZoneKey>,
-    pub(super) regions: Names<RegionKey>,
-    pub(super) models: Names<ModelKey>,
+    pub(super) services: Interner<ServiceKey>,
+    pub(super) zones: Interner<ZoneKey>,
+    pub(super) regions: Interner<RegionKey>,
+    pub(super) models: Interner<ModelKey>,
     pub(super) region_sets: Vec<BTreeSet<RegionKey>>,
     pub(super) region_of: HashMap<ZoneKey, RegionKey>,
     pub(super) local_zone: Option<ZoneKey>,
@@ -128,10 +128,10 @@
         let mut random = SmallRng::seed_from_u64(seed);
         let subset_offset = random.random();
         Self {
-            services: Names::default(),
-            zones: Names::default(),
-            regions: Names::default(),
-            models: Names::default(),
+            services: Interner::default(),
+            zones: Interner::default(),
+            regions: Interner::default(),
+            models: Interner::default(),
             region_sets: Vec::new(),
             region_of: HashMap::new(),
             local_zone: None,
@@ -213,7 +213,7 @@
         }
         let region = |zone: ZoneKey| self.region_of.get(&zone);
         let is_far = match (region(zone), self.local_zone.and_then(region)) {
-            (Some(there), Some(local_region)) => there != local_region,
+            (Some(other_region), Some(local_region)) => other_region != local_region,
             _ => false,
         };
         if is_far {
@@ -234,7 +234,7 @@
         cold_start: Option<ColdStartLimit>,
     ) {
         let service = self.services.key(name);
-        let cold_start = cold_start.filter(|service_states| service_states.per_second > 0.0);
+        let cold_start = cold_start.filter(|limit| limit.per_second > 0.0);
         let state = self.service_states.entry(service).or_default();
         (state.max_in_flight, state.cold_start) = (Some(max_in_flight), cold_start);
     }
@@ -320,10 +320,10 @@
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        let before = server.registration.service;
+        let previous = server.registration.service;
         server.update_registration(now, registration);
-        if before != service {
-            self.remove_from_service(before, key);
+        if previous != service {
+            self.remove_from_service(previous, key);
         }
         self.by_service.entry(service).or_default().insert(key);
     }
@@ -354,9 +354,9 @@
     /// Evicts idle servers whose grace period after deregistration is over.
     fn evict_deregistered(&mut self, now: Moment) -> Vec<ServerKey> {
         let is_expired = |server: &Server| {
-            let deregistered =
+            let is_past_grace =
                 server.deregistered_at.is_some_and(|since| now >= since + DEREGISTRATION_GRACE);
-            deregistered && server.health.in_flight == 0
+            is_past_grace && server.health.in_flight == 0
         };
         let expired: Vec<ServerKey> = self
             .deregistered
--- a/crates/heronbend/src/placement/queue.rs
+++ b/crates/heronbend/src/placement/queue.rs
@@ -87,13 +87,13 @@
     }
 
     /// Number of tickets in a lane.
-    pub fn waiting_count(&self, requirements: &Requirements) -> usize {
+    pub fn lane_len(&self, requirements: &Requirements) -> usize {
         self.lanes.get(requirements).map_or(0, Lane::len)
     }
 
     /// Returns the requirements of all lanes, the most urgent first.
     pub fn lanes_by_urgency(&self) -> Vec<Requirements> {
-        let mut lanes_by_urgency: Vec<(Urgency, TicketKey, Requirements)> = self
+        let mut lanes: Vec<(Urgency, TicketKey, Requirements)> = self
             .lanes
             .iter()
             .filter_map(|(requirements, lane)| {
@@ -101,8 +101,8 @@
                 Some((*urgency, *key, *requirements))
             })
             .collect();
-        lanes_by_urgency.sort_unstable();
-        lanes_by_urgency.into_iter().map(|(_, _, requirements)| requirements).collect()
+        lanes.sort_unstable();
+        lanes.into_iter().map(|(_, _, requirements)| requirements).collect()
     }
 
     /// Returns the `count` most urgent tickets of a lane, in order.
--- a/crates/heronbend/src/placement/rank.rs
+++ b/crates/heronbend/src/placement/rank.rs
@@ -100,6 +100,6 @@
     let utilization =
         f64::from(server.health.in_flight) / f64::from(server.registration.slots.max(1));
     let connecting = if is_connected { 0.0 } else { CONNECT_MILLIS };
-    let latency_weight = network_millis * parameters.latency_weight;
-    mean * (1.0 + parameters.load_penalty * utilization) + latency_weight + connecting
+    let network_cost = network_millis * parameters.latency_weight;
+    mean * (1.0 + parameters.load_penalty * utilization) + network_cost + connecting
 }
--- a/crates/heronbend/src/placement/share.rs
+++ b/crates/heronbend/src/placement/share.rs
@@ -25,8 +25,7 @@
     /// Counts daemons by their CPU limits, in thousandths of a core.
     pub fn count(cpu_millis: &[u32]) -> Self {
         let max_cpu_millis = cpu_millis.iter().copied().max().unwrap_or(0);
-        let large =
-            cpu_millis.iter().filter(|reserved| is_large(**reserved, max_cpu_millis)).count();
+        let large = cpu_millis.iter().filter(|cpu| is_large(**cpu, max_cpu_millis)).count();
         let count = |daemons: usize| u32::try_from(daemons).unwrap_or(u32::MAX);
         Self { large: count(large), small: count(cpu_millis.len() - large), max_cpu_millis }
     }
@@ -81,7 +80,7 @@
     }
 
     #[test]
-    fn whoever_runs_a_job_fills_a_server_in_fleets_of_any_size() {
+    fn large_daemon_share_covers_all_slots_in_any_fleet_size() {
         for (large, small) in [(15, 235), (50, 785), (100, 1570)] {
             let daemons = fleet(large, small);
             let share = daemons.share_of_large(1600);
@@ -90,7 +89,7 @@
     }
 
     #[test]
-    fn all_together_keep_to_what_a_server_takes() {
+    fn total_share_stays_within_max_connections() {
         for (large, small) in [(0, 1), (1, 0), (1, 8), (6, 61), (15, 235), (50, 785), (400, 400)] {
             for max in [100, 490, 1600] {
                 let daemons = fleet(large, small);
@@ -107,7 +106,7 @@
     }
 
     #[test]
-    fn among_equal_daemons_all_have_the_same() {
+    fn equal_daemons_get_equal_shares() {
         for daemons in [3_u32, 9, 67] {
             let millis = vec![250; daemons as usize];
             let equal = Daemons::count(&millis);
--- a/crates/heronbend/src/placement/tests.rs
+++ b/crates/heronbend/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Rules of eligibility, ranks, order of waiting, and replays of the worst load in virtual time.
+//! Tests of eligibility, ranking and queue order, and simulations of overload in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
 const MILLI: Duration = Duration::from_millis(1);
 const SEED: u64 = 7;
 
-/// What a cold server bears in these tests: 7 requests a second, for three seconds.
-const COLD: ColdStartLimit = ColdStartLimit { per_second: 7.0, duration: Duration::from_secs(3) };
+const COLD_LIMIT: ColdStartLimit =
+    ColdStartLimit { per_second: 7.0, duration: Duration::from_secs(3) };
 
 struct Fleet {
     placer: Placer,
@@ -35,7 +35,7 @@
         }
         placer.set_local_zone("a");
         placer.set_service("app", 100, None);
-        placer.set_service("engines", 100, Some(COLD));
+        placer.set_service("engines", 100, Some(COLD_LIMIT));
         Self { placer, revision: 0 }
     }
 
@@ -60,7 +60,7 @@
 
     fn add_cold(&mut self, id: &str, zone: &str) -> ServerKey {
         let registration =
-            Registration { cold_for: COLD.duration, ..self.registration("engines", zone) };
+            Registration { cold_for: COLD_LIMIT.duration, ..self.registration("engines", zone) };
         self.placer.register(SECOND, id, registration)
     }
 
@@ -72,9 +72,9 @@
         self.placer.place_call(now, requirements, &AttemptHistory::default(), &wait(now), |_| true)
     }
 
-    fn id(&self, answer: Decision) -> String {
-        let Decision::Place(choice) = answer else {
-            panic!("{answer:?}");
+    fn id(&self, decision: Decision) -> String {
+        let Decision::Place(choice) = decision else {
+            panic!("{decision:?}");
         };
         self.placer.id(choice.server).unwrap().to_owned()
     }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_slow_server_is_left_for_a_fast_one_and_tried_again_later() {
+fn slow_server_is_avoided_until_its_latency_estimate_decays() {
     let mut fleet = Fleet::new();
     fleet.add("slow", "app", "a");
     fleet.add("fast", "app", "a");
@@ -100,7 +100,7 @@
     }
     let chosen = fleet.call(SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "fast");
-    // Long after, little is left of what was known: both are tried, however fast the other is.
+    // The estimates have decayed, so both servers are used.
     let mut slow = 0;
     for _ in 0..200 {
         let chosen = fleet.call(SECOND * 60, &requirements);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_daemon_with_few_calls_keeps_to_few_servers_however_the_work_of_calls_differs() {
+fn few_calls_reuse_few_connections_despite_varying_work() {
     let mut fleet = Fleet::new();
     for (id, zone) in [("near", "a"), ("other", "b"), ("third", "b"), ("far", "c")] {
         fleet.add(id, "app", zone);
@@ -123,19 +123,19 @@
         let known = connected.clone();
         let none = AttemptHistory::default();
         let is_connected = |server| known.contains_key(&server);
-        let answer = fleet.placer.place_call(now, &requirements, &none, &wait(now), is_connected);
-        let Decision::Place(choice) = answer else {
-            panic!("{answer:?}");
+        let decision = fleet.placer.place_call(now, &requirements, &none, &wait(now), is_connected);
+        let Decision::Place(choice) = decision else {
+            panic!("{decision:?}");
         };
         *connected.entry(choice.server).or_default() += 1;
         let id = fleet.placer.id(choice.server).unwrap().to_owned();
-        // Work of calls as of application servers: 25 ms in the mean, some twice as much.
-        let work = random.random_range(18..36) * MILLI;
-        fleet.placer.record_outcome(now, &id, AttemptOutcome::Succeeded(work));
+        // Calls vary in the work they require.
+        let run_time = random.random_range(18..36) * MILLI;
+        fleet.placer.record_outcome(now, &id, AttemptOutcome::Succeeded(run_time));
     }
     let near = fleet.placer.key("near").unwrap();
     assert!(connected[&near] >= 95, "{connected:?}");
-    // A server that turns slow is left all the same.
+    // A server that becomes slow is not used further.
     for _ in 0..5 {
         fleet.placer.record_outcome(SECOND * 100, "near", AttemptOutcome::Succeeded(120 * MILLI));
     }
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn servers_without_a_connection_are_tried_at_times_and_calls_return_to_their_zone() {
+fn unconnected_servers_are_explored_and_calls_return_to_local_zone() {
     let mut fleet = Fleet::new();
     let known = fleet.add("known", "app", "a");
     fleet.add("unknown", "app", "a");
@@ -153,12 +153,12 @@
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..400 {
         let is_connected = |server| server == known;
-        let answer =
+        let decision =
             fleet.placer.place_call(SECOND, &requirements, &none, &wait(SECOND), is_connected);
-        *counts.entry(fleet.id(answer)).or_default() += 1;
+        *counts.entry(fleet.id(decision)).or_default() += 1;
     }
     assert!((4..40).contains(&counts["unknown"]), "{counts:?}");
-    // The daemon has connections to another zone alone, and its own zone's servers are back.
+    // The daemon has connections only to another zone, and the servers of its own zone are back.
     let mut fleet = Fleet::new();
     fleet.add("near", "app", "a");
     let far = fleet.add("other", "app", "b");
@@ -166,15 +166,15 @@
     let mut near = 0;
     for _ in 0..100 {
         let is_connected = |server| server == far;
-        let answer =
+        let decision =
             fleet.placer.place_call(SECOND, &requirements, &none, &wait(SECOND), is_connected);
-        near += u32::from(fleet.id(answer) == "near");
+        near += u32::from(fleet.id(decision) == "near");
     }
     assert!(near > 60, "{near}");
 }
 
 #[test]
-fn one_lost_answer_does_not_make_a_server_avoided_and_two_do() {
+fn two_consecutive_failures_start_a_backoff() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     fleet.placer.record_outcome(SECOND, "a", AttemptOutcome::Failed);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_avoided_at_once_but_used_by_calls_if_all_are() {
+fn unreachable_server_backs_off_at_once_but_takes_calls_if_it_is_the_only_one() {
     let mut fleet = Fleet::new();
     let key = fleet.add("a", "app", "a");
     let requirements = fleet.requirements("app");
@@ -194,9 +194,9 @@
     assert!(fleet.placer.is_in_backoff(SECOND, "a"));
     assert_matches!(fleet.call(SECOND, &requirements), Decision::Place(_));
     let tried = AttemptHistory { tried: vec![key], ..AttemptHistory::default() };
-    let answer = fleet.placer.place_call(SECOND, &requirements, &tried, &wait(SECOND), |_| true);
-    assert_matches!(answer, Decision::Wait(_));
-    // A text is not sent there: it loses more than a moment.
+    let decision = fleet.placer.place_call(SECOND, &requirements, &tried, &wait(SECOND), |_| true);
+    assert_matches!(decision, Decision::Wait(_));
+    // A batch item is not sent to a server in backoff.
     assert_eq!(
         fleet.placer.place_batch_item(SECOND, &requirements, &AttemptHistory::default()),
         None
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn leaving_and_gone_servers_get_nothing_new() {
+fn draining_and_deregistered_servers_are_not_eligible() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     let leaving = Registration { is_draining: true, ..fleet.registration("app", "a") };
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn when_all_entries_lapse_the_servers_are_used_for_a_moment_longer() {
+fn deregistered_servers_are_used_during_grace_period_if_none_is_ready() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     let requirements = fleet.requirements("app");
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_key_of_a_server_that_is_gone_never_means_another_one() {
+fn server_keys_are_not_reused() {
     let mut fleet = Fleet::new();
     let gone = fleet.add("a", "app", "a");
     fleet.placer.deregister(SECOND, "a");
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_server_that_loads_is_tried_again_once_it_may_have_loaded() {
+fn loading_server_is_eligible_after_expected_load_time() {
     let mut fleet = Fleet::new();
     let model = fleet.placer.model("m");
     let registration =
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_calls_are_refused_at_once_if_that_leaves_none() {
+fn evacuated_zone_is_excluded_and_calls_are_rejected_if_no_zone_is_left() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     fleet.add("b", "app", "b");
@@ -292,19 +292,19 @@
 }
 
 #[test]
-fn while_others_may_have_a_place_soon_an_evacuation_refuses_nobody() {
+fn calls_wait_for_busy_servers_despite_an_evacuation() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     let busy = fleet.add("b", "app", "b");
     let requirements = fleet.requirements("app");
     fleet.placer.evacuate("a");
     let tried = AttemptHistory { tried: vec![busy], ..AttemptHistory::default() };
-    let answer = fleet.placer.place_call(SECOND, &requirements, &tried, &wait(SECOND), |_| true);
-    assert_matches!(answer, Decision::Wait(_));
+    let decision = fleet.placer.place_call(SECOND, &requirements, &tried, &wait(SECOND), |_| true);
+    assert_matches!(decision, Decision::Wait(_));
 }
 
 #[test]
-fn after_an_evacuation_servers_are_cold_whatever_their_entries_say() {
+fn servers_are_assumed_cold_after_an_evacuation() {
     let mut fleet = Fleet::new();
     fleet.add("e", "engines", "a");
     let requirements = fleet.requirements("engines");
@@ -313,14 +313,14 @@
     fleet.placer.evacuate("a");
     fleet.placer.readmit(SECOND * 10, "a");
     assert_eq!(fleet.placer.place_batch_item(SECOND * 10, &requirements, &none), None);
-    // An entry from before it turned cold arrives late.
+    // A registration that was written before the server became cold arrives late.
     fleet.add("e", "engines", "a");
     assert_eq!(fleet.placer.place_batch_item(SECOND * 12, &requirements, &none), None);
     assert!(fleet.placer.place_batch_item(SECOND * 13, &requirements, &none).is_some());
 }
 
 #[test]
-fn a_cold_server_gets_only_what_there_are_permits_for() {
+fn cold_server_gets_one_request_per_permit() {
     let mut fleet = Fleet::new();
     let cold = fleet.add_cold("e", "a");
     let requirements = fleet.requirements("engines");
@@ -337,7 +337,7 @@
         fleet.placer.take_permit_demand(SECOND),
         [PermitDemand { server: cold, permits: 5 }]
     );
-    // It is asked for once at a time.
+    // Permits are requested only once at a time.
     assert_eq!(fleet.placer.place_next(SECOND, |_| true), None);
     assert_eq!(fleet.placer.take_permit_demand(SECOND), []);
     fleet.placer.grant_permits(SECOND, cold, 2, SECOND + 300 * MILLI, None);
@@ -352,15 +352,15 @@
         fleet.placer.take_permit_demand(SECOND),
         [PermitDemand { server: cold, permits: 3 }]
     );
-    // Permits that were not used in time are of no use.
+    // Expired permits are not used.
     fleet.placer.grant_permits(SECOND, cold, 3, SECOND + 300 * MILLI, None);
     assert_eq!(fleet.placer.place_next(SECOND + 300 * MILLI, |_| true), None);
-    // Once it is warm none is needed.
+    // A warm server requires no permit.
     assert!(fleet.placer.place_next(SECOND * 4, |_| true).is_some());
 }
 
 #[test]
-fn a_lender_that_has_nothing_is_asked_again_when_it_says() {
+fn permits_are_requested_again_after_retry_after() {
     let mut fleet = Fleet::new();
     let cold = fleet.add_cold("e", "a");
     let requirements = fleet.requirements("engines");
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn warm_servers_come_before_cold_ones() {
+fn warm_servers_are_preferred_to_cold_ones() {
     let mut fleet = Fleet::new();
     let cold = fleet.add_cold("cold", "a");
     fleet.add("warm", "engines", "b");
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn services_that_bound_nothing_have_no_cold_servers_to_ask_for() {
+fn no_permits_are_requested_for_services_without_cold_start_limit() {
     let mut fleet = Fleet::new();
     let registration = Registration { cold_for: SECOND * 3, ..fleet.registration("app", "a") };
     fleet.placer.register(SECOND, "a", registration);
@@ -407,10 +407,10 @@
 }
 
 #[test]
-fn an_entry_that_is_read_again_does_not_make_a_server_cold_again() {
+fn rereading_a_registration_does_not_restart_the_cold_period() {
     let mut fleet = Fleet::new();
     let registration =
-        Registration { cold_for: COLD.duration, ..fleet.registration("engines", "a") };
+        Registration { cold_for: COLD_LIMIT.duration, ..fleet.registration("engines", "a") };
     fleet.placer.register(SECOND, "e", registration.clone());
     fleet.placer.register(SECOND * 5, "e", registration);
     let requirements = fleet.requirements("engines");
@@ -421,24 +421,24 @@
 }
 
 #[test]
-fn requests_stay_in_their_homes_and_what_has_none_there_is_refused_at_once() {
+fn requests_run_only_in_allowed_regions_and_are_rejected_if_none_has_a_server() {
     let mut fleet = Fleet::new();
     fleet.add("near", "app", "a");
     fleet.add("far", "app", "c");
     let south = fleet.placer.region_set(["south"].into_iter());
     let east = fleet.placer.region_set(["east"].into_iter());
     let nowhere = fleet.placer.region_set(std::iter::empty());
-    let bound = |allowed_regions, requirements: Requirements| Requirements {
+    let within = |allowed_regions, requirements: Requirements| Requirements {
         allowed_regions: Some(allowed_regions),
         ..requirements
     };
     let requirements = fleet.requirements("app");
     for _ in 0..50 {
-        let chosen = fleet.call(SECOND, &bound(south, requirements));
+        let chosen = fleet.call(SECOND, &within(south, requirements));
         assert_eq!(fleet.id(chosen), "far");
     }
     for allowed_regions in [east, nowhere] {
-        let refused = fleet.call(SECOND, &bound(allowed_regions, requirements));
+        let refused = fleet.call(SECOND, &within(allowed_regions, requirements));
         assert_matches!(
             refused,
             Decision::Reject(Rejection { reason: Some(Exclusion::RegionNotAllowed), .. })
@@ -447,13 +447,13 @@
 }
 
 #[test]
-fn a_call_that_was_offered_to_nobody_gives_up_sooner_than_one_that_servers_refused() {
+fn unsent_call_is_rejected_sooner_than_one_that_servers_rejected() {
     let mut fleet = Fleet::new();
     let requirements = fleet.requirements("app");
     let none = AttemptHistory::default();
-    let begun = wait(SECOND);
+    let started = wait(SECOND);
     let after = |fleet: &mut Fleet, millis, was_sent| {
-        let wait = WaitState { was_sent, ..begun };
+        let wait = WaitState { was_sent, ..started };
         let now = SECOND + millis * MILLI;
         matches!(
             fleet.placer.place_call(now, &requirements, &none, &wait, |_| true),
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn texts_fill_fast_servers_before_slow_ones() {
+fn batch_items_fill_fast_servers_before_slow_ones() {
     let mut fleet = Fleet::new();
     for (id, millis) in [("fast", 40), ("slow", 52)] {
         fleet.add(id, "engines", "a");
@@ -487,7 +487,7 @@
 }
 
 #[test]
-fn texts_are_spread_over_servers_near_and_far() {
+fn batch_items_are_spread_over_zones_and_regions() {
     let mut fleet = Fleet::new();
     for (id, zone) in [("near", "a"), ("other", "b"), ("far", "c")] {
         fleet.add(id, "engines", zone);
@@ -504,25 +504,25 @@
         fleet.placer.request_started(SECOND, &id);
         *counts.entry(id).or_default() += 1;
     }
-    // Half of the places are taken, and no server is full.
+    // Half of the slots are used, and no server is full.
     assert!(counts.values().all(|count| (3..=5).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn a_long_rest_is_worth_a_move_to_a_faster_server_and_a_short_one_is_not() {
+fn migration_gain_depends_on_remaining_events() {
     let mut fleet = Fleet::new();
     for (id, millis) in [("fast", 40), ("slow", 52)] {
         fleet.add(id, "engines", "a");
         fleet.placer.record_outcome(SECOND, id, AttemptOutcome::Succeeded(millis * MILLI));
     }
     let requirements = fleet.requirements("engines");
-    let gain = |fleet: &mut Fleet, id, millis, rest| {
-        fleet.placer.migration_gain(SECOND, &requirements, id, millis * MILLI, rest)
+    let gain = |fleet: &mut Fleet, id, millis, remaining| {
+        fleet.placer.migration_gain(SECOND, &requirements, id, millis * MILLI, remaining)
     };
     let long = gain(&mut fleet, "slow", 52, 100).unwrap();
     let short = gain(&mut fleet, "slow", 52, 5).unwrap();
     assert!(long > SECOND && short < 100 * MILLI);
-    // The fast one has nowhere to gain, and nobody moves to a full server.
+    // There is no gain on the fastest server, nor from a move to a full one.
     assert_eq!(gain(&mut fleet, "fast", 40, 100), None);
     for _ in 0..8 {
         fleet.placer.request_started(SECOND, "fast");
@@ -531,7 +531,7 @@
 }
 
 #[test]
-fn small_differences_of_pace_move_nothing() {
+fn small_latency_differences_give_no_migration_gain() {
     let mut fleet = Fleet::new();
     for (id, millis) in [("a", 40), ("b", 44)] {
         fleet.add(id, "engines", "a");
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn a_text_does_not_come_back_to_a_server_that_failed_at_it_while_there_are_others() {
+fn batch_item_avoids_a_failed_server_while_another_is_eligible() {
     let mut fleet = Fleet::new();
     let bad = fleet.add("bad", "engines", "a");
     fleet.add("good", "engines", "b");
@@ -551,7 +551,7 @@
     for _ in 0..8 {
         fleet.placer.request_started(SECOND, "good");
     }
-    // The other one is full and will have a place again.
+    // The other server is full, but will have a free slot again.
     assert_eq!(fleet.placer.place_batch_item(SECOND, &requirements, &history), None);
     fleet.placer.deregister(SECOND, "good");
     assert_eq!(
@@ -561,7 +561,7 @@
 }
 
 #[test]
-fn a_free_place_goes_to_the_most_urgent_text_that_it_fits() {
+fn free_slot_goes_to_the_most_urgent_suitable_item() {
     let mut fleet = Fleet::new();
     let model = fleet.placer.model("m");
     let registration =
@@ -575,8 +575,8 @@
     let later = placer.enqueue(SECOND, requirements(3), urgency(SECOND * 9, 90), none());
     let short = placer.enqueue(SECOND, requirements(4), urgency(SECOND * 5, 5), none());
     let long = placer.enqueue(SECOND, requirements(4), urgency(SECOND * 5, 50), none());
-    // The most urgent of all needs weights that no server has yet: it holds nobody up.
-    let unfit = placer.enqueue(SECOND, requirements(5), urgency(SECOND, 99), none());
+    // The most urgent item requires weights that no server has, and must not block the others.
+    let unsuitable = placer.enqueue(SECOND, requirements(5), urgency(SECOND, 99), none());
     let ranked = Urgency { priority: 0, ..urgency(SECOND * 9, 1) };
     let first = placer.enqueue(SECOND, requirements(4), ranked, none());
     assert_eq!(placer.queue_position(short), Some(2));
@@ -588,155 +588,155 @@
     }
     assert_eq!(order, [first, long, short, later]);
     assert_eq!(placer.main_exclusion(SECOND, &requirements(5)), Some(Exclusion::VersionMismatch));
-    placer.cancel(unfit);
+    placer.cancel(unsuitable);
     assert_eq!(placer.queue_len(), 0);
 }
 
-/// A step's text in a replay.
+/// A batch item of a simulation.
 #[derive(Debug, Clone, Copy)]
-struct Text {
+struct BatchItem {
     requirements: Requirements,
-    /// Work on a sound server that has it alone.
-    work: Duration,
+    /// Run time on a healthy server without other load.
+    run_time: Duration,
     deadline: Moment,
 }
 
-/// Engines in virtual time, driven by the machine alone.
-struct Replay {
+/// Simulates engines in virtual time, driven by the placer alone.
+struct Simulation {
     fleet: Fleet,
     now: Moment,
-    /// How many times longer work takes, by server.
-    slowness: BTreeMap<String, u32>,
-    running: Vec<(Moment, String, Text)>,
-    waiting: BTreeMap<TicketKey, Text>,
-    ended: Vec<(Moment, Text)>,
+    /// Factor by which a server slows its items.
+    slowdown: BTreeMap<String, u32>,
+    running: Vec<(Moment, String, BatchItem)>,
+    waiting: BTreeMap<TicketKey, BatchItem>,
+    finished: Vec<(Moment, BatchItem)>,
 }
 
-impl Replay {
+impl Simulation {
     fn new() -> Self {
         let fleet = Fleet::new();
-        let (running, ended) = (Vec::new(), Vec::new());
-        let (slowness, waiting) = (BTreeMap::new(), BTreeMap::new());
-        Self { fleet, now: SECOND, slowness, running, waiting, ended }
+        let (running, finished) = (Vec::new(), Vec::new());
+        let (slowdown, waiting) = (BTreeMap::new(), BTreeMap::new());
+        Self { fleet, now: SECOND, slowdown, running, waiting, finished }
     }
 
-    /// Longer texts are expected to be longer.
-    fn hand_in(&mut self, text: Text) {
-        let remaining_tokens = u64::try_from(text.work.as_millis()).unwrap();
-        let urgency = urgency(text.deadline, remaining_tokens);
+    fn submit(&mut self, item: BatchItem) {
+        let remaining_tokens = u64::try_from(item.run_time.as_millis()).unwrap();
+        let urgency = urgency(item.deadline, remaining_tokens);
         let ticket = self.fleet.placer.enqueue(
             self.now,
-            text.requirements,
+            item.requirements,
             urgency,
             AttemptHistory::default(),
         );
-        self.waiting.insert(ticket, text);
+        self.waiting.insert(ticket, item);
     }
 
     fn place(&mut self) {
         while let Some((ticket, choice)) = self.fleet.placer.place_next(self.now, |_| true) {
             let id = self.fleet.placer.id(choice.server).unwrap().to_owned();
             self.fleet.placer.request_started(self.now, &id);
-            let text = self.waiting.remove(&ticket).unwrap();
-            let slowness = self.slowness.get(&id).copied().unwrap_or(1);
-            self.running.push((self.now + text.work * slowness, id, text));
+            let item = self.waiting.remove(&ticket).unwrap();
+            let slowdown = self.slowdown.get(&id).copied().unwrap_or(1);
+            self.running.push((self.now + item.run_time * slowdown, id, item));
         }
     }
 
-    /// Ends texts in order, until nothing runs.
+    /// Finishes items in order of completion until none is running.
     fn run(&mut self) {
         self.place();
         while let Some(next) = (0..self.running.len()).min_by_key(|index| self.running[*index].0) {
-            let (at, id, text) = self.running.swap_remove(next);
+            let (at, id, item) = self.running.swap_remove(next);
             self.now = at;
-            let took = text.work * self.slowness.get(&id).copied().unwrap_or(1);
-            let per_event = took / u32::try_from(text.work.as_millis() / 50).unwrap().max(1);
+            let took = item.run_time * self.slowdown.get(&id).copied().unwrap_or(1);
+            let per_event = took / u32::try_from(item.run_time.as_millis() / 50).unwrap().max(1);
             let key = self.fleet.placer.key(&id).unwrap();
             self.fleet.placer.request_finished(at, key, AttemptOutcome::Succeeded(per_event));
-            self.ended.push((at, text));
+            self.finished.push((at, item));
             self.place();
         }
-        assert!(self.waiting.is_empty(), "{} wait for ever", self.waiting.len());
+        assert!(self.waiting.is_empty(), "{} items are never placed", self.waiting.len());
     }
 
-    fn lose(&mut self, id: &str) {
+    fn remove_server(&mut self, id: &str) {
         self.fleet.placer.deregister(self.now, id);
-        let is_lost = |(_, server, _): &(Moment, String, Text)| server == id;
+        let is_lost = |(_, server, _): &(Moment, String, BatchItem)| server == id;
         let lost: Vec<_> = self.running.extract_if(.., |run| is_lost(run)).collect();
-        for (_, server, text) in lost {
+        for (_, server, item) in lost {
             let key = self.fleet.placer.key(&server).unwrap();
             self.fleet.placer.request_finished(self.now, key, AttemptOutcome::Failed);
-            self.hand_in(text);
+            self.submit(item);
         }
     }
 }
 
-/// Four trainers' steps of 128 to 144 texts at one moment on 45 servers of 8 places, of which 9 are
-/// 3.5 times slower and a third goes while the steps run; lengths as of trainers' work: most take half
-/// a second, one in fifty takes seven.
-fn worst_load(seed: u64) -> Replay {
+/// Four steps of 128 to 144 items arrive at once on 45 servers with 8 slots, a fifth of which are
+/// four times slower. One item in fifty is long.
+fn overload(seed: u64) -> Simulation {
     println!("seed {seed}");
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut replay = Replay::new();
+    let mut simulation = Simulation::new();
     let models: Vec<ModelKey> =
-        ["w", "x", "y", "z"].iter().map(|name| replay.fleet.placer.model(name)).collect();
+        ["w", "x", "y", "z"].iter().map(|name| simulation.fleet.placer.model(name)).collect();
     for number in 0..45 {
         let id = format!("e{number:02}");
         let zone = ["a", "b", "c"][number % 3];
         let versions = models.iter().map(|model| (*model, 1)).collect();
-        let registration = Registration { versions, ..replay.fleet.registration("engines", zone) };
-        replay.fleet.placer.register(SECOND, &id, registration);
-        replay.slowness.insert(id, if number % 5 == 4 { 4 } else { 1 });
+        let registration =
+            Registration { versions, ..simulation.fleet.registration("engines", zone) };
+        simulation.fleet.placer.register(SECOND, &id, registration);
+        simulation.slowdown.insert(id, if number % 5 == 4 { 4 } else { 1 });
     }
-    let service = replay.fleet.placer.service("engines");
-    for (model, texts) in models.iter().zip([136, 128, 128, 144]) {
+    let service = simulation.fleet.placer.service("engines");
+    for (model, items) in models.iter().zip([136, 128, 128, 144]) {
         let requirements =
             Requirements { service, model: Some((*model, 1)), allowed_regions: None };
-        for _ in 0..texts {
+        for _ in 0..items {
             let is_long = random.random_bool(0.02);
-            let work = if is_long { 7000 } else { random.random_range(200..900) } * MILLI;
-            replay.hand_in(Text { requirements, work, deadline: SECOND * 8 });
+            let run_time = if is_long { 7000 } else { random.random_range(200..900) } * MILLI;
+            simulation.submit(BatchItem { requirements, run_time, deadline: SECOND * 8 });
         }
     }
-    replay
+    simulation
 }
 
 #[test]
-fn under_the_worst_load_long_texts_begin_first_and_no_place_stays_empty() {
+fn overload_starts_long_items_first_and_uses_all_slots() {
     for seed in 0..8 {
-        let mut replay = worst_load(seed);
-        replay.place();
-        // 536 texts for 360 places: all are taken, and none of the long ones waits.
-        assert_eq!(replay.running.len(), 360);
-        let longest_waiting = replay.waiting.values().map(|text| text.work).max().unwrap();
-        let shortest_running = replay.running.iter().map(|(.., text)| text.work).min().unwrap();
+        let mut simulation = overload(seed);
+        simulation.place();
+        // There are 536 items for 360 slots: all slots are used, and no long item waits.
+        assert_eq!(simulation.running.len(), 360);
+        let longest_waiting = simulation.waiting.values().map(|item| item.run_time).max().unwrap();
+        let shortest_running =
+            simulation.running.iter().map(|(.., item)| item.run_time).min().unwrap();
         assert!(longest_waiting <= shortest_running);
-        replay.run();
-        assert_eq!(replay.ended.len(), 536);
-        // The last short text ends long before the longest ones do: those alone decide.
-        let short = replay.ended.iter().filter(|(_, text)| text.work < SECOND);
+        simulation.run();
+        assert_eq!(simulation.finished.len(), 536);
+        // Only long items remain at the end.
+        let short = simulation.finished.iter().filter(|(_, item)| item.run_time < SECOND);
         let last_short = short.map(|(at, _)| *at).max().unwrap();
         assert!(last_short < SECOND * 6, "{last_short:?}");
     }
 }
 
 #[test]
-fn when_a_third_of_the_servers_goes_under_the_worst_load_all_texts_end_elsewhere() {
+fn overload_finishes_all_items_after_losing_a_third_of_the_servers() {
     for seed in 0..8 {
-        let mut replay = worst_load(seed);
-        replay.place();
+        let mut simulation = overload(seed);
+        simulation.place();
         for number in (0..45).step_by(3) {
-            replay.lose(&format!("e{number:02}"));
+            simulation.remove_server(&format!("e{number:02}"));
         }
-        replay.place();
-        assert_eq!(replay.running.len(), 240);
-        replay.run();
-        assert_eq!(replay.ended.len(), 536);
+        simulation.place();
+        assert_eq!(simulation.running.len(), 240);
+        simulation.run();
+        assert_eq!(simulation.finished.len(), 536);
     }
 }
 
 #[test]
-fn of_thousands_of_servers_the_last_free_place_is_found() {
+fn last_free_slot_of_a_large_fleet_is_found() {
     let mut fleet = Fleet::new();
     for number in 0..2000 {
         let id = format!("e{number}");
@@ -758,21 +758,21 @@
 }
 
 #[test]
-fn a_later_step_never_holds_up_an_earlier_one() {
-    let mut replay = worst_load(1);
-    let (requirements, work) = {
-        let text = replay.waiting.values().next().unwrap();
-        (text.requirements, 900 * MILLI)
+fn later_step_does_not_delay_an_earlier_one() {
+    let mut simulation = overload(1);
+    let (requirements, run_time) = {
+        let item = simulation.waiting.values().next().unwrap();
+        (item.requirements, 900 * MILLI)
     };
     for _ in 0..200 {
-        replay.hand_in(Text { requirements, work, deadline: SECOND * 12 });
+        simulation.submit(BatchItem { requirements, run_time, deadline: SECOND * 12 });
     }
-    replay.place();
-    assert!(replay.running.iter().all(|(.., text)| text.deadline == SECOND * 8));
+    simulation.place();
+    assert!(simulation.running.iter().all(|(.., item)| item.deadline == SECOND * 8));
 }
 
 #[test]
-fn a_zone_that_returns_cold_gets_no_more_than_it_bears_while_a_step_is_late() {
+fn cold_zone_stays_within_its_rate_limit_under_backlog() {
     let mut fleet = Fleet::new();
     let keys: Vec<ServerKey> =
         (0..15).map(|number| fleet.add_cold(&format!("e{number}"), "a")).collect();
@@ -785,8 +785,8 @@
             AttemptHistory::default(),
         );
     }
-    let mut lender = crate::rate::Lender::default();
-    let terms = crate::rate::Terms::bounded(COLD.per_second, 16.0);
+    let mut issuer = crate::rate::Lender::default();
+    let terms = crate::rate::Terms::bounded(COLD_LIMIT.per_second, 16.0);
     let mut sent: BTreeMap<ServerKey, Vec<Moment>> = BTreeMap::new();
     for step in 0..300 {
         let now = SECOND + step * 10 * MILLI;
@@ -796,17 +796,17 @@
             fleet.placer.request_finished(now, key, AttemptOutcome::Abandoned);
             sent.entry(choice.server).or_default().push(now);
         }
-        for shortage in fleet.placer.take_permit_demand(now) {
-            let id = format!("{:?}", shortage.server);
-            let loan = lender.lend(now, &id, shortage.permits, terms);
+        for demand in fleet.placer.take_permit_demand(now) {
+            let id = format!("{:?}", demand.server);
+            let grant = issuer.lend(now, &id, demand.permits, terms);
             let until = now + crate::rate::VALIDITY;
-            let again = (loan.permits == 0).then_some(loan.again);
-            fleet.placer.grant_permits(now, shortage.server, loan.permits, until, again);
+            let again = (grant.permits == 0).then_some(grant.again);
+            fleet.placer.grant_permits(now, demand.server, grant.permits, until, again);
         }
     }
     for key in keys {
         let times = &sent[&key];
-        // All of them serve, and none gets more than 7 in any second.
+        // Every server is used, and none gets more than 7 requests in any second.
         assert!(times.len() >= 14, "{}", times.len());
         for begin in times {
             let window = times.iter().filter(|at| *begin <= **at && **at < *begin + SECOND);
@@ -816,7 +816,7 @@
 }
 
 #[test]
-fn requests_that_may_end_their_servers_never_meet_and_others_keep_away_if_they_can() {
+fn suspects_are_separated_from_each_other_and_from_other_requests() {
     let mut fleet = Fleet::new();
     for id in ["a", "b"] {
         fleet.add(id, "app", "a");
@@ -825,12 +825,12 @@
     let history = |is_isolated| AttemptHistory { is_isolated, ..AttemptHistory::default() };
     let call = |fleet: &mut Fleet, is_isolated| {
         let wait = wait(SECOND);
-        let answer =
+        let decision =
             fleet.placer.place_call(SECOND, &requirements, &history(is_isolated), &wait, |_| true);
-        matches!(answer, Decision::Place(_)).then(|| fleet.id(answer))
+        matches!(decision, Decision::Place(_)).then(|| fleet.id(decision))
     };
     fleet.placer.request_started(SECOND, "a");
-    // It goes where nothing else is.
+    // The suspect goes to the idle server.
     assert_eq!(call(&mut fleet, true).as_deref(), Some("b"));
     fleet.placer.request_started(SECOND, "b");
     fleet.placer.add_suspect("b");
@@ -846,7 +846,7 @@
 }
 
 #[test]
-fn the_last_sound_server_of_several_is_not_risked_for_a_request_that_ended_others() {
+fn last_healthy_server_is_spared_from_a_request_that_crashed_others() {
     let mut fleet = Fleet::new();
     for id in ["a", "b", "c"] {
         fleet.add(id, "app", "a");
@@ -869,51 +869,51 @@
         refused,
         Decision::Reject(Rejection { reason: Some(Exclusion::LastHealthy), .. })
     );
-    // Others are served by it.
+    // Other requests still use the last healthy server.
     let chosen = fleet.call(SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "c");
     assert!(fleet.placer.place_batch_item(SECOND, &requirements, &risky).is_none());
-    // The servers that took the place of the others are there.
+    // The replacements of the other servers have registered.
     for id in ["a", "b"] {
         fleet.placer.deregister(2 * SECOND, id);
         fleet.add(&format!("{id}2"), "app", "a");
     }
     assert_matches!(call(&mut fleet, 2 * SECOND), Decision::Place(_));
-    // Where there is only one at all, nothing is spared.
+    // The only server of a service is not spared.
     for id in ["a2", "b2"] {
         fleet.placer.deregister(3 * SECOND, id);
     }
     assert_matches!(call(&mut fleet, 3 * SECOND), Decision::Place(_));
 }
 
-/// Calls while the entries of servers that ended still stand: each was sent to their addresses every 16 ms.
+/// Guards against sending calls to exited servers while they are still registered.
 #[test]
-fn servers_that_have_ended_are_sent_nothing_until_that_is_old() {
+fn exited_server_gets_no_calls_during_backoff() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     let requirements = fleet.requirements("app");
     fleet.placer.record_outcome(SECOND, "a", AttemptOutcome::ServerExited);
-    // A refusal at its address is the word of another server.
+    // A rejection at the same address may come from another server.
     fleet.placer.record_outcome(SECOND, "a", AttemptOutcome::Rejected);
     let none = AttemptHistory::default();
-    let answer =
+    let decision =
         fleet.placer.place_call(2 * SECOND, &requirements, &none, &wait(2 * SECOND), |_| true);
-    assert_matches!(answer, Decision::Wait(_));
+    assert_matches!(decision, Decision::Wait(_));
     let late = wait(SECOND);
-    let answer = fleet.placer.place_call(2 * SECOND, &requirements, &none, &late, |_| true);
+    let decision = fleet.placer.place_call(2 * SECOND, &requirements, &none, &late, |_| true);
     assert_matches!(
-        answer,
+        decision,
         Decision::Reject(Rejection { reason: Some(Exclusion::ServerExited), .. })
     );
-    // What was taken for its end may have been a fault of the way there.
+    // After the backoff the server is tried again, in case it was only unreachable.
     let chosen = fleet.call(5 * SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "a");
 }
 
-/// A server whose entry lapsed by mistake is used while none is listed, one that has ended is not; what is
-/// listed in its place is used at once.
+/// Guards against an exited server that is still registered hiding healthy servers in their grace
+/// period.
 #[test]
-fn an_ended_server_that_is_listed_does_not_keep_lapsed_ones_from_being_used() {
+fn exited_server_does_not_block_servers_in_grace_period() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
     fleet.add("b", "app", "a");
@@ -927,10 +927,9 @@
     assert_eq!(fleet.id(chosen), "c");
 }
 
-/// Steps of 128 texts, one after the other, before the engines of a whole fleet or of one of twice the
-/// size. All of them may run any text, as at the begin of a training run.
+/// Guards against a daemon opening connections to most servers of a large fleet.
 #[test]
-fn a_daemon_keeps_to_few_servers_however_many_there_are() {
+fn daemon_uses_a_bounded_subset_of_a_large_fleet() {
     for servers in [7_777, 15_554] {
         let mut fleet = Fleet::new();
         for number in 0..servers {
@@ -959,9 +958,9 @@
     }
 }
 
-/// A release of a whole fleet's engines: as many come as leave, one after the other.
+/// Guards against the arena growing during a release that replaces all servers.
 #[test]
-fn servers_that_leave_are_forgotten_and_their_places_are_used_again() {
+fn arena_slots_of_deregistered_servers_are_reused() {
     let mut fleet = Fleet::new();
     for number in 0..4000_u32 {
         let now = SECOND + number * 10 * MILLI;
@@ -975,13 +974,13 @@
 }
 
 #[test]
-fn a_server_that_is_listed_again_keeps_its_place_and_what_is_known_of_it() {
+fn reregistered_server_keeps_its_key_and_state() {
     let mut fleet = Fleet::new();
     let key = fleet.add("e", "engines", "a");
     fleet.placer.request_started(SECOND, "e");
     fleet.placer.deregister(SECOND, "e");
     assert_eq!(fleet.add("e", "engines", "a"), key);
-    // Others that leave later do not have it forgotten.
+    // Deregistering another server later must not evict this one.
     fleet.add("f", "engines", "a");
     fleet.placer.deregister(9 * SECOND, "f");
     assert_eq!((fleet.placer.key("e"), fleet.placer.in_flight("e")), (Some(key), 1));
