--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -50,7 +50,7 @@
         if !gateway.evacuated.borrow_mut().remove(zone) {
             return;
         }
-        gateway.directory.borrow_mut().placer.readmit(gateway.now(), zone);
+        gateway.directory.borrow_mut().placer.end_evacuation(gateway.now(), zone);
         log::info!("event=zone_readmitted zone={zone}");
         gateway.metrics.zone_evacuated(zone, false);
     }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -403,7 +403,7 @@
         let placer = &mut self.directory.borrow_mut().placer;
         for service in configuration.services.values() {
             let share = daemons.share(own, service.max_connections);
-            placer.set_service(&service.name, share, service.cold);
+            placer.set_service_limits(&service.name, share, service.cold);
         }
     }
 }
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -101,7 +101,7 @@
     gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.grant_permits(now, shortage.server, permits, until, again);
+        placer.record_permit_grant(now, shortage.server, permits, until, again);
     }
     if permits > 0 {
         gateway.places.changed.notify(usize::MAX);
--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -227,7 +227,7 @@
 
     /// Sets the limits of a service: the number of requests this daemon may have in flight per
     /// server, and the rate limit of cold servers, if there is one.
-    pub fn set_service(
+    pub fn set_service_limits(
         &mut self,
         name: &str,
         max_in_flight: u32,
@@ -270,7 +270,7 @@
 
     /// Ends the evacuation of a zone. Its servers are treated as cold, since they may have become
     /// cold before their registrations show it.
-    pub fn readmit(&mut self, now: Moment, zone: &str) {
+    pub fn end_evacuation(&mut self, now: Moment, zone: &str) {
         self.change_count += 1;
         let zone = self.zones.key(zone);
         if !self.evacuated.remove(&zone) {
@@ -539,7 +539,7 @@
 
     /// Records the response to a permit request: `permits` that are valid until `until`. If there
     /// are none, permits may be requested again after `retry_after`.
-    pub fn grant_permits(
+    pub fn record_permit_grant(
         &mut self,
         now: Moment,
         key: ServerKey,
--- a/crates/heronbend/src/placement/tests.rs
+++ b/crates/heronbend/src/placement/tests.rs
@@ -34,8 +34,8 @@
             placer.set_region(zone, region);
         }
         placer.set_local_zone("a");
-        placer.set_service("app", 100, None);
-        placer.set_service("engines", 100, Some(COLD_LIMIT));
+        placer.set_service_limits("app", 100, None);
+        placer.set_service_limits("engines", 100, Some(COLD_LIMIT));
         Self { placer, revision: 0 }
     }
 
@@ -282,11 +282,11 @@
         assert_eq!(fleet.id(chosen), "b");
     }
     fleet.placer.evacuate("b");
-    let refused =
+    let rejected =
         Decision::Reject(Rejection { reason: Some(Exclusion::Evacuated), retry_after: SECOND });
-    assert_eq!(fleet.call(SECOND, &requirements), refused);
+    assert_eq!(fleet.call(SECOND, &requirements), rejected);
     assert!(fleet.placer.is_in_evacuated_zone("b"));
-    fleet.placer.readmit(SECOND, "a");
+    fleet.placer.end_evacuation(SECOND, "a");
     let chosen = fleet.call(SECOND, &requirements);
     assert_eq!(fleet.id(chosen), "a");
 }
@@ -311,7 +311,7 @@
     let none = AttemptHistory::default();
     assert!(fleet.placer.place_batch_item(SECOND, &requirements, &none).is_some());
     fleet.placer.evacuate("a");
-    fleet.placer.readmit(SECOND * 10, "a");
+    fleet.placer.end_evacuation(SECOND * 10, "a");
     assert_eq!(fleet.placer.place_batch_item(SECOND * 10, &requirements, &none), None);
     // A registration that was written before the server became cold arrives late.
     fleet.add("e", "engines", "a");
@@ -340,7 +340,7 @@
     // Permits are requested only once at a time.
     assert_eq!(fleet.placer.place_next(SECOND, |_| true), None);
     assert_eq!(fleet.placer.take_permit_demand(SECOND), []);
-    fleet.placer.grant_permits(SECOND, cold, 2, SECOND + 300 * MILLI, None);
+    fleet.placer.record_permit_grant(SECOND, cold, 2, SECOND + 300 * MILLI, None);
     let mut placed = 0;
     while let Some((_, choice)) = fleet.placer.place_next(SECOND, |_| true) {
         assert_eq!(choice.server, cold);
@@ -353,7 +353,7 @@
         [PermitDemand { server: cold, permits: 3 }]
     );
     // Expired permits are not used.
-    fleet.placer.grant_permits(SECOND, cold, 3, SECOND + 300 * MILLI, None);
+    fleet.placer.record_permit_grant(SECOND, cold, 3, SECOND + 300 * MILLI, None);
     assert_eq!(fleet.placer.place_next(SECOND + 300 * MILLI, |_| true), None);
     // A warm server requires no permit.
     assert!(fleet.placer.place_next(SECOND * 4, |_| true).is_some());
@@ -368,7 +368,7 @@
         fleet.placer.enqueue(SECOND, requirements, urgency(SECOND, 1), AttemptHistory::default());
     assert_eq!(fleet.placer.place_next(SECOND, |_| true), None);
     assert_eq!(fleet.placer.take_permit_demand(SECOND).len(), 1);
-    fleet.placer.grant_permits(SECOND, cold, 0, SECOND, Some(400 * MILLI));
+    fleet.placer.record_permit_grant(SECOND, cold, 0, SECOND, Some(400 * MILLI));
     for (millis, asked) in [(399, 0), (400, 1)] {
         let now = SECOND + millis * MILLI;
         assert_eq!(fleet.placer.place_next(now, |_| true), None);
@@ -382,7 +382,7 @@
     let cold = fleet.add_cold("cold", "a");
     fleet.add("warm", "engines", "b");
     let requirements = fleet.requirements("engines");
-    fleet.placer.grant_permits(SECOND, cold, 7, SECOND * 2, None);
+    fleet.placer.record_permit_grant(SECOND, cold, 7, SECOND * 2, None);
     for _ in 0..8 {
         let choice = fleet
             .placer
@@ -438,9 +438,9 @@
         assert_eq!(fleet.id(chosen), "far");
     }
     for allowed_regions in [east, nowhere] {
-        let refused = fleet.call(SECOND, &within(allowed_regions, requirements));
+        let rejected = fleet.call(SECOND, &within(allowed_regions, requirements));
         assert_matches!(
-            refused,
+            rejected,
             Decision::Reject(Rejection { reason: Some(Exclusion::RegionNotAllowed), .. })
         );
     }
@@ -801,7 +801,7 @@
             let grant = issuer.lend(now, &id, demand.permits, terms);
             let until = now + crate::rate::VALIDITY;
             let again = (grant.permits == 0).then_some(grant.again);
-            fleet.placer.grant_permits(now, demand.server, grant.permits, until, again);
+            fleet.placer.record_permit_grant(now, demand.server, grant.permits, until, again);
         }
     }
     for key in keys {
@@ -864,9 +864,9 @@
     fleet.placer.record_outcome(SECOND, "a", AttemptOutcome::ServerExited);
     assert_matches!(call(&mut fleet, SECOND), Decision::Place(_));
     fleet.placer.record_outcome(SECOND, "b", AttemptOutcome::ServerExited);
-    let refused = call(&mut fleet, SECOND);
+    let rejected = call(&mut fleet, SECOND);
     assert_matches!(
-        refused,
+        rejected,
         Decision::Reject(Rejection { reason: Some(Exclusion::LastHealthy), .. })
     );
     // Other requests still use the last healthy server.
@@ -936,7 +936,7 @@
             let registration = Registration { slots: 6, ..fleet.registration("engines", "a") };
             fleet.placer.register(SECOND, &format!("e{number}"), registration);
         }
-        fleet.placer.set_service("engines", 16, None);
+        fleet.placer.set_service_limits("engines", 16, None);
         let requirements = fleet.requirements("engines");
         let mut used: BTreeSet<ServerKey> = BTreeSet::new();
         for _ in 0..6 {
@@ -970,7 +970,7 @@
             fleet.placer.deregister(now, &format!("e{left}"));
         }
     }
-    assert!(fleet.placer.arena.len() <= 340, "{} places", fleet.placer.arena.len());
+    assert!(fleet.placer.arena.len() <= 340, "{} slots", fleet.placer.arena.len());
 }
 
 #[test]
