--- a/crates/heronbend/src/placement/decisions.rs
+++ b/crates/heronbend/src/placement/decisions.rs
@@ -32,7 +32,7 @@
 use crate::Moment;
 
 /// Lifetime of a cached set of eligible servers while no server changes. Eligibility still depends
-/// on time, for example when a backoff ends.
+/// on time, for example on the end of a grace period.
 const ELIGIBLE_CACHE_TTL: Duration = Duration::from_millis(50);
 /// Batch items are offered a subset of at most this many servers, which bounds the cost of a
 /// decision in a large fleet. The subset is stable per daemon, so that its connections and latency
--- a/crates/heronbend/src/placement/tests.rs
+++ b/crates/heronbend/src/placement/tests.rs
@@ -207,8 +207,8 @@
 fn draining_and_deregistered_servers_are_not_eligible() {
     let mut fleet = Fleet::new();
     fleet.add("a", "app", "a");
-    let leaving = Registration { is_draining: true, ..fleet.registration("app", "a") };
-    fleet.placer.register(SECOND, "b", leaving);
+    let draining = Registration { is_draining: true, ..fleet.registration("app", "a") };
+    fleet.placer.register(SECOND, "b", draining);
     let requirements = fleet.requirements("app");
     let ids = |fleet: &Fleet, now| -> Vec<String> {
         let eligible_servers = fleet.placer.eligible_servers(now, &requirements).into_iter();
@@ -233,12 +233,12 @@
 #[test]
 fn server_keys_are_not_reused() {
     let mut fleet = Fleet::new();
-    let gone = fleet.add("a", "app", "a");
+    let old = fleet.add("a", "app", "a");
     fleet.placer.deregister(SECOND, "a");
     fleet.placer.deregister(SECOND * 5, "a");
     let new = fleet.add("b", "app", "a");
-    assert_ne!(gone, new);
-    assert_eq!((fleet.placer.id(gone), fleet.placer.id(new)), (None, Some("b")));
+    assert_ne!(old, new);
+    assert_eq!((fleet.placer.id(old), fleet.placer.id(new)), (None, Some("b")));
 }
 
 #[test]
@@ -369,10 +369,10 @@
     assert_eq!(fleet.placer.place_next(SECOND, |_| true), None);
     assert_eq!(fleet.placer.take_permit_demand(SECOND).len(), 1);
     fleet.placer.record_permit_grant(SECOND, cold, 0, SECOND, Some(400 * MILLI));
-    for (millis, asked) in [(399, 0), (400, 1)] {
+    for (millis, requested) in [(399, 0), (400, 1)] {
         let now = SECOND + millis * MILLI;
         assert_eq!(fleet.placer.place_next(now, |_| true), None);
-        assert_eq!(fleet.placer.take_permit_demand(now).len(), asked, "after {millis} ms");
+        assert_eq!(fleet.placer.take_permit_demand(now).len(), requested, "after {millis} ms");
     }
 }
 
@@ -943,8 +943,10 @@
             let mut running = Vec::new();
             for _ in 0..128 {
                 let none = AttemptHistory::default();
-                let choice =
-                    fleet.placer.place_batch_item(SECOND, &requirements, &none).expect("a place");
+                let choice = fleet
+                    .placer
+                    .place_batch_item(SECOND, &requirements, &none)
+                    .expect("a free slot");
                 let id = fleet.placer.id(choice.server).unwrap().to_owned();
                 fleet.placer.request_started(SECOND, &id);
                 running.push(choice.server);
