--- a/crates/heronbend-gateway/src/quarantine/admitted_request.rs
+++ b/crates/heronbend-gateway/src/quarantine/admitted_request.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use heronbend::placement::History;
+use heronbend::placement::AttemptHistory;
 
 use super::isolation::Busy;
 use super::Isolation;
@@ -39,7 +39,12 @@
     }
 
     /// Sets in `history` how the request must be isolated from others.
-    pub fn set_isolation(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut History) {
+    pub fn set_isolation(
+        &self,
+        gateway: &Gateway,
+        outgoing: &Outgoing,
+        history: &mut AttemptHistory,
+    ) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         super::set_isolation(gateway, self.mode, fingerprint, history);
     }
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::placement::AttemptEnd;
+use heronbend::placement::AttemptOutcome;
 use smol::Timer;
 
 use super::on_change;
@@ -89,7 +89,7 @@
 /// expire.
 pub fn note_server_gone(gateway: &Rc<Gateway>, server: &str) {
     let now = gateway.now();
-    gateway.directory.borrow_mut().placer.note(now, server, AttemptEnd::Ended);
+    gateway.directory.borrow_mut().placer.record_outcome(now, server, AttemptOutcome::ServerExited);
     if gateway.quarantine.is_empty() {
         return;
     }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -70,7 +70,7 @@
         server: &str,
         request: Fingerprint,
     ) -> Result<Self, Busy> {
-        gateway.directory.borrow_mut().placer.isolate(server);
+        gateway.directory.borrow_mut().placer.add_suspect(server);
         let mut isolation =
             Self { gateway: gateway.clone(), server: server.to_owned(), is_reserved: false };
         let is_last_run = gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
@@ -87,7 +87,7 @@
 
 impl Drop for Isolation {
     fn drop(&mut self) {
-        self.gateway.directory.borrow_mut().placer.end_isolation(&self.server);
+        self.gateway.directory.borrow_mut().placer.remove_suspect(&self.server);
         if self.is_reserved {
             let (gateway, server) = (self.gateway.clone(), std::mem::take(&mut self.server));
             let releasing = async move { release(&gateway, &server).await };
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use heronbend::placement::History;
+use heronbend::placement::AttemptHistory;
 use heronbend::quarantine::table::Change;
 use heronbend::quarantine::Admission;
 use heronbend::quarantine::Fingerprint;
@@ -123,12 +123,12 @@
     gateway: &Gateway,
     mode: SendMode,
     request: impl Fn() -> Fingerprint,
-    history: &mut History,
+    history: &mut AttemptHistory,
 ) {
     let is_suspect = admission(gateway, &request) != Admission::Allowed;
-    history.is_alone = mode != SendMode::Normal || is_suspect;
+    history.is_isolated = mode != SendMode::Normal || is_suspect;
     let table = gateway.quarantine.table.borrow();
-    history.spares_last = is_suspect && table.is_one_crash_from_quarantine(request());
+    history.spares_last_healthy = is_suspect && table.is_one_crash_from_quarantine(request());
 }
 
 /// Decides whether a request may run. Skips computing the fingerprint if no request is suspect.
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -10,7 +10,7 @@
 use heronbend::identity::Incarnation;
 use heronbend::identity::NodeId;
 use heronbend::identity::NodeName;
-use heronbend::placement::server::EXPECTED_LOAD;
+use heronbend::placement::server::EXPECTED_LOAD_TIME;
 use heronbend::Moment;
 use http::{HeaderValue, Request, StatusCode};
 use http_body_util::Full;
@@ -66,7 +66,7 @@
     let is_known_run = directory.get(server).is_none_or(|known| known.incarnation == incarnation);
     // Older builds do not send the incarnation.
     if is_known_run || incarnation == Incarnation::default() {
-        directory.placer.order_taken(now, server, model, version);
+        directory.placer.record_load_command(now, server, model, version);
     }
     drop(directory);
     gateway.versions.note_command_accepted(now, holder);
@@ -78,7 +78,7 @@
 fn wake_when_loaded(gateway: &Rc<Gateway>) {
     let waker = gateway.clone();
     let wake = async move {
-        Timer::after(EXPECTED_LOAD).await;
+        Timer::after(EXPECTED_LOAD_TIME).await;
         waker.places.changed.notify(usize::MAX);
     };
     gateway.executor.spawn(wake).detach();
@@ -233,7 +233,7 @@
             .filter(is_eligible)
             .map(|server| {
                 let placer = &directory.placer;
-                let pending = placer.open_order(now, &server.id);
+                let pending = placer.pending_load(now, &server.id);
                 let pending = pending.map(|order| StartedLoad {
                     model: placer.model_name(order.model).to_owned(),
                     version: order.version,
