--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -45,8 +45,8 @@
 pub fn merge_reports(gateway: &Rc<Gateway>, reports: Vec<Report>) {
     for Report { request, endings } in reports {
         // The crash also counts for the other requests that ran on the server.
-        for ending in endings.iter().filter(|ending| !ending.is_excused) {
-            crash_detection::note_server_gone(gateway, &ending.server);
+        for crash in endings.iter().filter(|crash| !crash.is_excused) {
+            crash_detection::note_server_gone(gateway, &crash.server);
         }
         let now = gateway.now();
         let change = gateway.quarantine.table.borrow_mut().merge(now, request, &endings);
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -73,8 +73,9 @@
         gateway.directory.borrow_mut().placer.add_suspect(server);
         let mut isolation =
             Self { gateway: gateway.clone(), server: server.to_owned(), is_reserved: false };
-        let is_last_run = gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
-        if is_last_run {
+        let needs_reservation =
+            gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
+        if needs_reservation {
             isolation.is_reserved = reserve(gateway, server).await;
             if !isolation.is_reserved {
                 Timer::after(BUSY_RETRY_DELAY).await;
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -156,12 +156,12 @@
         return;
     }
     let request = outgoing.fingerprint(gateway.dialect.headers());
-    let was_recorded = gateway.quarantine.table.borrow().record(request).is_some();
+    let has_record = gateway.quarantine.table.borrow().record(request).is_some();
     if !gateway.quarantine.table.borrow_mut().clear(request) {
         return;
     }
     on_change(gateway, request, Change::Cleared, Origin::Here);
-    if was_recorded {
+    if has_record {
         record::remove(gateway, request);
     }
 }
@@ -178,26 +178,28 @@
 }
 
 /// Logs a change of a request's status and announces it if it was observed locally.
-fn on_change(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, by: Origin) {
+fn on_change(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, origin: Origin) {
     match change {
         Change::None => return,
-        Change::Suspected(endings) => {
-            log::info!("event=request_suspected request={request} endings={endings} by={by:?}");
+        Change::Suspected(crashes) => {
+            log::info!("event=request_suspected request={request} endings={crashes} by={origin:?}");
         }
-        Change::Quarantined(endings) => {
-            log::warn!("event=request_quarantined request={request} endings={endings} by={by:?}");
+        Change::Quarantined(crashes) => {
+            log::warn!(
+                "event=request_quarantined request={request} endings={crashes} by={origin:?}"
+            );
         }
-        Change::Cleared => log::info!("event=request_cleared request={request} by={by:?}"),
+        Change::Cleared => log::info!("event=request_cleared request={request} by={origin:?}"),
     }
     count_quarantined(gateway);
     let is_quarantined = matches!(change, Change::Quarantined(_));
     // A report may have been lost on its way to the daemon that sent the other one. Only daemons
     // that received both know that the request is quarantined; those that observed one of the
     // crashes announce it.
-    let completed_here = by == Origin::Peer
+    let must_announce = origin == Origin::Peer
         && is_quarantined
         && gateway.quarantine.table.borrow().is_observed_locally(request);
-    if by == Origin::Here || completed_here {
+    if origin == Origin::Here || must_announce {
         if is_quarantined {
             record::ensure_recorded(gateway, request);
         }
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -249,7 +249,7 @@
     let malformed = |error: &dyn ToString| StoreError::Malformed(error.to_string());
     let request = object.name.parse::<Fingerprint>().map_err(|error| malformed(&error))?;
     let content = RecordContent::deserialize(&object.content).map_err(|error| malformed(&error))?;
-    let servers = content.endings.into_iter().map(|ending| ending.server).collect();
+    let servers = content.endings.into_iter().map(|crash| crash.server).collect();
     Ok(QuarantinedRequest { request, servers, probes: content.probes })
 }
 
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -63,9 +63,10 @@
 ) {
     let now = gateway.now();
     let mut directory = gateway.directory.borrow_mut();
-    let is_known_run = directory.get(server).is_none_or(|known| known.incarnation == incarnation);
+    let is_same_incarnation =
+        directory.get(server).is_none_or(|known| known.incarnation == incarnation);
     // Older builds do not send the incarnation.
-    if is_known_run || incarnation == Incarnation::default() {
+    if is_same_incarnation || incarnation == Incarnation::default() {
         directory.placer.record_load_command(now, server, model, version);
     }
     drop(directory);
@@ -234,10 +235,10 @@
             .map(|server| {
                 let placer = &directory.placer;
                 let pending = placer.pending_load(now, &server.id);
-                let pending = pending.map(|order| StartedLoad {
-                    model: placer.model_name(order.model).to_owned(),
-                    version: order.version,
-                    since: order.since,
+                let pending = pending.map(|command| StartedLoad {
+                    model: placer.model_name(command.model).to_owned(),
+                    version: command.version,
+                    since: command.since,
                 });
                 let loading = busy.get(&server.id).cloned().flatten().or(pending);
                 let is_transferring =
@@ -369,8 +370,8 @@
             }
         } else {
             let holder = gateway.identity.node.name.clone();
-            let run = (server.id.as_str(), server.incarnation);
-            note_command_accepted(gateway, holder.clone(), run, &load.model, load.version);
+            let server_run = (server.id.as_str(), server.incarnation);
+            note_command_accepted(gateway, holder.clone(), server_run, &load.model, load.version);
             let hint = Hint::OrderTaken {
                 holder,
                 server: server.id.clone(),
