--- a/crates/heronbend-gateway/src/batch/adoption.rs
+++ b/crates/heronbend-gateway/src/batch/adoption.rs
@@ -9,14 +9,14 @@
 use crate::peers::Standing;
 
 /// Time that each daemon in line for a lost daemon's job is given before the next one takes it over.
-const LINE_WAIT: Duration = Duration::from_millis(800);
+const TURN_DELAY: Duration = Duration::from_millis(800);
 /// Time after which the owner of a job is taken for lost if nothing was heard of it: it may have
 /// started a moment ago, and the rumour of it takes some periods of the failure detector.
-const UNKNOWN_WAIT: Duration = Duration::from_secs(4);
+const UNKNOWN_OWNER_GRACE: Duration = Duration::from_secs(4);
 
 /// Why a job changes hands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum AdoptionReason {
     /// Its owner has not answered for some time.
     Silent,
     /// Its owner's run has certainly ended.
@@ -29,7 +29,7 @@
     Refused,
 }
 
-impl Reason {
+impl AdoptionReason {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -42,7 +42,7 @@
     }
 
     /// Whether the owner may be well, and is to be asked first.
-    pub fn may_be_wrong(self) -> bool {
+    pub fn needs_confirmation(self) -> bool {
         self == Self::Silent
     }
 }
@@ -50,13 +50,17 @@
 /// Why the daemon at a place in line, counted from 0, takes a job over whose owner has been lost to it
 /// for so long, if it is its turn. Those behind the first wait for it: it may not know the job yet, or
 /// may be cut off from the store without the others knowing.
-pub fn reason(owner: Standing, lost_for: Duration, place: usize) -> Option<Reason> {
-    let (reason, wait) = match owner {
+pub fn reason_for_position(
+    owner: Standing,
+    lost_for: Duration,
+    position: usize,
+) -> Option<AdoptionReason> {
+    let (reason, grace) = match owner {
         Standing::Alive => return None,
-        Standing::Silent => (Reason::Silent, Duration::ZERO),
-        Standing::Ended => (Reason::Ended, Duration::ZERO),
-        Standing::Unknown => (Reason::Unknown, UNKNOWN_WAIT),
+        Standing::Silent => (AdoptionReason::Silent, Duration::ZERO),
+        Standing::Ended => (AdoptionReason::Ended, Duration::ZERO),
+        Standing::Unknown => (AdoptionReason::Unknown, UNKNOWN_OWNER_GRACE),
     };
-    let turn = LINE_WAIT.saturating_mul(u32::try_from(place).unwrap_or(u32::MAX));
-    (lost_for >= wait.saturating_add(turn)).then_some(reason)
+    let turn_delay = TURN_DELAY.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX));
+    (lost_for >= grace.saturating_add(turn_delay)).then_some(reason)
 }
--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 use smol::Timer;
 
+use super::batching_window;
 use super::checkpoint;
-use super::gathering;
 use super::registry::{chunk_name, results_kind, Job, OWNERSHIPS};
 use super::result_log::{Chunk, ItemResult};
 use crate::gateway::Gateway;
@@ -16,7 +16,7 @@
 use crate::wait;
 
 /// Rest between two looks whether this daemon owns the job again.
-const OWNER_LOOK: Duration = Duration::from_millis(500);
+const OWNERSHIP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Who wrote the chunk that a write found or made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,16 +38,16 @@
             confirm_owner(&gateway, &job).await;
             continue;
         }
-        let waits = job.result_waits.listen();
+        let result_pending = job.result_pending.listen();
         if job.log.borrow().pending() == 0 {
-            waits.await;
+            result_pending.await;
             continue;
         }
         // A chunk whose outcome is unknown is written, or read, before anything else.
         if !job.log.borrow().is_in_doubt() {
-            gather(&gateway, &job).await;
+            wait_for_batch(&gateway, &job).await;
         }
-        let Some(chunk) = job.log.borrow_mut().start_writing() else {
+        let Some(chunk) = job.log.borrow_mut().start_write() else {
             continue;
         };
         match write(&gateway, &job, &chunk).await {
@@ -71,7 +71,7 @@
 async fn confirm_owner(gateway: &Gateway, job: &Job) {
     let read = gateway.store.get(OWNERSHIPS, &job.id).await;
     if let Ok(Some(object)) = &read {
-        gateway.jobs.learn_object(object);
+        gateway.jobs.upsert_object(object);
     }
     let is_owner = matches!(read, Ok(Some(_))) && job.owner() == gateway.identity.node;
     log::info!(
@@ -83,7 +83,7 @@
     if is_owner {
         job.owner_in_doubt.set(false);
     } else {
-        Timer::after(OWNER_LOOK).await;
+        Timer::after(OWNERSHIP_RETRY_DELAY).await;
     }
 }
 
@@ -107,55 +107,56 @@
 }
 
 /// Waits for further results for as long as those that wait may wait.
-async fn gather(gateway: &Gateway, job: &Job) {
-    let begun = gateway.now();
+async fn wait_for_batch(gateway: &Gateway, job: &Job) {
+    let started = gateway.now();
     loop {
-        let waits = job.result_waits.listen();
-        let step = step(gateway, job);
-        let is_full = is_full(job);
-        let waited = gateway.now().saturating_sub(begun);
-        let left = gathering::wait(step.as_ref(), waited).filter(|_| !is_full);
+        let result_pending = job.result_pending.listen();
+        let step_progress = step_progress(gateway, job);
+        let is_batch_full = is_batch_full(job);
+        let waited = gateway.now().saturating_sub(started);
+        let left = batching_window::remaining_wait(step_progress.as_ref(), waited)
+            .filter(|_| !is_batch_full);
         let Some(left) = left.filter(|left| !left.is_zero()) else {
             return;
         };
-        wait::at_most(left, waits).await;
+        wait::at_most(left, result_pending).await;
     }
 }
 
 /// Whether there is nothing to wait for: the last result waits, or enough for a chunk.
-fn is_full(job: &Job) -> bool {
+fn is_batch_full(job: &Job) -> bool {
     let log = job.log.borrow();
     log.len() + log.pending() >= job.total || log.is_chunk_half_full()
 }
 
 /// How far the step is that a job is for, if a trainer handed it in.
-fn step(gateway: &Gateway, job: &Job) -> Option<gathering::Step> {
+fn step_progress(gateway: &Gateway, job: &Job) -> Option<batching_window::StepProgress> {
     let specification = job.specification.borrow();
     let specification = specification.as_deref()?;
-    let desired = specification.step.as_ref()?.desired_groups;
+    let desired_groups = specification.step.as_ref()?.desired_groups;
     let log = job.log.borrow();
-    let listed = specification.whole_groups(|item| log.is_listed(item));
-    let whole = specification.whole_groups(|item| log.has_result(item));
-    let required = job.required.borrow();
+    let committed_groups = specification.complete_groups(|item| log.is_committed(item));
+    let complete_groups = specification.complete_groups(|item| log.has_result(item));
+    let required = job.required_items.borrow();
     let required_missing = required.iter().filter(|item| !log.has_result(item)).count();
-    let required_unlisted = required.iter().filter(|item| !log.is_listed(item)).count();
-    let age = gateway.now().saturating_sub(job.known_since);
-    let due = gateway.configuration().and_then(|configuration| {
+    let required_uncommitted = required.iter().filter(|item| !log.is_committed(item)).count();
+    let age = gateway.now().saturating_sub(job.first_seen);
+    let deadline = gateway.configuration().and_then(|configuration| {
         configuration.route(&specification.host, &specification.path)?.result_deadline
     });
-    let due = due.map(|due| match due.checked_sub(age) {
-        Some(left) => gathering::Due::In(left),
-        None => gathering::Due::Since(age - due),
+    let deadline = deadline.map(|deadline| match deadline.checked_sub(age) {
+        Some(left) => batching_window::Deadline::Remaining(left),
+        None => batching_window::Deadline::Overdue(age - deadline),
     });
-    let held_for = job.read_held_until.get().saturating_sub(gateway.now());
-    Some(gathering::Step {
-        desired,
-        listed,
-        whole,
+    let long_poll_left = job.long_poll_until.get().saturating_sub(gateway.now());
+    Some(batching_window::StepProgress {
+        desired_groups,
+        committed_groups,
+        complete_groups,
         required_missing,
-        required_unlisted,
-        due,
-        held_for,
+        required_uncommitted,
+        deadline,
+        long_poll_left,
     })
 }
 
@@ -166,22 +167,22 @@
     let content = json!({ "results": chunk.results, "writer": writer });
     match gateway.store.create(&kind, &name, content).await {
         Ok(_) => {
-            settle(gateway, job, chunk.number, chunk.results.clone());
+            commit(gateway, job, chunk.number, chunk.results.clone());
             Ok(Writer::Here)
         }
         // Written before, by this daemon or by another one that runs the job.
-        Err(StoreError::Conflict(Some(object))) => settle_object(gateway, job, &object),
+        Err(StoreError::Conflict(Some(object))) => commit_object(gateway, job, &object),
         Err(StoreError::Conflict(None)) => match gateway.store.get(&kind, &name).await? {
-            Some(object) => settle_object(gateway, job, &object),
+            Some(object) => commit_object(gateway, job, &object),
             None => Err(StoreError::NotDone("the chunk is gone".to_owned())),
         },
         Err(error) => Err(error),
     }
 }
 
-fn settle_object(gateway: &Gateway, job: &Job, object: &Object) -> Result<Writer, StoreError> {
+fn commit_object(gateway: &Gateway, job: &Job, object: &Object) -> Result<Writer, StoreError> {
     let (number, results) = parse_chunk(object)?;
-    settle(gateway, job, number, results);
+    commit(gateway, job, number, results);
     let writer = writer_of(gateway, object);
     if writer == Writer::Another {
         // Only the store's word on the owner ends a doubt.
@@ -199,24 +200,24 @@
     }
 }
 
-fn settle(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
-    let age = gateway.now().saturating_sub(job.known_since);
+fn commit(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
+    let age = gateway.now().saturating_sub(job.first_seen);
     for _ in &results {
         gateway.metrics.items_listed.inc();
         gateway.metrics.item_age.observe(age.as_secs_f64());
     }
     let mut log = job.log.borrow_mut();
     let from = log.len();
-    log.settle(number, results);
-    let settled = log.len();
+    log.commit(number, results);
+    let committed = log.len();
     drop(log);
     log::info!(
-        "event=results_listed job={} chunk={number} positions={from}..{settled} total={} age_ms={}",
+        "event=results_listed job={} chunk={number} positions={from}..{committed} total={} age_ms={}",
         job.id,
         job.total,
         age.as_millis()
     );
-    job.grew.notify(usize::MAX);
+    job.log_changed.notify(usize::MAX);
 }
 
 /// A chunk's number and results, from its object.
@@ -240,14 +241,14 @@
         let page = gateway.store.list(&kind, after.as_deref()).await?;
         for object in &page.objects {
             let (number, results) = parse_chunk(object)?;
-            let is_news = number >= job.log.borrow().chunks();
-            if is_news && writer_of(gateway, object) == Writer::Another {
+            let is_new = number >= job.log.borrow().chunks();
+            if is_new && writer_of(gateway, object) == Writer::Another {
                 job.owner_in_doubt.set(true);
             }
-            job.log.borrow_mut().settle(number, results);
+            job.log.borrow_mut().commit(number, results);
         }
         if !page.objects.is_empty() {
-            job.grew.notify(usize::MAX);
+            job.log_changed.notify(usize::MAX);
         }
         if !page.more || page.objects.is_empty() {
             return Ok(());
--- a/crates/heronbend-gateway/src/batch/gathering.rs
+++ b/crates/heronbend-gateway/src/batch/batching_window.rs
@@ -12,105 +12,108 @@
 use std::time::Duration;
 
 /// Wait of results while most of a step is missing.
-const BULK_WAIT: Duration = Duration::from_millis(900);
+const BULK_WINDOW: Duration = Duration::from_millis(900);
 /// Wait of results of a job that no trainer waits for, and of steps that are late.
-const PLAIN_WAIT: Duration = Duration::from_millis(450);
+const DEFAULT_WINDOW: Duration = Duration::from_millis(450);
 /// Longest wait while a step nears its end: longer than the longest texts of steps that are in time
 /// take, so that a chunk without use does not come just before the last one.
-const TAIL_WAIT: Duration = Duration::from_secs(8);
+const TAIL_WINDOW: Duration = Duration::from_secs(8);
 /// Share of the groups that a trainer waits for from which on a step nears its end.
 const TAIL_SHARE: f64 = 0.6;
 /// Whole groups are listed this long before a step's results are due, counted from when the step was
 /// first heard of here, some hundredths of a second after its hand-in began.
-const DUE_MARGIN: Duration = Duration::from_millis(100);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 /// Rest of a trainer between two reads, at most: readers ask about twice a second.
-const READER_REST: Duration = Duration::from_millis(600);
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 /// Results are listed this long before a held read ends, so that it still hears of them.
-const HELD_MARGIN: Duration = Duration::from_millis(80);
+const LONG_POLL_MARGIN: Duration = Duration::from_millis(80);
 /// Time after which results that are due are listed also where a read is held: trainers take what they
 /// read within some tenths of a second after that for in time.
-const HELD_GRACE: Duration = Duration::from_millis(350);
+const OVERDUE_GRACE: Duration = Duration::from_millis(350);
 
 /// When results are due, from now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Due {
+pub enum Deadline {
     /// In so long.
-    In(Duration),
+    Remaining(Duration),
     /// So long ago.
-    Since(Duration),
+    Overdue(Duration),
 }
 
 /// What is known of a step when a result waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Step {
+pub struct StepProgress {
     /// Whole groups that the trainer waits for.
-    pub desired: usize,
+    pub desired_groups: usize,
     /// Groups whose results are listed.
-    pub listed: usize,
+    pub committed_groups: usize,
     /// Groups whose results are listed or wait.
-    pub whole: usize,
+    pub complete_groups: usize,
     /// Groups that the trainer cannot do without and that are not whole yet.
     pub required_missing: usize,
     /// Groups that the trainer cannot do without and that are not listed yet.
-    pub required_unlisted: usize,
+    pub required_uncommitted: usize,
     /// When the results are due, if the route says when.
-    pub due: Option<Due>,
+    pub deadline: Option<Deadline>,
     /// How much longer a read of the newest results is held here.
-    pub held_for: Duration,
+    pub long_poll_left: Duration,
 }
 
-impl Step {
+impl StepProgress {
     /// Whether the waiting results make the trainer's wait end.
-    pub fn is_decided(&self) -> bool {
-        let is_whole = self.whole >= self.desired && self.required_missing == 0;
-        let is_listed = self.listed >= self.desired && self.required_unlisted == 0;
-        is_whole && !is_listed
+    pub fn completes_step(&self) -> bool {
+        let is_complete = self.complete_groups >= self.desired_groups && self.required_missing == 0;
+        let is_committed =
+            self.committed_groups >= self.desired_groups && self.required_uncommitted == 0;
+        is_complete && !is_committed
     }
 
     /// Whether the trainer may be content as soon as any further group is whole: it has as many as it
     /// asked for, and which ones it cannot do without is not known for sure.
-    fn may_end_with_any_group(&self) -> bool {
-        self.listed >= self.desired && self.whole > self.listed
+    fn may_complete_step(&self) -> bool {
+        self.committed_groups >= self.desired_groups && self.complete_groups > self.committed_groups
     }
 
-    fn nears_its_end(&self) -> bool {
-        self.whole as f64 >= self.desired as f64 * TAIL_SHARE
+    fn is_in_tail(&self) -> bool {
+        self.complete_groups as f64 >= self.desired_groups as f64 * TAIL_SHARE
     }
 }
 
 /// How much longer results may wait of which the oldest has waited for `waited`; nothing where they are
 /// listed at once.
-pub fn wait(step: Option<&Step>, waited: Duration) -> Option<Duration> {
+pub fn remaining_wait(step: Option<&StepProgress>, waited: Duration) -> Option<Duration> {
     let Some(step) = step else {
-        return PLAIN_WAIT.checked_sub(waited);
+        return DEFAULT_WINDOW.checked_sub(waited);
     };
-    if step.is_decided() || step.may_end_with_any_group() {
+    if step.completes_step() || step.may_complete_step() {
         return None;
     }
-    let usual = if step.nears_its_end() { TAIL_WAIT } else { BULK_WAIT };
-    let usual = usual.checked_sub(waited)?;
-    match step.due {
-        None => PLAIN_WAIT.checked_sub(waited),
-        Some(due) => match last_moment(due, step.held_for) {
-            Some(left) => Some(usual.min(left)),
-            None => PLAIN_WAIT.checked_sub(waited),
+    let window = if step.is_in_tail() { TAIL_WINDOW } else { BULK_WINDOW };
+    let window = window.checked_sub(waited)?;
+    match step.deadline {
+        None => DEFAULT_WINDOW.checked_sub(waited),
+        Some(deadline) => match time_to_flush(deadline, step.long_poll_left) {
+            Some(left) => Some(window.min(left)),
+            None => DEFAULT_WINDOW.checked_sub(waited),
         },
     }
 }
 
 /// Time until results that are due have to be listed; nothing once that is over.
-fn last_moment(due: Due, held_for: Duration) -> Option<Duration> {
-    if held_for > HELD_MARGIN {
-        let while_held = held_for - HELD_MARGIN;
-        return match due {
+fn time_to_flush(deadline: Deadline, long_poll_left: Duration) -> Option<Duration> {
+    if long_poll_left > LONG_POLL_MARGIN {
+        let poll_left = long_poll_left - LONG_POLL_MARGIN;
+        return match deadline {
             // The reader is back before they are due.
-            Due::In(left) if left > held_for + READER_REST => Some(left - DUE_MARGIN),
-            Due::In(left) => Some(while_held.min(left + HELD_GRACE)),
-            Due::Since(late) => Some(while_held.min(HELD_GRACE.checked_sub(late)?)),
+            Deadline::Remaining(left) if left > long_poll_left + POLL_INTERVAL => {
+                Some(left - DEADLINE_MARGIN)
+            }
+            Deadline::Remaining(left) => Some(poll_left.min(left + OVERDUE_GRACE)),
+            Deadline::Overdue(late) => Some(poll_left.min(OVERDUE_GRACE.checked_sub(late)?)),
         };
     }
-    match due {
-        Due::In(left) => left.checked_sub(DUE_MARGIN),
-        Due::Since(_) => None,
+    match deadline {
+        Deadline::Remaining(left) => left.checked_sub(DEADLINE_MARGIN),
+        Deadline::Overdue(_) => None,
     }
 }
--- a/crates/heronbend-gateway/src/batch/checkpoint.rs
+++ b/crates/heronbend-gateway/src/batch/checkpoint.rs
@@ -24,21 +24,21 @@
 /// Time between two checkpoints of a job: what a new owner has to make again at most.
 const PERIOD: Duration = Duration::from_millis(1000);
 /// Most checkpoints in one period.
-const MOST_AT_ONCE: usize = 3;
+const MAX_PER_PERIOD: usize = 3;
 
 /// What the kinds of checkpoints begin with.
-pub const PROGRESS: &str = "heronbend-progress";
+pub const CHECKPOINTS_KIND_PREFIX: &str = "heronbend-progress";
 
 /// Kind of a job's checkpoints.
 pub fn kind(job: &str) -> String {
-    format!("{PROGRESS}-{job}")
+    format!("{CHECKPOINTS_KIND_PREFIX}-{job}")
 }
 
 /// Saves a job's texts for as long as this daemon runs it.
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     loop {
         Timer::after(PERIOD).await;
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_PER_PERIOD {
             let segments = unsaved(&job);
             if segments.is_empty() || !save(&gateway, &job, &segments).await {
                 break;
@@ -57,7 +57,7 @@
     let written =
         gateway.store.create(&kind(&job.id), &name, json!({ "segments": segments })).await;
     match &written {
-        Ok(_) => job.texts.borrow_mut().saved(segments),
+        Ok(_) => job.texts.borrow_mut().mark_saved(segments),
         // The same events go into the next one.
         Err(error) => log::warn!(
             "event=checkpoint_not_written job={} name={name} texts={} error=\"{error}\"",
@@ -74,7 +74,7 @@
         return Vec::new();
     };
     let log = job.log.borrow();
-    job.texts.borrow().unsaved(|item| log.is_listed(&specification.items[item].id))
+    job.texts.borrow().unsaved(|item| log.is_committed(&specification.items[item].id))
 }
 
 /// Restores the texts that former owners of a job have saved.
@@ -83,13 +83,13 @@
     let segments: Vec<Segment> = objects.iter().flat_map(segments).collect();
     let mut texts = job.texts.borrow_mut();
     texts.restore(&segments);
-    let begun: Vec<u64> = texts.lengths().filter(|events| *events > 0).collect();
+    let started: Vec<u64> = texts.event_counts().filter(|events| *events > 0).collect();
     log::info!(
         "event=texts_restored job={} checkpoints={} texts={} events={}",
         job.id,
         objects.len(),
-        begun.len(),
-        begun.iter().sum::<u64>()
+        started.len(),
+        started.iter().sum::<u64>()
     );
     Ok(())
 }
--- a/crates/heronbend-gateway/src/batch/digest.rs
+++ b/crates/heronbend-gateway/src/batch/digest.rs
@@ -16,7 +16,7 @@
     pub const EMPTY: Self = Self(0);
 
     /// The digest after one more event.
-    pub fn then(self, event: &str, version: u64) -> Self {
+    pub fn chain(self, event: &str, version: u64) -> Self {
         let mut bytes = Vec::with_capacity(event.len() + 16);
         bytes.extend_from_slice(&self.0.to_le_bytes());
         bytes.extend_from_slice(&version.to_le_bytes());
--- a/crates/heronbend-gateway/src/batch/event_stream.rs
+++ b/crates/heronbend-gateway/src/batch/event_stream.rs
@@ -12,7 +12,7 @@
 pub enum StreamError {
     /// An event's number is missing or not the next one.
     #[error("an event is missing or out of turn")]
-    OutOfTurn,
+    OutOfOrder,
     /// An event cannot be understood.
     #[error("an event is malformed")]
     Malformed,
@@ -29,7 +29,7 @@
 pub struct ItemText {
     events: Vec<String>,
     /// The version of the weights that made each event.
-    made_by: Vec<u64>,
+    event_versions: Vec<u64>,
     /// The digest of the text up to each event.
     digests: Vec<Digest>,
 }
@@ -42,15 +42,16 @@
 
     /// Versions of the weights that made an event.
     pub fn versions(&self) -> BTreeSet<u64> {
-        self.made_by.iter().copied().collect()
+        self.event_versions.iter().copied().collect()
     }
 
     /// Whether all events were made under `min_version` or later, and under one version alone where
     /// `is_single` asks for that.
-    pub fn versions_fit(&self, min_version: u64, is_single: bool) -> bool {
-        let first = self.made_by.first();
-        let is_mixed = self.made_by.iter().any(|version| Some(version) != first);
-        self.made_by.iter().all(|version| *version >= min_version) && !(is_single && is_mixed)
+    pub fn satisfies_versions(&self, min_version: u64, is_single: bool) -> bool {
+        let first = self.event_versions.first();
+        let is_mixed = self.event_versions.iter().any(|version| Some(version) != first);
+        self.event_versions.iter().all(|version| *version >= min_version)
+            && !(is_single && is_mixed)
     }
 
     /// The digest of the events up to number `event`; nothing where the text is shorter.
@@ -62,7 +63,7 @@
     }
 
     /// Whether `other` has the same events as far as this text goes.
-    pub fn is_start_of(&self, other: &Self) -> bool {
+    pub fn is_prefix_of(&self, other: &Self) -> bool {
         other.digest_at(self.last_event()) == self.digest_at(self.last_event())
     }
 
@@ -74,7 +75,7 @@
             after,
             follows: self.digest_at(after).unwrap_or_default(),
             events: self.events[from..].to_vec(),
-            versions: self.made_by[from..].to_vec(),
+            versions: self.event_versions[from..].to_vec(),
         }
     }
 
@@ -87,7 +88,7 @@
         let known = usize::try_from(segment.after).ok()?;
         let mut text = self.clone();
         text.events.truncate(known);
-        text.made_by.truncate(known);
+        text.event_versions.truncate(known);
         text.digests.truncate(known);
         for (event, version) in segment.events.iter().zip(&segment.versions) {
             text.push(event.clone(), *version);
@@ -97,9 +98,9 @@
 
     fn push(&mut self, event: String, version: u64) {
         let before = self.digests.last().copied().unwrap_or(Digest::EMPTY);
-        self.digests.push(before.then(&event, version));
+        self.digests.push(before.chain(&event, version));
         self.events.push(event);
-        self.made_by.push(version);
+        self.event_versions.push(version);
     }
 
     /// The data of all events, separated by line feeds.
@@ -142,7 +143,7 @@
                 continue;
             };
             if event.id != Some(text.last_event() + 1) {
-                return Err(StreamError::OutOfTurn);
+                return Err(StreamError::OutOfOrder);
             }
             let version = self.version.ok_or(StreamError::Malformed)?;
             text.push(data, version);
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -18,12 +18,12 @@
 use smol::Timer;
 
 use super::event_stream::{EventReader, ItemText};
-use super::moves;
-use super::pace::PaceMeter;
+use super::migration;
 use super::registry::Job;
 use super::result_log::{ItemResult, ItemState};
 use super::reward::{self, Score};
 use super::specification::{Item, JobSpecification};
+use super::throughput::ThroughputMeter;
 use crate::access;
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
@@ -40,18 +40,18 @@
 use crate::quarantine::Pass;
 
 /// Longest silence before the first event. A request may wait in the server's queue.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2500);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Longest silence between two events. Servers fall silent while they load a version.
-const EVENT_LIMIT: Duration = Duration::from_millis(1600);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Time that a server is given for an item, for want of a shorter bound.
-const ITEM_DEADLINE: Duration = Duration::from_secs(30);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait for the first configuration.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(50);
+const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Half of the rest after the first attempt that added nothing.
-const IDLE_REST: Duration = Duration::from_millis(5);
-const MAX_REST_DOUBLINGS: u32 = 6;
+const BACKOFF_BASE: Duration = Duration::from_millis(5);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Longest rest until it is looked again whether an item that is held back may be sent to engines.
-const HELD_REST: Duration = Duration::from_secs(1);
+const MAX_QUARANTINE_WAIT: Duration = Duration::from_secs(1);
 
 /// Lowest rank that servers tell apart.
 const MAX_SERVER_PRIORITY: u8 = 9;
@@ -62,15 +62,15 @@
 const EVACUATED: &str = "evacuated";
 
 /// How an attempt at one server ended.
-enum RunEnd {
+enum AttemptResult {
     /// The text is whole.
-    Whole,
+    Complete,
     /// The server has not run it, or broke off: to be continued elsewhere.
-    Again,
+    Retry,
     /// The server failed at it.
     Failed,
     /// It can never be done.
-    Impossible,
+    Unsendable,
 }
 
 /// One item that is being run.
@@ -82,9 +82,9 @@
     text: Rc<RefCell<ItemText>>,
     failures: u32,
     /// Attempts in a row that added nothing.
-    idle_attempts: u32,
+    attempts_without_progress: u32,
     /// Since when the configuration in force has no route for it.
-    route_missing: Option<heronbend::Moment>,
+    route_missing_since: Option<heronbend::Moment>,
     /// The service that was drawn for it.
     service: Option<String>,
     /// The server whose attempt ended last, to be avoided once, and those that failed at it: one more
@@ -93,7 +93,7 @@
     /// Found when it is first asked for.
     fingerprint: OnceCell<Fingerprint>,
     /// Whether it has been logged that the item is held back.
-    is_held: bool,
+    hold_logged: bool,
 }
 
 /// Runs an item until it has a result; goes on with `text`, which may have been begun elsewhere.
@@ -111,36 +111,36 @@
         item,
         text,
         failures: 0,
-        idle_attempts: 0,
-        route_missing: None,
+        attempts_without_progress: 0,
+        route_missing_since: None,
         service: None,
         history: History::default(),
         fingerprint: OnceCell::new(),
-        is_held: false,
+        hold_logged: false,
     };
-    run.run_whole().await
+    run.run_to_completion().await
 }
 
 impl ItemRun<'_> {
-    async fn run_whole(mut self) -> ItemResult {
-        let begun = self.gateway.now();
+    async fn run_to_completion(mut self) -> ItemResult {
+        let started = self.gateway.now();
         loop {
             let Some(configuration) = self.gateway.configuration() else {
                 // A daemon that has just started cannot tell whether the route is still there.
-                Timer::after(CONFIGURATION_WAIT).await;
+                Timer::after(CONFIGURATION_POLL_INTERVAL).await;
                 continue;
             };
             let Some(route) = self.route(&configuration) else {
                 // The daemon that took the job in may know a newer configuration than this one.
-                let missing_since = *self.route_missing.get_or_insert(self.gateway.now());
+                let missing_since = *self.route_missing_since.get_or_insert(self.gateway.now());
                 let missing_for = self.gateway.now().saturating_sub(missing_since);
                 if missing_for > self.gateway.tuning().configuration_notice * 2 {
                     return self.terminated("route removed");
                 }
-                Timer::after(CONFIGURATION_WAIT).await;
+                Timer::after(CONFIGURATION_POLL_INTERVAL).await;
                 continue;
             };
-            self.route_missing = None;
+            self.route_missing_since = None;
             let Some(service) = self.service(&route) else {
                 return self.terminated("route without a service");
             };
@@ -153,27 +153,27 @@
             let history = self.history.clone();
             let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
             // What is known may have changed while it waited for a place.
-            if pass != Pass::Probe && self.is_barred(&route) {
+            if pass != Pass::Probe && self.is_quarantined(&route) {
                 continue;
             }
-            let before = self.last_event();
+            let events_before = self.last_event();
             let key = placed.key;
             match self.attempt(placed, need, &route).await {
-                RunEnd::Whole => break,
-                RunEnd::Again => self.rest(before).await,
-                RunEnd::Failed => {
+                AttemptResult::Complete => break,
+                AttemptResult::Retry => self.back_off(events_before).await,
+                AttemptResult::Failed => {
                     self.failures += 1;
                     self.history.failed.push(key);
                 }
-                RunEnd::Impossible => return self.terminated("impossible"),
+                AttemptResult::Unsendable => return self.terminated("impossible"),
             }
             if self.failures >= route.max_attempts.max(1) {
                 return self.terminated("failed too often");
             }
             self.history.last = Some(key);
         }
-        let text_millis = (self.gateway.now() - begun).as_millis();
-        self.gateway.lengths.borrow_mut().learn(self.item, self.last_event());
+        let text_millis = (self.gateway.now() - started).as_millis();
+        self.gateway.length_estimator.borrow_mut().record(self.item, self.last_event());
         let score = match &self.item.reward {
             None => None,
             Some(call) => match reward::score(self.gateway, self.job, &self.item.id, call).await {
@@ -187,7 +187,7 @@
             self.item.id,
             self.last_event(),
             self.text.borrow().versions(),
-            (self.gateway.now() - begun).as_millis()
+            (self.gateway.now() - started).as_millis()
         );
         self.text.borrow().result(&self.item.id, score)
     }
@@ -198,12 +198,12 @@
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
             Ok(pass) => {
-                self.is_held = false;
+                self.hold_logged = false;
                 return Some(pass);
             }
             Err(refused) => refused,
         };
-        if !std::mem::replace(&mut self.is_held, true) {
+        if !std::mem::replace(&mut self.hold_logged, true) {
             log::warn!(
                 "event=item_held job={} item={} request={} come_back_ms={}",
                 self.job.id,
@@ -212,7 +212,7 @@
                 refused.come_back.as_millis()
             );
         }
-        Timer::after(refused.come_back.min(HELD_REST)).await;
+        Timer::after(refused.come_back.min(MAX_QUARANTINE_WAIT)).await;
         None
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Whether the item, which was admitted, may not be sent to engines by now.
-    fn is_barred(&self, route: &Route) -> bool {
+    fn is_quarantined(&self, route: &Route) -> bool {
         !quarantine::may_go_on(self.gateway, || self.fingerprint(route))
     }
 
@@ -238,14 +238,15 @@
     }
 
     /// Rests after an attempt that added nothing to the text, longer after each one in a row.
-    async fn rest(&mut self, before: u64) {
-        if self.last_event() > before {
-            self.idle_attempts = 0;
+    async fn back_off(&mut self, events_before: u64) {
+        if self.last_event() > events_before {
+            self.attempts_without_progress = 0;
             return;
         }
-        self.idle_attempts += 1;
-        let rest = IDLE_REST * 2_u32.pow(self.idle_attempts.min(MAX_REST_DOUBLINGS));
-        Timer::after(rest).await;
+        self.attempts_without_progress += 1;
+        let delay =
+            BACKOFF_BASE * 2_u32.pow(self.attempts_without_progress.min(MAX_BACKOFF_DOUBLINGS));
+        Timer::after(delay).await;
     }
 
     fn terminated(&self, reason: &str) -> ItemResult {
@@ -292,20 +293,21 @@
     /// What the item needs of a server.
     fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let homes = homes::of(configuration, route, &owner);
+        let allowed_regions = homes::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        places::need(self.gateway, service, model, homes.as_ref())
+        places::need(self.gateway, service, model, allowed_regions.as_ref())
     }
 
     /// How urgent the item is among those that wait.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let rest = self.gateway.lengths.borrow().expected_rest(self.item, self.last_event());
+        let delay =
+            self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
-            due: self.job.known_since + route.result_deadline.unwrap_or_default(),
-            expected: Reverse(u64::from(rest)),
+            due: self.job.first_seen + route.result_deadline.unwrap_or_default(),
+            expected: Reverse(u64::from(delay)),
         }
     }
 
@@ -313,23 +315,23 @@
         self.specification.step.as_ref().map_or(0, |step| step.min_version)
     }
 
-    async fn attempt(&mut self, placed: Placed, need: Need, route: &Route) -> RunEnd {
+    async fn attempt(&mut self, placed: Placed, need: Need, route: &Route) -> AttemptResult {
         let Placed { server, fitness, counted, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(fitness, route) else {
-            return RunEnd::Impossible;
+            return AttemptResult::Unsendable;
         };
         let is_alone = self.history.is_alone;
         let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
-            return RunEnd::Again;
+            return AttemptResult::Retry;
         };
         let first_event = self.last_event();
-        let asked = self.gateway.now();
-        let answer = exchange::begin(self.gateway, server, &outgoing, ITEM_DEADLINE);
+        let sent_at = self.gateway.now();
+        let answer = exchange::begin(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
         let answer = answer.or(async {
-            Timer::after(FIRST_EVENT_LIMIT).await;
+            Timer::after(FIRST_EVENT_TIMEOUT).await;
             Err(AttemptFailure::Unknown("no head in time"))
         });
         let exchange = match answer.await {
@@ -340,7 +342,7 @@
                     evidence::note_break(self.gateway, server, &outgoing, 0);
                 }
                 counted.fail(&failure);
-                return RunEnd::Again;
+                return AttemptResult::Retry;
             }
         };
         if exchange.status != StatusCode::OK {
@@ -352,28 +354,28 @@
             let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Abandoned };
             counted.end(end);
             return match status {
-                StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
-                StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
-                _ => RunEnd::Again,
+                StatusCode::UNPROCESSABLE_ENTITY => AttemptResult::Unsendable,
+                StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::Failed,
+                _ => AttemptResult::Retry,
             };
         }
         if first_event > 0 {
             self.gateway.metrics.items_resumed.inc();
         }
         let reading = (need, route);
-        let outcome = self.read_events(server, exchange, reading, asked, isolation).await;
+        let outcome = self.read_events(server, exchange, reading, sent_at, isolation).await;
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
                 let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
                 counted.end(AttemptEnd::Answered(per_event));
                 quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
-                RunEnd::Whole
+                AttemptResult::Complete
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
                 counted.end(AttemptEnd::Abandoned);
-                RunEnd::Again
+                AttemptResult::Retry
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
@@ -381,7 +383,7 @@
                     evidence::note_break(self.gateway, server, &outgoing, events);
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
-                RunEnd::Again
+                AttemptResult::Retry
             }
         }
     }
@@ -436,22 +438,22 @@
         server: &Rc<Server>,
         exchange: Exchange,
         (need, route): (Need, &Route),
-        asked: Moment,
+        sent_at: Moment,
         isolation: Option<Isolation>,
     ) -> Result<(), &'static str> {
         let (mut exchange, mut isolation) = (exchange, isolation);
-        let mut pace = PaceMeter::new(self.gateway.now());
+        let mut throughput = ThroughputMeter::new(self.gateway.now());
         let names = self.gateway.dialect.headers();
         // An answer that has nothing to add to the text tells no version.
         let version = exchange.header(&names.weight_version).and_then(|value| value.parse().ok());
         let field = names.weight_version.as_str();
         let mut reader = EventReader::new(field, version);
-        let mut limit = FIRST_EVENT_LIMIT;
-        let mut resumed_at = (self.last_event() > 0).then_some(asked);
-        let _reader = self.gateway.crowd.enter();
+        let mut timeout = FIRST_EVENT_TIMEOUT;
+        let mut resume_sent_at = (self.last_event() > 0).then_some(sent_at);
+        let _reader = self.gateway.read_pacer.register();
         let outcome = loop {
             let bytes = exchange.next_bytes().or(async {
-                Timer::after(limit).await;
+                Timer::after(timeout).await;
                 Err(ExchangeError::Timeout)
             });
             match bytes.await {
@@ -460,17 +462,17 @@
                     match read {
                         Ok(0) => {}
                         Ok(events) => {
-                            limit = EVENT_LIMIT;
+                            timeout = EVENT_TIMEOUT;
                             // It has begun and its engine lives: others need not wait for its end.
                             drop(isolation.take());
-                            if let Some(asked) = resumed_at.take() {
-                                let delay = self.gateway.now().saturating_sub(asked);
-                                self.gateway.move_cost.borrow_mut().learn(delay);
+                            if let Some(sent_at) = resume_sent_at.take() {
+                                let delay = self.gateway.now().saturating_sub(sent_at);
+                                self.gateway.migration_cost.borrow_mut().record(delay);
                             }
-                            if self.is_outpaced(server, &mut pace, events, (need, route)) {
+                            if self.should_migrate(server, &mut throughput, events, (need, route)) {
                                 break Err(OUTPACED);
                             }
-                            if self.is_to_be_left(server, &need) {
+                            if self.must_leave_zone(server, &need) {
                                 break Err(EVACUATED);
                             }
                         }
@@ -483,14 +485,14 @@
                 Err(ExchangeError::Timeout) => break Err("silent"),
                 Err(_) => break Err(exchange::BROKEN_OFF),
             }
-            if !self.versions_fit(route) {
+            if !self.satisfies_versions(route) {
                 break Err("versions do not fit");
             }
-            if let Some(rest) = self.gateway.crowd.rest() {
-                Timer::after(rest).await;
+            if let Some(delay) = self.gateway.read_pacer.delay() {
+                Timer::after(delay).await;
             }
         };
-        if !self.versions_fit(route) {
+        if !self.satisfies_versions(route) {
             *self.text.borrow_mut() = ItemText::default();
         }
         if outcome.is_ok() {
@@ -500,42 +502,42 @@
     }
 
     /// Whether the text had better go on at another server.
-    fn is_outpaced(
+    fn should_migrate(
         &self,
         server: &Server,
-        pace: &mut PaceMeter,
+        throughput: &mut ThroughputMeter,
         events: usize,
         (need, route): (Need, &Route),
     ) -> bool {
         let now = self.gateway.now();
-        let Some(per_event) = pace.add(now, events as u64) else {
+        let Some(per_event) = throughput.record(now, events as u64) else {
             return false;
         };
         {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
             placer.note(now, &server.id, AttemptEnd::Answered(per_event));
         }
-        let lengths = self.gateway.lengths.borrow();
-        let remaining = lengths.expected_rest(self.item, self.last_event());
-        let age = now.saturating_sub(self.job.known_since);
-        if moves::is_in_time(age, per_event * remaining, route.result_deadline) {
+        let estimator = self.gateway.length_estimator.borrow();
+        let remaining = estimator.expected_remaining(self.item, self.last_event());
+        let age = now.saturating_sub(self.job.first_seen);
+        if migration::meets_deadline(age, per_event * remaining, route.result_deadline) {
             return false;
         }
         let gain = {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
             placer.gain(now, &need, &server.id, per_event, remaining)
         };
-        gain.is_some_and(|gain| self.gateway.move_cost.borrow().is_exceeded_by(gain))
+        gain.is_some_and(|gain| self.gateway.migration_cost.borrow().is_exceeded_by(gain))
     }
 
     /// Whether the text has to go on elsewhere, and can: its server's zone is evacuated.
-    fn is_to_be_left(&self, server: &Server, need: &Need) -> bool {
+    fn must_leave_zone(&self, server: &Server, need: &Need) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
         placer.is_to_be_left(&server.id)
             && placer.text(self.gateway.now(), need, &self.history).is_some()
     }
 
-    fn versions_fit(&self, route: &Route) -> bool {
-        self.text.borrow().versions_fit(self.min_version(), route.single_version)
+    fn satisfies_versions(&self, route: &Route) -> bool {
+        self.text.borrow().satisfies_versions(self.min_version(), route.single_version)
     }
 }
--- a/crates/heronbend-gateway/src/batch/texts.rs
+++ b/crates/heronbend-gateway/src/batch/job_texts.rs
@@ -15,14 +15,14 @@
 
 /// How much of a text is in checkpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Saved {
+pub struct SavedPrefix {
     /// Number of the last event that is saved.
     pub events: u64,
     /// The digest of the text up to that event.
     pub digest: Digest,
 }
 
-impl Saved {
+impl SavedPrefix {
     /// All of a text.
     pub fn all_of(text: &ItemText) -> Self {
         let events = text.last_event();
@@ -33,30 +33,30 @@
     pub fn through(segment: &Segment) -> Self {
         let events = segment.events.iter().zip(&segment.versions);
         let digest =
-            events.fold(segment.follows, |digest, (event, version)| digest.then(event, *version));
+            events.fold(segment.follows, |digest, (event, version)| digest.chain(event, *version));
         Self { events: segment.after + segment.events.len() as u64, digest }
     }
 
     /// What a text has gained: all of it where it was begun anew since.
     pub fn unsaved(&self, item: usize, text: &ItemText) -> Segment {
-        let goes_on = text.digest_at(self.events) == Some(self.digest);
-        text.segment(item, if goes_on { self.events } else { 0 })
+        let continues = text.digest_at(self.events) == Some(self.digest);
+        text.segment(item, if continues { self.events } else { 0 })
     }
 }
 
 /// The texts of one job that is being run here, by position of their item.
 #[derive(Debug, Default)]
-pub struct Texts {
+pub struct JobTexts {
     texts: Vec<Rc<RefCell<ItemText>>>,
     /// What of each text is in checkpoints.
-    saved: Vec<Saved>,
+    saved: Vec<SavedPrefix>,
 }
 
-impl Texts {
+impl JobTexts {
     /// Empty texts for so many items.
     pub fn new(items: usize) -> Self {
         let texts = (0..items).map(|_| Rc::default()).collect();
-        Self { texts, saved: vec![Saved::default(); items] }
+        Self { texts, saved: vec![SavedPrefix::default(); items] }
     }
 
     /// The text of an item.
@@ -67,37 +67,37 @@
     /// Sets each text to the longest one that the segments of one or more writers make.
     pub fn restore(&mut self, segments: &[Segment]) {
         for (item, text) in self.texts.iter().enumerate() {
-            let of_item: Vec<&Segment> =
+            let item_segments: Vec<&Segment> =
                 segments.iter().filter(|segment| segment.item == item).collect();
-            if of_item.is_empty() {
+            if item_segments.is_empty() {
                 continue;
             }
-            let longest = longest_text(&text.borrow(), of_item);
-            self.saved[item] = Saved::all_of(&longest);
+            let longest = longest_text(&text.borrow(), item_segments);
+            self.saved[item] = SavedPrefix::all_of(&longest);
             *text.borrow_mut() = longest;
         }
     }
 
     /// Events that each text has.
-    pub fn lengths(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn event_counts(&self) -> impl Iterator<Item = u64> + '_ {
         self.texts.iter().map(|text| text.borrow().last_event())
     }
 
     /// What long texts have gained since they were saved last, the longest first, as much as fits one
     /// checkpoint.
-    pub fn unsaved(&self, is_listed: impl Fn(usize) -> bool) -> Vec<Segment> {
+    pub fn unsaved(&self, is_committed: impl Fn(usize) -> bool) -> Vec<Segment> {
         let length = |item: usize| self.texts[item].borrow().last_event();
         let is_saved = |item: usize| {
             let text = self.texts[item].borrow();
-            self.saved[item] == Saved::all_of(&text)
+            self.saved[item] == SavedPrefix::all_of(&text)
         };
-        let is_due =
-            |item: &usize| length(*item) >= MIN_EVENTS && !is_saved(*item) && !is_listed(*item);
-        let mut due: Vec<usize> = (0..self.texts.len()).filter(is_due).collect();
-        due.sort_by_key(|item| Reverse(length(*item)));
+        let needs_save =
+            |item: &usize| length(*item) >= MIN_EVENTS && !is_saved(*item) && !is_committed(*item);
+        let mut unsaved: Vec<usize> = (0..self.texts.len()).filter(needs_save).collect();
+        unsaved.sort_by_key(|item| Reverse(length(*item)));
         let mut bytes = 0;
         let mut segments = Vec::new();
-        for item in due {
+        for item in unsaved {
             let text = self.texts[item].borrow();
             let segment = self.saved[item].unsaved(item, &text);
             bytes += segment.events.iter().map(String::len).sum::<usize>();
@@ -110,9 +110,9 @@
     }
 
     /// Notes that segments are in the store.
-    pub fn saved(&mut self, segments: &[Segment]) {
+    pub fn mark_saved(&mut self, segments: &[Segment]) {
         for segment in segments {
-            self.saved[segment.item] = Saved::through(segment);
+            self.saved[segment.item] = SavedPrefix::through(segment);
         }
     }
 }
@@ -122,7 +122,7 @@
     let mut branches = vec![known.clone()];
     loop {
         let before = segments.len();
-        segments.retain(|segment| !add(&mut branches, segment));
+        segments.retain(|segment| !extend_branches(&mut branches, segment));
         if segments.is_empty() || segments.len() == before {
             break;
         }
@@ -131,13 +131,13 @@
 }
 
 /// Adds a segment to the texts that were made so far; false where none has the events that it follows.
-fn add(branches: &mut Vec<ItemText>, segment: &Segment) -> bool {
-    let Some(made) = branches.iter().find_map(|text| text.continued_by(segment)) else {
+fn extend_branches(branches: &mut Vec<ItemText>, segment: &Segment) -> bool {
+    let Some(extended) = branches.iter().find_map(|text| text.continued_by(segment)) else {
         return false;
     };
-    if !branches.iter().any(|text| made.is_start_of(text)) {
-        branches.retain(|text| !text.is_start_of(&made));
-        branches.push(made);
+    if !branches.iter().any(|text| extended.is_prefix_of(text)) {
+        branches.retain(|text| !text.is_prefix_of(&extended));
+        branches.push(extended);
     }
     true
 }
--- a/crates/heronbend-gateway/src/batch/moves.rs
+++ b/crates/heronbend-gateway/src/batch/migration.rs
@@ -14,19 +14,19 @@
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Share of the time until a step's results are due by which a text may end where it is. The rest is
 /// for its score, for listing, and for texts that turn out longer than they were expected to be.
-const IN_TIME_SHARE: f64 = 0.6;
+const DEADLINE_SHARE: f64 = 0.6;
 
 /// What moves have cost of late.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct MoveCost {
+pub struct MigrationCost {
     mean: Option<Duration>,
 }
 
-impl MoveCost {
+impl MigrationCost {
     /// Takes in the time from asking a server to go on with a text until its first event.
-    pub fn learn(&mut self, delay: Duration) {
-        let known = self.mean.unwrap_or(delay);
-        self.mean = Some(known.mul_f64(1.0 - SAMPLE_WEIGHT) + delay.mul_f64(SAMPLE_WEIGHT));
+    pub fn record(&mut self, delay: Duration) {
+        let mean = self.mean.unwrap_or(delay);
+        self.mean = Some(mean.mul_f64(1.0 - SAMPLE_WEIGHT) + delay.mul_f64(SAMPLE_WEIGHT));
     }
 
     /// Whether a text that would win so much time is to be moved.
@@ -38,6 +38,6 @@
 
 /// Whether a text ends in good time where it is: after `rest` more, in a step that began `age` ago and
 /// whose results are due `due` after its begin. Never where no time is set.
-pub fn is_in_time(age: Duration, rest: Duration, due: Option<Duration>) -> bool {
-    due.is_some_and(|due| age + rest <= due.mul_f64(IN_TIME_SHARE))
+pub fn meets_deadline(age: Duration, remaining: Duration, deadline: Option<Duration>) -> bool {
+    deadline.is_some_and(|deadline| age + remaining <= deadline.mul_f64(DEADLINE_SHARE))
 }
--- a/crates/heronbend-gateway/src/batch/mod.rs
+++ b/crates/heronbend-gateway/src/batch/mod.rs
@@ -20,34 +20,34 @@
 //! - [`hand_in`], [`reading`]: the callers' side.
 //! - [`runner`], [`item_run`], [`placement`], [`pace`], [`reward`], [`gate`], [`appender`]: the owner's side.
 //! - [`adoption`]: when a lost daemon's job is taken over, without I/O.
-//! - [`ownership_duty`]: who owns what, and jobs taken over.
+//! - [`ownership_manager`]: who owns what, and jobs taken over.
 
 pub mod adoption;
 pub mod appender;
+pub mod batching_window;
 pub mod checkpoint;
-pub mod crowd;
 pub mod digest;
 pub mod event_stream;
-pub mod gate;
-pub mod gathering;
-pub mod hand_in;
+pub mod in_flight;
 pub mod item_run;
-pub mod length;
-pub mod moves;
+pub mod job_texts;
+pub mod length_estimate;
+pub mod migration;
+pub mod owner_selection;
 pub mod ownership;
-pub mod ownership_duty;
-pub mod pace;
-pub mod reading;
+pub mod ownership_manager;
+pub mod read_pacing;
 pub mod registry;
 pub mod result_log;
+pub mod results_reader;
 pub mod reward;
-pub mod reward_turn;
+pub mod reward_limit;
 pub mod runner;
 pub mod schedule;
 pub mod segment;
 pub mod specification;
-pub mod succession;
-pub mod texts;
+pub mod submission;
+pub mod throughput;
 
 pub use result_log::{ItemResult, ItemState, ResultLog, ResultsPage};
 pub use specification::{Item, JobSpecification, RewardCall, TrainerStep};
--- a/crates/heronbend-gateway/src/batch/ownership.rs
+++ b/crates/heronbend-gateway/src/batch/ownership.rs
@@ -40,7 +40,7 @@
         owner: NodeId,
         homes: Option<BTreeSet<String>>,
     ) -> Self {
-        let expected = specification.items.iter().map(Item::expected_output);
+        let expected = specification.items.iter().map(Item::expected_output_tokens);
         Self {
             owner,
             total: specification.items.len(),
@@ -56,17 +56,17 @@
 /// Which of the daemons that are alive takes over a job: the first in an order that differs from
 /// job to job, so that the jobs of a lost daemon are spread.
 pub fn successor<'a>(job: &str, alive: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
-    alive.max_by_key(|node| rank(job, node))
+    alive.max_by_key(|node| rendezvous_weight(job, node))
 }
 
 /// The place of a daemon, counted from 0, among those that may take a job over.
-pub fn place_in_line(job: &str, me: &NodeId, alive: &[NodeId]) -> usize {
-    let mine = rank(job, me);
-    alive.iter().filter(|node| rank(job, node) > mine).count()
+pub fn takeover_position(job: &str, me: &NodeId, alive: &[NodeId]) -> usize {
+    let mine = rendezvous_weight(job, me);
+    alive.iter().filter(|node| rendezvous_weight(job, node) > mine).count()
 }
 
 /// What the order for a job goes by; the largest comes first.
-pub(crate) fn rank(job: &str, node: &NodeId) -> (u64, NodeId) {
+pub(crate) fn rendezvous_weight(job: &str, node: &NodeId) -> (u64, NodeId) {
     let key = format!("{job}/{}", node.name);
     (rapidhash::v3::rapidhash_v3(key.as_bytes()), node.clone())
 }
--- a/crates/heronbend-gateway/src/batch/crowd.rs
+++ b/crates/heronbend-gateway/src/batch/read_pacing.rs
@@ -9,38 +9,38 @@
 
 /// Rest for each text that is read at the same time: 200 texts rest 20 ms, less than the time between
 /// two events, and 1,500 rest for three of them.
-const REST_A_TEXT: Duration = Duration::from_micros(100);
+const DELAY_PER_READER: Duration = Duration::from_micros(100);
 /// Longest rest: a small part of the time that a step has.
-const MAX_REST: Duration = Duration::from_millis(200);
+const MAX_DELAY: Duration = Duration::from_millis(200);
 /// Rests that are shorter than this save nothing.
-const MIN_REST: Duration = Duration::from_millis(30);
+const MIN_DELAY: Duration = Duration::from_millis(30);
 
 /// Texts that are read at the same time.
 #[derive(Debug, Default)]
-pub struct Crowd {
-    reading: Cell<u32>,
+pub struct ReadPacer {
+    active: Cell<u32>,
 }
 
 /// One text that is read; it leaves the crowd when dropped.
-pub struct Reader<'a>(&'a Crowd);
+pub struct ReaderGuard<'a>(&'a ReadPacer);
 
-impl Crowd {
+impl ReadPacer {
     /// Adds a text.
-    pub fn enter(&self) -> Reader<'_> {
-        self.reading.set(self.reading.get() + 1);
-        Reader(self)
+    pub fn register(&self) -> ReaderGuard<'_> {
+        self.active.set(self.active.get() + 1);
+        ReaderGuard(self)
     }
 
     /// How long a text rests between two reads; nothing where that saves nothing.
-    pub fn rest(&self) -> Option<Duration> {
-        let rest = (REST_A_TEXT * self.reading.get()).min(MAX_REST);
-        (rest >= MIN_REST).then_some(rest)
+    pub fn delay(&self) -> Option<Duration> {
+        let delay = (DELAY_PER_READER * self.active.get()).min(MAX_DELAY);
+        (delay >= MIN_DELAY).then_some(delay)
     }
 }
 
-impl Drop for Reader<'_> {
+impl Drop for ReaderGuard<'_> {
     fn drop(&mut self) {
-        let crowd = self.0;
-        crowd.reading.set(crowd.reading.get().saturating_sub(1));
+        let pacer = self.0;
+        pacer.active.set(pacer.active.get().saturating_sub(1));
     }
 }
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -11,10 +11,10 @@
 use heronbend::identity::NodeId;
 use heronbend::Moment;
 
+use super::job_texts::JobTexts;
 use super::ownership::Ownership;
 use super::result_log::ResultLog;
 use super::specification::JobSpecification;
-use super::texts::Texts;
 use crate::ports::{Object, Revision};
 
 /// Kind of the specifications.
@@ -24,14 +24,14 @@
 
 /// Time for which a confirmation from the store holds. An owner that is lost to the others is
 /// replaced no sooner.
-const CONFIRMATION_HOLDS: Duration = Duration::from_millis(2500);
+const CONFIRMATION_TTL: Duration = Duration::from_millis(2500);
 
 /// What the kinds of chunks begin with.
-pub const RESULTS: &str = "heronbend-results";
+pub const RESULTS_KIND_PREFIX: &str = "heronbend-results";
 
 /// Kind of the chunks of a job's results.
 pub fn results_kind(job: &str) -> String {
-    format!("{RESULTS}-{job}")
+    format!("{RESULTS_KIND_PREFIX}-{job}")
 }
 
 /// Name of a chunk; names sort by number.
@@ -50,19 +50,19 @@
     /// Its items, where they have been read.
     pub specification: RefCell<Option<Rc<JobSpecification>>>,
     /// Items of groups that an earlier step left behind: the trainer cannot do without them.
-    pub required: RefCell<BTreeSet<String>>,
+    pub required_items: RefCell<BTreeSet<String>>,
     /// Its results as far as they are known here.
     pub log: RefCell<ResultLog>,
     /// Texts of its items, while it is run here.
-    pub texts: RefCell<Texts>,
+    pub texts: RefCell<JobTexts>,
     /// Number of the next checkpoint of its texts that this run of the daemon writes.
     pub next_checkpoint: Cell<u32>,
     /// Notified when the log has grown.
-    pub grew: Event,
+    pub log_changed: Event,
     /// Until when a read of the newest results is held, here or by a daemon that asks this one.
-    pub read_held_until: Cell<Moment>,
+    pub long_poll_until: Cell<Moment>,
     /// Notified when a result waits to be written.
-    pub result_waits: Event,
+    pub result_pending: Event,
     /// Whether it has ended.
     pub ended: Cell<bool>,
     /// Notified when it ends, or when another daemon takes it over.
@@ -70,20 +70,20 @@
     /// Whether it is being run here.
     pub running: Cell<bool>,
     /// When the store last confirmed that this daemon runs it and that the log here is complete.
-    pub confirmed: Cell<Option<Moment>>,
+    pub ownership_confirmed_at: Cell<Option<Moment>>,
     /// Whether a chunk of another writer was found, which may be a newer owner's: nothing is appended
     /// until the store has confirmed the owner.
     pub owner_in_doubt: Cell<bool>,
     /// Whether it was made a moment ago, so that it has no results in the store.
     pub is_new: Cell<bool>,
     /// Until when its items are awaited from the daemon that took it in.
-    pub passed_on_until: Cell<Option<Moment>>,
+    pub handoff_deadline: Cell<Option<Moment>>,
     /// When this daemon first knew of it.
-    pub known_since: Moment,
+    pub first_seen: Moment,
     /// Since when it is seen to have no living owner.
     pub orphaned_since: Cell<Option<Moment>>,
     /// When this daemon learnt of its end.
-    pub ended_since: Cell<Option<Moment>>,
+    pub ended_at: Cell<Option<Moment>>,
 }
 
 impl Job {
@@ -92,23 +92,23 @@
             id: id.to_owned(),
             total: ownership.total,
             ended: Cell::new(ownership.ended),
-            ended_since: Cell::new(ownership.ended.then_some(now)),
+            ended_at: Cell::new(ownership.ended.then_some(now)),
             ownership: RefCell::new((ownership, revision)),
             specification: RefCell::default(),
-            required: RefCell::default(),
+            required_items: RefCell::default(),
             log: RefCell::default(),
             texts: RefCell::default(),
             next_checkpoint: Cell::new(0),
-            grew: Event::new(),
-            read_held_until: Cell::new(Moment::ZERO),
-            result_waits: Event::new(),
+            log_changed: Event::new(),
+            long_poll_until: Cell::new(Moment::ZERO),
+            result_pending: Event::new(),
             stopping: Event::new(),
             running: Cell::new(false),
-            confirmed: Cell::new(None),
+            ownership_confirmed_at: Cell::new(None),
             owner_in_doubt: Cell::new(false),
             is_new: Cell::new(false),
-            passed_on_until: Cell::new(None),
-            known_since: now,
+            handoff_deadline: Cell::new(None),
+            first_seen: now,
             orphaned_since: Cell::new(None),
         })
     }
@@ -126,9 +126,11 @@
     /// Whether this daemon runs it and its log is sure to hold all that has ever been readable. A
     /// daemon that was paused may have lost the job to another one, which has appended since.
     pub fn is_authority(&self, now: Moment) -> bool {
-        let confirmed = self.confirmed.get();
+        let confirmed_at = self.ownership_confirmed_at.get();
         let knows_all = !self.log.borrow().is_in_doubt();
-        self.running.get() && knows_all && confirmed.is_some_and(|at| now < at + CONFIRMATION_HOLDS)
+        self.running.get()
+            && knows_all
+            && confirmed_at.is_some_and(|at| now < at + CONFIRMATION_TTL)
     }
 
     /// Whether every item has a settled result.
@@ -139,9 +141,9 @@
     /// Notes its end.
     pub fn end(&self, now: Moment) {
         if !self.ended.replace(true) {
-            self.ended_since.set(Some(now));
+            self.ended_at.set(Some(now));
             self.stopping.notify(usize::MAX);
-            self.grew.notify(usize::MAX);
+            self.log_changed.notify(usize::MAX);
         }
     }
 }
@@ -151,9 +153,9 @@
     jobs: RefCell<HashMap<String, Rc<Job>>>,
     clock: Box<dyn Fn() -> Moment>,
     /// Notified when the ownerships are to be listed.
-    pub list_wanted: Event,
+    pub reload_requested: Event,
     /// Whether the ownerships have been listed here, or by a daemon that told them.
-    pub is_listed: Cell<bool>,
+    pub is_loaded: Cell<bool>,
 }
 
 impl JobRegistry {
@@ -162,8 +164,8 @@
         Self {
             jobs: RefCell::default(),
             clock: Box::new(clock),
-            list_wanted: Event::new(),
-            is_listed: Cell::new(false),
+            reload_requested: Event::new(),
+            is_loaded: Cell::new(false),
         }
     }
 
@@ -178,7 +180,7 @@
     }
 
     /// Takes in an ownership that is in the store; an older one than is known is passed over.
-    pub fn learn(&self, id: &str, ownership: Ownership, revision: Revision) -> Rc<Job> {
+    pub fn upsert(&self, id: &str, ownership: Ownership, revision: Revision) -> Rc<Job> {
         let now = (self.clock)();
         let known = self.get(id);
         let Some(job) = known else {
@@ -187,13 +189,13 @@
             return job;
         };
         if revision > job.ownership.borrow().1 {
-            let has_moved = job.owner() != ownership.owner;
+            let owner_changed = job.owner() != ownership.owner;
             let ended = ownership.ended;
             *job.ownership.borrow_mut() = (ownership, revision);
             if ended {
                 job.end(now);
             }
-            if has_moved {
+            if owner_changed {
                 job.stopping.notify(usize::MAX);
             }
         }
@@ -201,9 +203,9 @@
     }
 
     /// Takes in an ownership object; one that cannot be understood is logged and passed over.
-    pub fn learn_object(&self, object: &Object) -> Option<Rc<Job>> {
+    pub fn upsert_object(&self, object: &Object) -> Option<Rc<Job>> {
         match serde_json::from_value::<Ownership>(object.content.clone()) {
-            Ok(ownership) => Some(self.learn(&object.name, ownership, object.revision)),
+            Ok(ownership) => Some(self.upsert(&object.name, ownership, object.revision)),
             Err(error) => {
                 log::warn!("event=ownership_malformed job={} error=\"{error}\"", object.name);
                 None
@@ -212,11 +214,10 @@
     }
 
     /// Notes which items of a job an earlier job has had as well, as far as its items are known here.
-    pub fn note_required(&self, job: &Job, specification: &JobSpecification) {
+    pub fn record_required_items(&self, job: &Job, specification: &JobSpecification) {
         let jobs = self.jobs.borrow();
-        let earlier = jobs
-            .values()
-            .filter(|known| known.id != job.id && known.known_since <= job.known_since);
+        let earlier =
+            jobs.values().filter(|known| known.id != job.id && known.first_seen <= job.first_seen);
         let mut known_items = BTreeSet::new();
         for known in earlier {
             let specification = known.specification.borrow();
@@ -224,12 +225,12 @@
             known_items.extend(items.map(|item| item.id.clone()));
         }
         let items = specification.items.iter().map(|item| &item.id);
-        *job.required.borrow_mut() =
+        *job.required_items.borrow_mut() =
             items.filter(|id| known_items.contains(*id)).cloned().collect();
     }
 
     /// Forgets a job.
-    pub fn forget(&self, id: &str) {
+    pub fn remove(&self, id: &str) {
         self.jobs.borrow_mut().remove(id);
     }
 }
--- a/crates/heronbend-gateway/src/batch/result_log.rs
+++ b/crates/heronbend-gateway/src/batch/result_log.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ResultLog {
     results: Vec<Rc<ItemResult>>,
-    listed: BTreeSet<String>,
+    committed: BTreeSet<String>,
     chunks: u32,
     pending: Vec<Rc<ItemResult>>,
     writing: bool,
@@ -94,13 +94,13 @@
     }
 
     /// Whether an item's result is settled.
-    pub fn is_listed(&self, item: &str) -> bool {
-        self.listed.contains(item)
+    pub fn is_committed(&self, item: &str) -> bool {
+        self.committed.contains(item)
     }
 
     /// Whether an item's result is settled or waits to be written.
     pub fn has_result(&self, item: &str) -> bool {
-        self.is_listed(item) || self.pending.iter().any(|pending| pending.item == item)
+        self.is_committed(item) || self.pending.iter().any(|pending| pending.item == item)
     }
 
     /// Results that wait to be written.
@@ -131,8 +131,8 @@
 
     /// Adds a result that is to be written; one of an item that has a result already is dropped.
     pub fn add(&mut self, result: ItemResult) {
-        let is_waiting = self.pending.iter().any(|pending| pending.item == result.item);
-        if !is_waiting && !self.is_listed(&result.item) {
+        let is_pending = self.pending.iter().any(|pending| pending.item == result.item);
+        if !is_pending && !self.is_committed(&result.item) {
             self.pending.push(Rc::new(result));
         }
     }
@@ -141,7 +141,7 @@
     ///
     /// Until [`ResultLog::settle`] or [`ResultLog::write_failed`] is called, no further chunk is
     /// given out: a chunk whose outcome is unknown has to be written, or read, before the next one.
-    pub fn start_writing(&mut self) -> Option<Chunk> {
+    pub fn start_write(&mut self) -> Option<Chunk> {
         if self.writing || self.pending.is_empty() {
             return None;
         }
@@ -168,7 +168,7 @@
 
     /// Notes that a chunk, of whichever writer, is in the store. Chunks come in order; one that is
     /// known already is passed over, and one after a gap is not taken in.
-    pub fn settle(&mut self, number: u32, results: Vec<Rc<ItemResult>>) -> bool {
+    pub fn commit(&mut self, number: u32, results: Vec<Rc<ItemResult>>) -> bool {
         if number != self.chunks {
             return number < self.chunks;
         }
@@ -176,12 +176,12 @@
         self.writing = false;
         self.in_doubt = false;
         for result in results {
-            if self.listed.insert(result.item.clone()) {
+            if self.committed.insert(result.item.clone()) {
                 self.results.push(result);
             }
         }
-        let listed = &self.listed;
-        self.pending.retain(|pending| !listed.contains(&pending.item));
+        let committed = &self.committed;
+        self.pending.retain(|pending| !committed.contains(&pending.item));
         true
     }
 
@@ -191,7 +191,7 @@
             return;
         }
         for result in results {
-            if self.listed.insert(result.item.clone()) {
+            if self.committed.insert(result.item.clone()) {
                 self.results.push(result);
             }
         }
--- a/crates/heronbend-gateway/src/batch/reading.rs
+++ b/crates/heronbend-gateway/src/batch/results_reader.rs
@@ -12,11 +12,11 @@
 use smol::Timer;
 
 use super::appender;
-use super::hand_in::item_body;
 use super::registry::{Job, OWNERSHIPS};
 use super::result_log::ItemResult;
 use super::result_log::ResultsPage;
 use super::runner;
+use super::submission::item_body;
 use crate::gateway::Gateway;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{ObjectStore, StoreError};
@@ -32,10 +32,10 @@
 }
 
 /// Rest between two looks at the store for a job whose owner cannot be asked.
-const STORE_LOOK: Duration = Duration::from_millis(450);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(450);
 
 /// Rest between two calls to an owner, which tells of results before the reader's position as well.
-const OWNER_REST: Duration = Duration::from_millis(5);
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Results from a position on; waits for one until `wait_until`.
 pub async fn results(
@@ -45,47 +45,47 @@
     from: usize,
     wait_until: Moment,
 ) -> Result<ResultsPage, ReadError> {
-    let job = find(gateway, id, caller).await?;
+    let job = find_visible(gateway, id, caller).await?;
     loop {
-        let grew = job.grew.listen();
+        let log_changed = job.log_changed.listen();
         if job.log.borrow().len() > from || job.is_complete() {
-            return page_here(&job, from);
+            return local_page(&job, from);
         }
         let now = gateway.now();
-        let left = wait_until.saturating_sub(now);
+        let remaining = wait_until.saturating_sub(now);
         if job.is_authority(now) {
-            if left.is_zero() || job.ended.get() {
-                return page_here(&job, from);
+            if remaining.is_zero() || job.ended.get() {
+                return local_page(&job, from);
             }
-            job.read_held_until.set(wait_until);
-            wait::at_most(left, grew).await;
-            job.read_held_until.set(Moment::ZERO);
+            job.long_poll_until.set(wait_until);
+            wait::at_most(remaining, log_changed).await;
+            job.long_poll_until.set(Moment::ZERO);
             continue;
         }
         // An owner holds a call until it has news; the store answers at once.
-        let rest = match ask_owner(gateway, &job, from, left).await {
+        let poll_interval = match ask_owner(gateway, &job, from, remaining).await {
             Some(page) => {
                 let page = page?;
                 if !page.results.is_empty() || gateway.now() >= wait_until || job.ended.get() {
                     return Ok(page);
                 }
-                OWNER_REST
+                OWNER_POLL_INTERVAL
             }
             None => {
                 catch_up(gateway, &job).await?;
-                let has_news = job.log.borrow().len() > from;
-                if has_news || gateway.now() >= wait_until || job.ended.get() {
-                    return page_here(&job, from);
+                let has_new_results = job.log.borrow().len() > from;
+                if has_new_results || gateway.now() >= wait_until || job.ended.get() {
+                    return local_page(&job, from);
                 }
-                STORE_LOOK
+                STORE_POLL_INTERVAL
             }
         };
-        Timer::after(rest.min(wait_until.saturating_sub(gateway.now()))).await;
+        Timer::after(poll_interval.min(wait_until.saturating_sub(gateway.now()))).await;
     }
 }
 
 /// What is known here from a position on.
-fn page_here(job: &Job, from: usize) -> Result<ResultsPage, ReadError> {
+fn local_page(job: &Job, from: usize) -> Result<ResultsPage, ReadError> {
     let log = job.log.borrow();
     if from > log.len() {
         // The reader has seen more than is known here.
@@ -120,7 +120,7 @@
     if continues && !results.is_empty() {
         job.log.borrow_mut().extend(results.clone(), chunks);
         job.owner_in_doubt.set(true);
-        job.grew.notify(usize::MAX);
+        job.log_changed.notify(usize::MAX);
     }
     Some(Ok(ResultsPage { total: job.total, from, results }))
 }
@@ -146,15 +146,15 @@
     };
     let until = gateway.now() + limit;
     loop {
-        let grew = job.grew.listen();
-        let left = until.saturating_sub(gateway.now());
-        let has_news = job.log.borrow().len() > from;
-        if has_news || left.is_zero() || job.ended.get() || !job.running.get() {
+        let log_changed = job.log_changed.listen();
+        let remaining = until.saturating_sub(gateway.now());
+        let has_new_results = job.log.borrow().len() > from;
+        if has_new_results || remaining.is_zero() || job.ended.get() || !job.running.get() {
             break;
         }
-        job.read_held_until.set(until);
-        wait::at_most(left, grew).await;
-        job.read_held_until.set(Moment::ZERO);
+        job.long_poll_until.set(until);
+        wait::at_most(remaining, log_changed).await;
+        job.long_poll_until.set(Moment::ZERO);
     }
     let log = job.log.borrow();
     let results = log.page(from).iter().map(|result| (**result).clone()).collect();
@@ -168,9 +168,9 @@
     caller: &Caller,
     item: &str,
 ) -> Result<Bytes, ReadError> {
-    let job = find(gateway, id, caller).await?;
+    let job = find_visible(gateway, id, caller).await?;
     let specification =
-        runner::specification(gateway, &job).await.map_err(|error| match error {
+        runner::load_specification(gateway, &job).await.map_err(|error| match error {
             StoreError::NotFound => ReadError::NotFound,
             _ => ReadError::Unavailable,
         })?;
@@ -178,17 +178,17 @@
 }
 
 /// A job that is known here or in the store. One of another tenant is as good as none.
-async fn find(gateway: &Gateway, id: &str, caller: &Caller) -> Result<Rc<Job>, ReadError> {
-    let job = find_any(gateway, id).await?;
+async fn find_visible(gateway: &Gateway, id: &str, caller: &Caller) -> Result<Rc<Job>, ReadError> {
+    let job = find(gateway, id).await?;
     job.is_visible_to(caller).then_some(job).ok_or(ReadError::NotFound)
 }
 
-async fn find_any(gateway: &Gateway, id: &str) -> Result<Rc<Job>, ReadError> {
+async fn find(gateway: &Gateway, id: &str) -> Result<Rc<Job>, ReadError> {
     if let Some(job) = gateway.jobs.get(id) {
         return Ok(job);
     }
     match gateway.store.get(OWNERSHIPS, id).await {
-        Ok(Some(object)) => gateway.jobs.learn_object(&object).ok_or(ReadError::Unavailable),
+        Ok(Some(object)) => gateway.jobs.upsert_object(&object).ok_or(ReadError::Unavailable),
         Ok(None) => Err(ReadError::NotFound),
         Err(error) => {
             log::warn!("event=job_not_found_out job={id} error=\"{error}\"");
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -8,7 +8,7 @@
 use smol::Timer;
 
 use super::registry::Job;
-use super::reward_turn;
+use super::reward_limit;
 use super::specification::RewardCall;
 use crate::access;
 use crate::exchange::Outgoing;
@@ -18,14 +18,14 @@
 use crate::http::client::WholeAnswer;
 
 /// Servers that one round of a call may be sent to.
-const ATTEMPTS_A_ROUND: u32 = 2;
+const ATTEMPTS_PER_ROUND: u32 = 2;
 /// Shortest time that a round is given.
-const MIN_ROUND: Duration = Duration::from_millis(600);
+const MIN_ROUND_TIMEOUT: Duration = Duration::from_millis(600);
 /// A round is given this many times the route's target latency.
-const ROUND_TARGETS: u32 = 4;
-const REST: Duration = Duration::from_millis(40);
+const ROUND_TARGET_MULTIPLE: u32 = 4;
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// Longest rest until it is looked again whether a call that is held back may be made.
-const HELD_REST: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// How a reward call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,15 +40,18 @@
 pub async fn score(gateway: &Rc<Gateway>, job: &Job, item: &str, call: &RewardCall) -> Score {
     let mut failures = 0;
     loop {
-        let Some((outgoing, service, mut allowance, most)) = prepare(gateway, job, call) else {
-            Timer::after(REST).await;
+        let Some((outgoing, service, mut allowance, max_failures)) =
+            prepare_call(gateway, job, call)
+        else {
+            Timer::after(RETRY_DELAY).await;
             continue;
         };
-        let _pass = reward_turn::enter(gateway, &service).await;
-        let round = (allowance.target_latency * ROUND_TARGETS).max(MIN_ROUND);
-        allowance.deadline = gateway.now() + round;
+        let _permit = reward_limit::acquire(gateway, &service).await;
+        let round_timeout =
+            (allowance.target_latency * ROUND_TARGET_MULTIPLE).max(MIN_ROUND_TIMEOUT);
+        allowance.deadline = gateway.now() + round_timeout;
         allowance.is_repeatable = true;
-        allowance.max_attempts = ATTEMPTS_A_ROUND;
+        allowance.max_attempts = ATTEMPTS_PER_ROUND;
         let answer = forward(gateway, &service, outgoing, allowance).await;
         if let Ok(answer) = &answer {
             let signature = gateway.dialect.headers().signature.clone();
@@ -60,29 +63,31 @@
                 _ => failures += 1,
             }
         }
-        let rest = rest(&answer);
+        let retry_delay = retry_delay(&answer);
         log::info!(
             "event=reward_failed job={} item={item} reward={} failures={failures} status={}",
             job.id,
             call.id,
             answer.map_or_else(|error| format!("{error:?}"), |answer| answer.status.to_string())
         );
-        if failures >= most {
+        if failures >= max_failures {
             return Score::Failed;
         }
-        Timer::after(rest).await;
+        Timer::after(retry_delay).await;
     }
 }
 
 /// Rest before the next round: longer where the call is kept from servers.
-fn rest(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
+fn retry_delay(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
     match answer {
-        Err(ForwardError::Quarantined(refused)) => refused.come_back.clamp(REST, HELD_REST),
-        _ => REST,
+        Err(ForwardError::Quarantined(refused)) => {
+            refused.come_back.clamp(RETRY_DELAY, MAX_RETRY_DELAY)
+        }
+        _ => RETRY_DELAY,
     }
 }
 
-fn prepare(
+fn prepare_call(
     gateway: &Gateway,
     job: &Job,
     call: &RewardCall,
@@ -106,7 +111,7 @@
         fingerprint: OnceCell::new(),
     };
     let owner = access::owner_of_job(&configuration, job.ownership.borrow().0.tenant.as_deref());
-    let homes = homes::of(&configuration, route, &owner);
-    let allowance = Allowance::of_route(route, gateway.now(), None, homes);
+    let allowed_regions = homes::of(&configuration, route, &owner);
+    let allowance = Allowance::of_route(route, gateway.now(), None, allowed_regions);
     Some((outgoing, service, allowance, route.max_attempts.max(1)))
 }
--- a/crates/heronbend-gateway/src/batch/reward_turn.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -13,31 +13,31 @@
 
 /// Reward calls that may be under way for each place at a service's servers. Fewer would let texts
 /// wait for their scores; more would fill the servers' queues.
-const CALLS_A_PLACE: f64 = 1.25;
+const CALLS_PER_SLOT: f64 = 1.25;
 /// Longest wait until the places are counted again without news.
-const RECOUNT: Duration = Duration::from_millis(100);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Leave to make one call; given back when dropped.
-pub struct Pass {
+pub struct Permit {
     gateway: Rc<Gateway>,
     service: String,
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.gateway.reward_gate.end(&self.service);
+        self.gateway.reward_calls.finish(&self.service);
     }
 }
 
 /// Waits until another reward call may be made to a service.
-pub async fn enter(gateway: &Rc<Gateway>, service: &str) -> Pass {
-    let gate = &gateway.reward_gate;
-    while gate.running(service) >= limit(gateway, service) {
-        let left = gate.left.listen();
-        wait::at_most(RECOUNT, left).await;
+pub async fn acquire(gateway: &Rc<Gateway>, service: &str) -> Permit {
+    let calls = &gateway.reward_calls;
+    while calls.count(service) >= limit(gateway, service) {
+        let finished = calls.finished.listen();
+        wait::at_most(RECHECK_INTERVAL, finished).await;
     }
-    gate.begin(service);
-    Pass { gateway: gateway.clone(), service: service.to_owned() }
+    calls.start(service);
+    Permit { gateway: gateway.clone(), service: service.to_owned() }
 }
 
 /// Reward calls that this daemon may have under way at a service: its part of what those that run
@@ -49,5 +49,5 @@
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
     let owners: BTreeSet<_> = open.map(|job| job.owner()).collect();
     let daemons = owners.len().max(1) as f64;
-    ((f64::from(slots) * CALLS_A_PLACE / daemons) as u32).max(1)
+    ((f64::from(slots) * CALLS_PER_SLOT / daemons) as u32).max(1)
 }
--- a/crates/heronbend-gateway/src/batch/runner.rs
+++ b/crates/heronbend-gateway/src/batch/runner.rs
@@ -5,22 +5,22 @@
 use futures_lite::FutureExt;
 use smol::{Task, Timer};
 
+use super::job_texts::JobTexts;
 use super::registry::{Job, SPECIFICATIONS};
-use super::schedule::begin_order;
+use super::schedule::start_order;
 use super::specification::JobSpecification;
-use super::texts::Texts;
-use super::{appender, checkpoint, item_run, ownership_duty};
+use super::{appender, checkpoint, item_run, ownership_manager};
 use crate::gateway::Gateway;
 use crate::mirror::backoff;
 use crate::ports::{ObjectStore, StoreError};
 
 /// Starts every job that this daemon owns and does not run yet.
-pub fn start_own_jobs(gateway: &Rc<Gateway>) {
+pub fn start_owned_jobs(gateway: &Rc<Gateway>) {
     for job in gateway.jobs.all() {
-        let is_mine = job.owner() == gateway.identity.node;
+        let is_owned = job.owner() == gateway.identity.node;
         let has_work = !job.ended.get() && !job.is_complete();
-        let is_awaited = job.passed_on_until.get().is_some_and(|until| gateway.now() < until);
-        if is_mine && has_work && !is_awaited && !job.running.replace(true) {
+        let awaits_handoff = job.handoff_deadline.get().is_some_and(|until| gateway.now() < until);
+        if is_owned && has_work && !awaits_handoff && !job.running.replace(true) {
             gateway.executor.spawn(run_job(gateway.clone(), job)).detach();
         }
     }
@@ -38,14 +38,14 @@
         }
     };
     let work = async {
-        work_on(&gateway, &job).await;
+        run_items(&gateway, &job).await;
         "complete"
     };
-    let ends_elsewhere = async {
-        ownership_duty::watch_for_end(&gateway, &job).await;
+    let ended_elsewhere = async {
+        ownership_manager::watch_ownership(&gateway, &job).await;
         "ended elsewhere"
     };
-    let outcome = stopped.or(work).or(ends_elsewhere).await;
+    let outcome = stopped.or(work).or(ended_elsewhere).await;
     log::info!(
         "event=job_run_over job={} outcome={outcome} listed={} total={} ended={}",
         job.id,
@@ -54,20 +54,20 @@
         job.ended.get()
     );
     job.running.set(false);
-    job.confirmed.set(None);
+    job.ownership_confirmed_at.set(None);
     // What is listed stands in the log; a later run restores the rest.
     job.texts.take();
 }
 
-async fn work_on(gateway: &Rc<Gateway>, job: &Rc<Job>) {
-    let specification = load(gateway, job).await;
-    gateway.jobs.note_required(job, &specification);
-    job.confirmed.set(Some(gateway.now()));
+async fn run_items(gateway: &Rc<Gateway>, job: &Rc<Job>) {
+    let specification = load_job(gateway, job).await;
+    gateway.jobs.record_required_items(job, &specification);
+    job.ownership_confirmed_at.set(Some(gateway.now()));
     let _appender = gateway.executor.spawn(appender::run(gateway.clone(), job.clone()));
     let _checkpoints = gateway.executor.spawn(checkpoint::run(gateway.clone(), job.clone()));
     let mut tasks: Vec<Task<()>> = Vec::new();
-    for position in begin_order(&specification.items) {
-        if job.log.borrow().is_listed(&specification.items[position].id) {
+    for position in start_order(&specification.items) {
+        if job.log.borrow().is_committed(&specification.items[position].id) {
             continue;
         }
         let (gateway, job) = (gateway.clone(), job.clone());
@@ -77,28 +77,28 @@
             let item = &specification.items[position];
             let result = item_run::run(&gateway, &job, &specification, item, text).await;
             job.log.borrow_mut().add(result);
-            job.result_waits.notify(usize::MAX);
+            job.result_pending.notify(usize::MAX);
         }));
     }
     for task in tasks {
         task.await;
     }
     loop {
-        let grew = job.grew.listen();
+        let log_changed = job.log_changed.listen();
         if job.is_complete() {
             return;
         }
-        grew.await;
+        log_changed.await;
     }
 }
 
 /// Reads a job's specification and the results that it has so far.
-async fn load(gateway: &Gateway, job: &Job) -> Rc<JobSpecification> {
+async fn load_job(gateway: &Gateway, job: &Job) -> Rc<JobSpecification> {
     let mut failures = 0;
     loop {
         let loaded = async {
-            let specification = specification(gateway, job).await?;
-            *job.texts.borrow_mut() = Texts::new(specification.items.len());
+            let specification = load_specification(gateway, job).await?;
+            *job.texts.borrow_mut() = JobTexts::new(specification.items.len());
             // A job that was handed in a moment ago has no results yet.
             if !job.is_new.get() {
                 appender::catch_up(gateway, job).await?;
@@ -119,7 +119,7 @@
 }
 
 /// A job's specification, read from the store unless it is known.
-pub async fn specification(
+pub async fn load_specification(
     gateway: &Gateway,
     job: &Job,
 ) -> Result<Rc<JobSpecification>, StoreError> {
--- a/crates/heronbend-gateway/src/batch/schedule.rs
+++ b/crates/heronbend-gateway/src/batch/schedule.rs
@@ -8,11 +8,11 @@
 use super::specification::Item;
 
 /// Positions of `items` in the order in which they are begun.
-pub fn begin_order(items: &[Item]) -> Vec<usize> {
+pub fn start_order(items: &[Item]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..items.len()).collect();
     order.sort_by_key(|&position| {
         let item = &items[position];
-        (Reverse(item.expected_output()), position)
+        (Reverse(item.expected_output_tokens()), position)
     });
     order
 }
--- a/crates/heronbend-gateway/src/batch/specification.rs
+++ b/crates/heronbend-gateway/src/batch/specification.rs
@@ -27,7 +27,7 @@
 
 impl JobSpecification {
     /// Groups all of whose items fulfil a condition.
-    pub fn whole_groups(&self, fulfils: impl Fn(&str) -> bool) -> usize {
+    pub fn complete_groups(&self, fulfils: impl Fn(&str) -> bool) -> usize {
         let mut groups: HashMap<&str, bool> = HashMap::new();
         for item in &self.items {
             let group = item.group.as_deref().unwrap_or(&item.id);
@@ -73,7 +73,7 @@
 
 impl Item {
     /// Tokens that are expected to come out.
-    pub fn expected_output(&self) -> u64 {
+    pub fn expected_output_tokens(&self) -> u64 {
         self.expected_tokens.unwrap_or(self.tokens)
     }
 
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -13,14 +13,14 @@
 use serde_json::json;
 use smol::Timer;
 
-use super::adoption::Reason;
+use super::adoption::AdoptionReason;
+use super::owner_selection;
+use super::owner_selection::ModelOwner;
 use super::ownership::Ownership;
-use super::ownership_duty;
+use super::ownership_manager;
 use super::registry::{OWNERSHIPS, SPECIFICATIONS};
-use super::runner::start_own_jobs;
+use super::runner::start_owned_jobs;
 use super::specification::{is_base64, JobSpecification};
-use super::succession;
-use super::succession::Tenure;
 use crate::access;
 use crate::gateway::Gateway;
 use crate::homes;
@@ -33,51 +33,51 @@
 
 /// Why a job was not taken in.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HandInError {
+pub enum SubmitError {
     /// It is not well formed.
     Malformed(String),
     /// It is larger than the store takes.
     TooLarge,
     /// Nothing of it runs, now or later.
-    NotTaken,
+    Unavailable,
     /// Its identifier is that of another tenant's job.
-    Taken,
+    IdInUse,
     /// It may have been taken in.
     Unknown,
 }
 
-impl HandInError {
+impl SubmitError {
     /// The status that tells a caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::NotTaken => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Taken => StatusCode::CONFLICT,
+            Self::Unavailable => StatusCode::SERVICE_UNAVAILABLE,
+            Self::IdInUse => StatusCode::CONFLICT,
             Self::Unknown => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 }
 
 /// Takes a job in; when this returns without an error, all of it is kept and will be run.
-pub async fn hand_in(
+pub async fn submit(
     gateway: &Rc<Gateway>,
     specification: JobSpecification,
-    give_up_at: Moment,
-) -> Result<(), HandInError> {
+    deadline: Moment,
+) -> Result<(), SubmitError> {
     if let Some(job) = gateway.jobs.get(&specification.id) {
-        let is_same = job.ownership.borrow().0.tenant == specification.tenant;
-        return is_same.then_some(()).ok_or(HandInError::Taken);
+        let is_same_tenant = job.ownership.borrow().0.tenant == specification.tenant;
+        return is_same_tenant.then_some(()).ok_or(SubmitError::IdInUse);
     }
-    check(&specification)?;
+    validate(&specification)?;
     let content = json!(specification);
     if content.to_string().len() + OBJECT_OVERHEAD > gateway.tuning().max_object_bytes {
-        return Err(HandInError::TooLarge);
+        return Err(SubmitError::TooLarge);
     }
-    let homes = homes_of(gateway, &specification);
-    if gateway.job_candidates(homes.as_ref()).is_empty() {
-        log::warn!("event=job_without_home job={} homes={homes:?}", specification.id);
-        return Err(HandInError::NotTaken);
+    let allowed_regions = allowed_regions(gateway, &specification);
+    if gateway.job_candidates(allowed_regions.as_ref()).is_empty() {
+        log::warn!("event=job_without_home job={} homes={allowed_regions:?}", specification.id);
+        return Err(SubmitError::Unavailable);
     }
     let mut is_in_doubt = false;
     let mut failures = 0;
@@ -86,8 +86,8 @@
             Ok(_) => break,
             // Handed in before, here or at another daemon.
             Err(StoreError::Conflict(object)) => {
-                if object.is_some_and(|object| is_of_another(&object, &specification)) {
-                    return Err(HandInError::Taken);
+                if object.is_some_and(|object| is_of_other_tenant(&object, &specification)) {
+                    return Err(SubmitError::IdInUse);
                 }
                 break;
             }
@@ -101,16 +101,16 @@
             }
         }
         let rest = backoff(failures);
-        if gateway.now() + rest >= give_up_at {
-            return Err(if is_in_doubt { HandInError::Unknown } else { HandInError::NotTaken });
+        if gateway.now() + rest >= deadline {
+            return Err(if is_in_doubt { SubmitError::Unknown } else { SubmitError::Unavailable });
         }
         Timer::after(rest).await;
     }
-    own(gateway, Rc::new(specification), give_up_at).await
+    create_ownership(gateway, Rc::new(specification), deadline).await
 }
 
 /// Whether a job in the store belongs to another tenant than `specification`.
-fn is_of_another(object: &Object, specification: &JobSpecification) -> bool {
+fn is_of_other_tenant(object: &Object, specification: &JobSpecification) -> bool {
     match serde_json::from_value::<JobSpecification>(object.content.clone()) {
         Ok(known) => known.tenant != specification.tenant,
         Err(error) => {
@@ -120,49 +120,55 @@
     }
 }
 
-fn check(specification: &JobSpecification) -> Result<(), HandInError> {
-    let mut findings = Vec::new();
+fn validate(specification: &JobSpecification) -> Result<(), SubmitError> {
+    let mut problems = Vec::new();
     if specification.items.is_empty() {
-        findings.push("there are no items".to_owned());
+        problems.push("there are no items".to_owned());
     }
     for item in &specification.items {
         if !is_base64(&item.body) {
-            findings.push(format!("item {}: the body is not base64", item.id));
+            problems.push(format!("item {}: the body is not base64", item.id));
         }
         if item.path.parse::<http::Uri>().is_err() {
-            findings.push(format!("item {}: the path is malformed", item.id));
+            problems.push(format!("item {}: the path is malformed", item.id));
         }
     }
-    if findings.is_empty() {
+    if problems.is_empty() {
         Ok(())
     } else {
-        Err(HandInError::Malformed(findings.join("; ")))
+        Err(SubmitError::Malformed(problems.join("; ")))
     }
 }
 
 /// Makes the job's ownership. From then on it is run, whatever becomes of this daemon.
-async fn own(
+async fn create_ownership(
     gateway: &Rc<Gateway>,
     specification: Rc<JobSpecification>,
-    give_up_at: Moment,
-) -> Result<(), HandInError> {
-    let homes = homes_of(gateway, &specification);
-    let owner = new_owner(gateway, &specification, homes.as_ref());
-    let ownership = Ownership::new(&specification, owner, homes);
+    deadline: Moment,
+) -> Result<(), SubmitError> {
+    let allowed_regions = allowed_regions(gateway, &specification);
+    let owner = choose_owner(gateway, &specification, allowed_regions.as_ref());
+    let ownership = Ownership::new(&specification, owner, allowed_regions);
     let content = json!(ownership);
     let mut failures = 0;
     loop {
         match gateway.store.create(OWNERSHIPS, &specification.id, content.clone()).await {
             Ok(object) => {
                 gateway.metrics.jobs_accepted.inc();
-                ownership_duty::tell(gateway, &specification.id, &ownership, object.revision, true);
-                start(gateway, ownership, object.revision, specification);
+                ownership_manager::announce(
+                    gateway,
+                    &specification.id,
+                    &ownership,
+                    object.revision,
+                    true,
+                );
+                dispatch(gateway, ownership, object.revision, specification);
                 return Ok(());
             }
             Err(StoreError::Conflict(object)) => {
                 if let Some(object) = object {
-                    gateway.jobs.learn_object(&object);
-                    start_own_jobs(gateway);
+                    gateway.jobs.upsert_object(&object);
+                    start_owned_jobs(gateway);
                 }
                 return Ok(());
             }
@@ -175,15 +181,15 @@
             }
         }
         let rest = backoff(failures);
-        if gateway.now() + rest >= give_up_at {
-            return Err(HandInError::Unknown);
+        if gateway.now() + rest >= deadline {
+            return Err(SubmitError::Unknown);
         }
         Timer::after(rest).await;
     }
 }
 
 /// Has a job that was handed in a moment ago run by its owner.
-fn start(
+fn dispatch(
     gateway: &Rc<Gateway>,
     ownership: Ownership,
     revision: Revision,
@@ -193,11 +199,11 @@
         run_here(gateway, ownership, revision, Rc::unwrap_or_clone(specification), true);
         return;
     }
-    let job = gateway.jobs.learn(&specification.id, ownership.clone(), revision);
+    let job = gateway.jobs.upsert(&specification.id, ownership.clone(), revision);
     *job.specification.borrow_mut() = Some(specification.clone());
     let executor = gateway.executor.clone();
     let gateway = gateway.clone();
-    let asking = async move {
+    let request_run = async move {
         let owner = ownership.owner.clone();
         let specification = JobSpecification::clone(&specification);
         let ownership = Box::new(ownership);
@@ -205,10 +211,10 @@
         let reply = client::call(&gateway, &owner, &request, Duration::ZERO).await;
         log::info!("event=job_passed_on job={} owner={owner} reply={reply:?}", job.id);
         if reply != Some(PeerReply::Running) {
-            ownership_duty::adopt(&gateway, &job, Reason::Refused).await;
+            ownership_manager::adopt(&gateway, &job, AdoptionReason::Refused).await;
         }
     };
-    executor.spawn(asking).detach();
+    executor.spawn(request_run).detach();
 }
 
 /// Runs a job that has no results yet.
@@ -217,39 +223,44 @@
     ownership: Ownership,
     revision: Revision,
     specification: JobSpecification,
-    is_local: bool,
+    is_submitted_here: bool,
 ) -> PeerReply {
     // For a job that was handed in at this daemon itself there is nobody to refuse to.
-    let is_fit = !gateway.draining.get() && gateway.store.is_reached();
-    if ownership.owner != gateway.identity.node || !(is_fit || is_local) {
+    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reached();
+    if ownership.owner != gateway.identity.node || !(accepts_jobs || is_submitted_here) {
         return PeerReply::NotOwner;
     }
-    let job = gateway.jobs.learn(&specification.id, ownership, revision);
+    let job = gateway.jobs.upsert(&specification.id, ownership, revision);
     *job.specification.borrow_mut() = Some(Rc::new(specification));
     job.is_new.set(true);
-    job.passed_on_until.set(None);
-    start_own_jobs(gateway);
+    job.handoff_deadline.set(None);
+    start_owned_jobs(gateway);
     PeerReply::Running
 }
 
 /// Who runs a job. The jobs of one model are run by one daemon, where that is possible: it knows
 /// what it has sent to each server, and its connections serve one step after the other.
-fn new_owner(
+fn choose_owner(
     gateway: &Gateway,
     specification: &JobSpecification,
-    homes: Option<&BTreeSet<String>>,
+    allowed_regions: Option<&BTreeSet<String>>,
 ) -> NodeId {
-    let me = gateway.identity.node.clone();
-    let candidates = gateway.job_candidates(homes);
+    let this_node = gateway.identity.node.clone();
+    let candidates = gateway.job_candidates(allowed_regions);
     let chosen = match &specification.step {
-        Some(step) => succession::owner(&step.model, &candidates, &tenures(gateway)),
-        None => succession::line(&specification.id, &candidates).into_iter().next(),
+        Some(step) => {
+            owner_selection::select_owner(&step.model, &candidates, &model_owners(gateway))
+        }
+        None => owner_selection::takeover_order(&specification.id, &candidates).into_iter().next(),
     };
-    chosen.unwrap_or(me)
+    chosen.unwrap_or(this_node)
 }
 
 /// The regions in which a job may run.
-fn homes_of(gateway: &Gateway, specification: &JobSpecification) -> Option<BTreeSet<String>> {
+fn allowed_regions(
+    gateway: &Gateway,
+    specification: &JobSpecification,
+) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
     let route = configuration.route(&specification.host, &specification.path)?;
     let owner = access::owner_of_job(&configuration, specification.tenant.as_deref());
@@ -257,19 +268,19 @@
 }
 
 /// Who runs the newest job of each model.
-fn tenures(gateway: &Gateway) -> Vec<Tenure> {
+fn model_owners(gateway: &Gateway) -> Vec<ModelOwner> {
     let mut newest: BTreeMap<String, (Moment, NodeId)> = BTreeMap::new();
     for job in gateway.jobs.all() {
         let Some(model) = job.ownership.borrow().0.model.clone() else {
             continue;
         };
         let is_newer =
-            newest.get(&model).is_none_or(|(known_since, _)| *known_since <= job.known_since);
+            newest.get(&model).is_none_or(|(first_seen, _)| *first_seen <= job.first_seen);
         if is_newer {
-            newest.insert(model, (job.known_since, job.owner()));
+            newest.insert(model, (job.first_seen, job.owner()));
         }
     }
-    newest.into_iter().map(|(model, (_, owner))| Tenure { model, owner }).collect()
+    newest.into_iter().map(|(model, (_, owner))| ModelOwner { model, owner }).collect()
 }
 
 /// Why a job could not be ended.
@@ -286,7 +297,7 @@
     gateway: &Rc<Gateway>,
     id: &str,
     caller: &Caller,
-    give_up_at: Moment,
+    deadline: Moment,
 ) -> Result<(), EndError> {
     let mut failures = 0;
     loop {
@@ -295,7 +306,7 @@
             Ok(false) => return Err(EndError::NoSuchJob),
             // It changed hands meanwhile: the newer ownership is known now.
             Err(StoreError::Conflict(Some(object))) => {
-                gateway.jobs.learn_object(&object);
+                gateway.jobs.upsert_object(&object);
                 failures += 1;
             }
             Err(error) => {
@@ -304,7 +315,7 @@
             }
         }
         let rest = backoff(failures);
-        if gateway.now() + rest >= give_up_at {
+        if gateway.now() + rest >= deadline {
             return Err(EndError::Unavailable);
         }
         Timer::after(rest).await;
@@ -316,11 +327,11 @@
     let job = match gateway.jobs.get(id) {
         Some(job) => job,
         None => match gateway.store.get(OWNERSHIPS, id).await? {
-            Some(object) => match gateway.jobs.learn_object(&object) {
+            Some(object) => match gateway.jobs.upsert_object(&object) {
                 Some(job) => job,
                 None => return Err(StoreError::Malformed("ownership".to_owned())),
             },
-            None => return end_before_owned(gateway, id, caller).await,
+            None => return end_unowned(gateway, id, caller).await,
         },
     };
     if !job.is_visible_to(caller) {
@@ -338,18 +349,14 @@
     let ownership = Ownership { ended: true, ..ownership };
     let content = json!(ownership);
     let object = gateway.store.replace(OWNERSHIPS, id, content, Condition::At(revision)).await?;
-    gateway.jobs.learn_object(&object);
+    gateway.jobs.upsert_object(&object);
     // Its owner stops at once, and nobody takes it for a job that lacks one later.
-    ownership_duty::tell(gateway, id, &ownership, object.revision, false);
+    ownership_manager::announce(gateway, id, &ownership, object.revision, false);
     Ok(true)
 }
 
 /// Ends a job that was written but never acknowledged.
-async fn end_before_owned(
-    gateway: &Rc<Gateway>,
-    id: &str,
-    caller: &Caller,
-) -> Result<bool, StoreError> {
+async fn end_unowned(gateway: &Rc<Gateway>, id: &str, caller: &Caller) -> Result<bool, StoreError> {
     let Some(object) = gateway.store.get(SPECIFICATIONS, id).await? else {
         return Ok(false);
     };
@@ -358,12 +365,12 @@
     if !caller.may_see(specification.tenant.as_deref()) {
         return Ok(false);
     }
-    let homes = homes_of(gateway, &specification);
-    let ownership = Ownership::new(&specification, gateway.identity.node.clone(), homes);
+    let allowed_regions = allowed_regions(gateway, &specification);
+    let ownership = Ownership::new(&specification, gateway.identity.node.clone(), allowed_regions);
     let ownership = Ownership { ended: true, ..ownership };
     let object = gateway.store.create(OWNERSHIPS, id, json!(ownership)).await?;
-    gateway.jobs.learn_object(&object);
-    ownership_duty::tell(gateway, id, &ownership, object.revision, false);
+    gateway.jobs.upsert_object(&object);
+    ownership_manager::announce(gateway, id, &ownership, object.revision, false);
     Ok(true)
 }
 
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -15,8 +15,8 @@
 
 use crate::access;
 use crate::access::Refusal;
-use crate::batch::hand_in::{self, EndError, HandInError};
-use crate::batch::reading::{self, ReadError};
+use crate::batch::results_reader::{self, ReadError};
+use crate::batch::submission::{self, EndError, SubmitError};
 use crate::configuration::{Configuration, Route, RouteKind};
 use crate::duties::billing::Billing;
 use crate::exchange::Outgoing;
@@ -85,15 +85,15 @@
         Call::ReadResults { job, from } => {
             let wait = headers::millis(&head.headers, &gateway.dialect.headers().wait_millis);
             let wait = wait.unwrap_or_default().min(MAX_WAIT);
-            let page = reading::results(gateway, &job, &caller, from, arrived + wait).await;
+            let page = results_reader::results(gateway, &job, &caller, from, arrived + wait).await;
             ("read_results".to_owned(), read_answer(gateway, &job, from, page))
         }
         Call::ReadItem { job, item } => {
-            let body = reading::item(gateway, &job, &caller, &item).await;
+            let body = results_reader::item(gateway, &job, &caller, &item).await;
             ("read_item".to_owned(), item_answer(&job, &item, body))
         }
         Call::EndJob { job } => {
-            let ended = hand_in::end(gateway, &job, &caller, arrived + STORE_PATIENCE).await;
+            let ended = submission::end(gateway, &job, &caller, arrived + STORE_PATIENCE).await;
             log::info!(
                 "event=job_end_asked job={job} outcome={ended:?} ms={}",
                 gateway.now().saturating_sub(arrived).as_millis()
@@ -151,7 +151,7 @@
         }
     };
     let answer = if route.kind == RouteKind::Rollout {
-        hand_in_job(gateway, id, &caller, &head, &bytes, arrived).await
+        submit_job(gateway, id, &caller, &head, &bytes, arrived).await
     } else {
         let request = Accepted { head, body: bytes, hold, caller, arrived };
         pass_on(gateway, id, request, &route, &configuration).await
@@ -401,7 +401,7 @@
     not_run_until("requests like this one ended the servers that ran them", refused.come_back)
 }
 
-async fn hand_in_job(
+async fn submit_job(
     gateway: &Rc<Gateway>,
     id: &str,
     caller: &Caller,
@@ -421,7 +421,7 @@
     specification.path = head.uri.path().to_owned();
     specification.tenant = caller.tenant().map(str::to_owned);
     let (items, step) = (specification.items.len(), specification.step.clone());
-    let taken = hand_in::hand_in(gateway, specification, arrived + STORE_PATIENCE).await;
+    let taken = submission::submit(gateway, specification, arrived + STORE_PATIENCE).await;
     log::info!(
         "event=job_handed_in job={id} tenant={} items={items} step={} outcome={taken:?} ms={}",
         caller.tenant().unwrap_or("none"),
@@ -436,7 +436,7 @@
     );
     match taken {
         Ok(()) => text_answer(StatusCode::ACCEPTED, "accepted"),
-        Err(HandInError::NotTaken) => not_run("not taken"),
+        Err(SubmitError::Unavailable) => not_run("not taken"),
         Err(error) => text_answer(error.status(), "not accepted"),
     }
 }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -256,9 +256,9 @@
 /// Time that a trainer's step has taken, if it is under way or ended a moment ago.
 fn step_time(job: &Job, now: Moment) -> Option<Duration> {
     job.ownership.borrow().0.model.as_ref()?;
-    match job.ended_since.get() {
+    match job.ended_at.get() {
         Some(ended) if now.saturating_sub(ended) > RECENT => None,
-        Some(ended) => Some(ended.saturating_sub(job.known_since)),
-        None => Some(now.saturating_sub(job.known_since)),
+        Some(ended) => Some(ended.saturating_sub(job.first_seen)),
+        None => Some(now.saturating_sub(job.first_seen)),
     }
 }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -23,10 +23,10 @@
 use rand::Rng;
 use smol::LocalExecutor;
 
-use crate::batch::crowd::Crowd;
-use crate::batch::gate::Gate;
-use crate::batch::length::Lengths;
-use crate::batch::moves::MoveCost;
+use crate::batch::in_flight::InFlightCalls;
+use crate::batch::length_estimate::LengthEstimator;
+use crate::batch::migration::MigrationCost;
+use crate::batch::read_pacing::ReadPacer;
 use crate::batch::registry::JobRegistry;
 use crate::clock::Clock;
 use crate::configuration::Configuration;
@@ -151,13 +151,13 @@
     /// The other daemons.
     pub members: Peers,
     /// How long texts become.
-    pub lengths: RefCell<Lengths>,
+    pub length_estimator: RefCell<LengthEstimator>,
     /// What it costs to move a text.
-    pub move_cost: RefCell<MoveCost>,
+    pub migration_cost: RefCell<MigrationCost>,
     /// Texts of items that are read here.
-    pub crowd: Crowd,
+    pub read_pacer: ReadPacer,
     /// Reward calls under way.
-    pub reward_gate: Gate,
+    pub reward_calls: InFlightCalls,
     /// Batch jobs.
     pub jobs: JobRegistry,
     /// What tenants use, where that is to be reported.
@@ -248,10 +248,10 @@
             evacuated: RefCell::default(),
             draining: Cell::new(false),
             members: Peers::default(),
-            lengths: RefCell::default(),
-            move_cost: RefCell::default(),
-            crowd: Crowd::default(),
-            reward_gate: Gate::default(),
+            length_estimator: RefCell::default(),
+            migration_cost: RefCell::default(),
+            read_pacer: ReadPacer::default(),
+            reward_calls: InFlightCalls::default(),
             jobs: JobRegistry::new({
                 let clock = clock.clone();
                 move || clock.now()
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -19,7 +19,7 @@
 use super::messages::{Datagram, Hint, PeerReply, PeerRequest};
 use super::view_log::ViewLog;
 use super::{introduction, store_relay, Command};
-use crate::batch::{hand_in, ownership_duty, reading};
+use crate::batch::{ownership_manager, results_reader, submission};
 use crate::clock::steady_now;
 use crate::clock::SuspensionWatch;
 use crate::dissemination;
@@ -183,7 +183,7 @@
         gateway.share_servers();
         permits::note_members(gateway);
         if self.has_lost {
-            ownership_duty::note_lost(gateway);
+            ownership_manager::on_member_lost(gateway);
         }
         *self = Self { last: now, ..Self::default() };
     }
@@ -264,7 +264,7 @@
             }
         }
         Hint::JobOwned { job, ownership, revision, is_new } => {
-            ownership_duty::take_hint(gateway, &job, ownership, revision, is_new);
+            ownership_manager::apply_hint(gateway, &job, ownership, revision, is_new);
         }
     }
 }
@@ -302,7 +302,7 @@
     };
     let reply = match request {
         PeerRequest::RunJob { ownership, revision, specification } => {
-            hand_in::run_here(&gateway, *ownership, revision, specification, false)
+            submission::run_here(&gateway, *ownership, revision, specification, false)
         }
         PeerRequest::Store(call) => PeerReply::Store(store_relay::answer(&gateway, call).await),
         PeerRequest::Follow { kind, since, wait_millis, checks } => {
@@ -316,13 +316,13 @@
             introduction::answer(&gateway, wanted)
         }
         PeerRequest::ConfirmOwner { job, revision } => {
-            ownership_duty::confirm_owner(&gateway, &job, revision)
+            ownership_manager::confirm_owner(&gateway, &job, revision)
         }
         PeerRequest::Borrow { server, permits } => permits::answer(&gateway, &server, permits),
         PeerRequest::Isolate { server, is_over } => isolation::answer(&gateway, &server, is_over),
         PeerRequest::ReadResults { job, from, wait_millis } => {
             let wait = Duration::from_millis(wait_millis);
-            reading::answer_peer(&gateway, &job, from, wait).await
+            results_reader::answer_peer(&gateway, &job, from, wait).await
         }
     };
     encode(&reply)
--- a/crates/heronbend-gateway/src/peers/introduction.rs
+++ b/crates/heronbend-gateway/src/peers/introduction.rs
@@ -26,7 +26,7 @@
 use super::PeerRequest;
 use super::Untelling;
 use crate::batch::registry::Job;
-use crate::batch::runner::start_own_jobs;
+use crate::batch::runner::start_owned_jobs;
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::mirror::KnownObjects;
@@ -278,9 +278,9 @@
 
 fn learn_jobs(gateway: &Rc<Gateway>, jobs: Vec<JobEntry>) {
     for JobEntry { job, ownership, revision } in jobs {
-        gateway.jobs.learn(&job, ownership, revision);
+        gateway.jobs.upsert(&job, ownership, revision);
     }
-    start_own_jobs(gateway);
+    start_owned_jobs(gateway);
 }
 
 /// What this daemon tells another one.
@@ -303,7 +303,7 @@
     PeerReply::Introduced {
         members: if wanted.members { gateway.members.all() } else { Vec::new() },
         jobs: gateway.jobs.all().into_iter().map(entry).collect(),
-        knows_jobs: gateway.jobs.is_listed.get(),
+        knows_jobs: gateway.jobs.is_loaded.get(),
         lease: gateway.versions.lease.told().map(renewal),
         duty_lease: gateway.duty_lease.told().map(renewal),
         suspects: news::reports(gateway),
--- a/crates/heronbend-gateway/src/relayed_store.rs
+++ b/crates/heronbend-gateway/src/relayed_store.rs
@@ -10,8 +10,8 @@
 use rand::seq::IndexedRandom;
 use serde_json::Value;
 
-use crate::batch::checkpoint::PROGRESS;
-use crate::batch::registry::RESULTS;
+use crate::batch::checkpoint::CHECKPOINTS_KIND_PREFIX;
+use crate::batch::registry::RESULTS_KIND_PREFIX;
 use crate::clock::Clock;
 use crate::gateway::Gateway;
 use crate::metrics::Metrics;
@@ -167,7 +167,7 @@
 
 /// What a call is for: its kind, without the job that some kinds are made for.
 fn purpose(kind: &str) -> &str {
-    let of_jobs = [RESULTS, PROGRESS];
+    let of_jobs = [RESULTS_KIND_PREFIX, CHECKPOINTS_KIND_PREFIX];
     of_jobs.into_iter().find(|prefix| kind.starts_with(prefix)).unwrap_or(kind)
 }
 
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -13,7 +13,7 @@
 use smol::{LocalExecutor, Timer};
 use thiserror::Error;
 
-use crate::batch::ownership_duty;
+use crate::batch::ownership_manager;
 use crate::configuration::Configuration;
 use crate::configuration::Finding;
 use crate::directory::Run;
@@ -227,8 +227,8 @@
     spawn(Box::pin(peers::introduction::run(gateway.clone())));
     spawn(Box::pin(mirror::probe_store(gateway.clone())));
     spawn(Box::pin(log_counts(gateway.clone())));
-    spawn(Box::pin(ownership_duty::follow(gateway.clone())));
-    spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
+    spawn(Box::pin(ownership_manager::follow(gateway.clone())));
+    spawn(Box::pin(ownership_manager::adopt_orphans(gateway.clone())));
     spawn(Box::pin(versions::named::follow_versions(gateway.clone())));
     spawn(Box::pin(versions::duty::run(gateway.clone())));
     start_provider_duties(gateway);
--- a/crates/heronbend-gateway/src/versions/named.rs
+++ b/crates/heronbend-gateway/src/versions/named.rs
@@ -46,7 +46,7 @@
                 let now = self.0.now();
                 let is_news = self.0.versions.name(now, &named.model, named.version);
                 if let Some(job) = newest_job(&self.0, &named.model).filter(|_| is_news) {
-                    self.0.versions.step_took(&named.model, now.saturating_sub(job.known_since));
+                    self.0.versions.step_took(&named.model, now.saturating_sub(job.first_seen));
                 }
             }
             Err(error) => log::warn!("event=version_malformed error=\"{error}\""),
@@ -62,7 +62,7 @@
 pub(super) fn newest_job(gateway: &Gateway, model: &str) -> Option<Rc<Job>> {
     let jobs = gateway.jobs.all().into_iter();
     jobs.filter(|job| job.ownership.borrow().0.model.as_deref() == Some(model))
-        .max_by_key(|job| job.known_since)
+        .max_by_key(|job| job.first_seen)
 }
 
 /// Follows the versions that trainers name, while this daemon is among the first in line for the
@@ -103,7 +103,9 @@
 pub(super) fn candidates(gateway: &Gateway) -> Vec<NodeId> {
     let mut line = gateway.members.alive();
     line.push(gateway.identity.node.clone());
-    line.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object(), node)));
+    line.sort_by_cached_key(|node| {
+        Reverse(ownership::rendezvous_weight(LeaseName::Orders.object(), node))
+    });
     line.truncate(CANDIDATES);
     line
 }
@@ -114,5 +116,5 @@
     let mut line: Vec<NodeId> = gateway.members.alive();
     line.push(me.clone());
     line.retain(|node| Some(&node.name) != holder);
-    ownership::place_in_line(LeaseName::Orders.object(), me, &line)
+    ownership::takeover_position(LeaseName::Orders.object(), me, &line)
 }
--- a/crates/heronbend-gateway/tests/adoption.rs
+++ b/crates/heronbend-gateway/tests/adoption.rs
@@ -7,9 +7,9 @@
 
 use heronbend::identity::{Incarnation, NodeId};
 use heronbend::membership::Liveness;
-use heronbend_gateway::batch::adoption::{self, Reason};
-use heronbend_gateway::batch::ownership::{place_in_line, Ownership};
-use heronbend_gateway::batch::ownership_duty;
+use heronbend_gateway::batch::adoption::{self, AdoptionReason};
+use heronbend_gateway::batch::ownership::{takeover_position, Ownership};
+use heronbend_gateway::batch::ownership_manager;
 use heronbend_gateway::peers::{PeerReply, Peers, Standing};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,11 +20,17 @@
 
 #[test]
 fn an_owner_that_nothing_is_known_of_is_not_lost_at_once() {
-    assert_eq!(adoption::reason(Standing::Unknown, SECOND, 0), None);
-    assert_eq!(adoption::reason(Standing::Unknown, 5 * SECOND, 0), Some(Reason::Unknown));
-    assert_eq!(adoption::reason(Standing::Ended, Duration::ZERO, 0), Some(Reason::Ended));
-    assert_eq!(adoption::reason(Standing::Silent, Duration::ZERO, 1), None);
-    assert_eq!(adoption::reason(Standing::Alive, 99 * SECOND, 0), None);
+    assert_eq!(adoption::reason_for_position(Standing::Unknown, SECOND, 0), None);
+    assert_eq!(
+        adoption::reason_for_position(Standing::Unknown, 5 * SECOND, 0),
+        Some(AdoptionReason::Unknown)
+    );
+    assert_eq!(
+        adoption::reason_for_position(Standing::Ended, Duration::ZERO, 0),
+        Some(AdoptionReason::Ended)
+    );
+    assert_eq!(adoption::reason_for_position(Standing::Silent, Duration::ZERO, 1), None);
+    assert_eq!(adoption::reason_for_position(Standing::Alive, 99 * SECOND, 0), None);
 }
 
 #[test]
@@ -51,16 +57,16 @@
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            assert_eq!(ownership_duty::confirm_owner(&gateway, "j", 1), PeerReply::NotOwner);
+            assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 1), PeerReply::NotOwner);
             let ownership = Ownership::new(&job("j", 1), gateway.identity.node.clone(), None);
-            let job = gateway.jobs.learn("j", ownership.clone(), 1);
-            assert_eq!(ownership_duty::confirm_owner(&gateway, "j", 1), PeerReply::NotOwner);
+            let job = gateway.jobs.upsert("j", ownership.clone(), 1);
+            assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 1), PeerReply::NotOwner);
             job.running.set(true);
-            assert_eq!(ownership_duty::confirm_owner(&gateway, "j", 1), PeerReply::Running);
+            assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 1), PeerReply::Running);
             // The asker knows of a newer ownership than this daemon.
-            assert_eq!(ownership_duty::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
-            gateway.jobs.learn("j", Ownership { owner: node("b"), ..ownership }, 2);
-            assert_eq!(ownership_duty::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
+            assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
+            gateway.jobs.upsert("j", Ownership { owner: node("b"), ..ownership }, 2);
+            assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
         })
     });
 }
@@ -140,13 +146,13 @@
             .filter(|other| *other == me || self.standing(me, *other) == Standing::Alive)
             .map(|other| self.names[other].clone())
             .collect();
-        let place = place_in_line("job", &self.names[me], &alive);
-        let Some(reason) = adoption::reason(standing, self.now - since, place) else {
+        let place = takeover_position("job", &self.names[me], &alive);
+        let Some(reason) = adoption::reason_for_position(standing, self.now - since, place) else {
             return;
         };
         let answers = !self.dead[owner] && owner == self.owner;
         let knows_newest = owner == self.owner;
-        if (reason.may_be_wrong() && answers) || !knows_newest {
+        if (reason.needs_confirmation() && answers) || !knows_newest {
             // The owner says that it runs the job, or the store that another owner was written.
             self.known[me] = (self.owner, None);
             return;
--- a/crates/heronbend-gateway/tests/batch.rs
+++ b/crates/heronbend-gateway/tests/batch.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use heronbend_gateway::batch::event_stream::{EventReader, ItemText, StreamError};
-use heronbend_gateway::batch::ownership::place_in_line;
 use heronbend_gateway::batch::ownership::successor;
-use heronbend_gateway::batch::schedule::begin_order;
+use heronbend_gateway::batch::ownership::takeover_position;
+use heronbend_gateway::batch::schedule::start_order;
 use heronbend_gateway::batch::ResultLog;
 use support::{item, node, result};
 
@@ -20,9 +20,9 @@
     let mut log = ResultLog::default();
     log.add(result("a"));
     assert!(log.page(0).is_empty());
-    let chunk = log.start_writing().unwrap();
+    let chunk = log.start_write().unwrap();
     assert!(log.page(0).is_empty());
-    assert!(log.settle(chunk.number, chunk.results));
+    assert!(log.commit(chunk.number, chunk.results));
     assert_eq!(items(&log), ["a"]);
 }
 
@@ -30,12 +30,12 @@
 fn no_second_chunk_is_begun_while_one_is_in_doubt() {
     let mut log = ResultLog::default();
     log.add(result("a"));
-    let first = log.start_writing().unwrap();
+    let first = log.start_write().unwrap();
     log.add(result("b"));
-    assert!(log.start_writing().is_none());
+    assert!(log.start_write().is_none());
     log.write_failed(true);
     assert!(log.is_in_doubt());
-    let again = log.start_writing().unwrap();
+    let again = log.start_write().unwrap();
     assert_eq!(again.number, first.number);
 }
 
@@ -44,40 +44,40 @@
     let mut log = ResultLog::default();
     log.add(result("a"));
     log.add(result("b"));
-    let mine = log.start_writing().unwrap();
+    let mine = log.start_write().unwrap();
     // Another daemon, which ran the job meanwhile, has written this number first.
-    log.settle(mine.number, vec![Rc::new(result("b")), Rc::new(result("c"))]);
+    log.commit(mine.number, vec![Rc::new(result("b")), Rc::new(result("c"))]);
     assert_eq!(items(&log), ["b", "c"]);
-    let next = log.start_writing().unwrap();
+    let next = log.start_write().unwrap();
     assert_eq!(next.number, 1);
     assert_eq!(next.results.len(), 1);
-    log.settle(next.number, next.results);
+    log.commit(next.number, next.results);
     assert_eq!(items(&log), ["b", "c", "a"]);
 }
 
 #[test]
 fn a_chunk_after_a_gap_is_not_taken_in() {
     let mut log = ResultLog::default();
-    assert!(!log.settle(1, vec![Rc::new(result("a"))]));
+    assert!(!log.commit(1, vec![Rc::new(result("a"))]));
     assert!(log.is_empty());
 }
 
 #[test]
 fn an_item_with_a_result_gets_no_second_one() {
     let mut log = ResultLog::default();
-    log.settle(0, vec![Rc::new(result("a"))]);
+    log.commit(0, vec![Rc::new(result("a"))]);
     log.add(result("a"));
-    assert!(log.start_writing().is_none());
+    assert!(log.start_write().is_none());
 }
 
 #[test]
 fn a_reader_that_has_some_results_gets_the_others_once() {
     let mut owner = ResultLog::default();
     for (number, name) in ["a", "b", "c"].iter().enumerate() {
-        owner.settle(number as u32, vec![Rc::new(result(name))]);
+        owner.commit(number as u32, vec![Rc::new(result(name))]);
     }
     let mut reader = ResultLog::default();
-    reader.settle(0, vec![Rc::new(result("a"))]);
+    reader.commit(0, vec![Rc::new(result("a"))]);
     reader.extend(owner.page(1), owner.chunks());
     // A late answer to an earlier question changes nothing.
     reader.extend(owner.page(0)[..2].to_vec(), 2);
@@ -91,7 +91,7 @@
     let mut log = ResultLog::default();
     let mut large = result("large");
     large.text = "x".repeat(2_000_000);
-    log.settle(0, vec![Rc::new(large), Rc::new(result("small"))]);
+    log.commit(0, vec![Rc::new(large), Rc::new(result("small"))]);
     assert_eq!(log.page(0).len(), 1);
     assert_eq!(log.page(1).len(), 1);
     assert!(log.page(2).is_empty());
@@ -120,7 +120,7 @@
     assert_eq!(text.last_event(), 1);
     for wrong in ["id: 1\ndata: one\n\n", "id: 3\ndata: three\n\n", "data: two\n\n"] {
         let mut second = EventReader::new("weights", Some(7));
-        assert_eq!(second.read(wrong.as_bytes(), &mut text), Err(StreamError::OutOfTurn));
+        assert_eq!(second.read(wrong.as_bytes(), &mut text), Err(StreamError::OutOfOrder));
     }
     let mut second = EventReader::new("weights", Some(7));
     assert_eq!(second.read(b"id: 2\ndata: two\n\n", &mut text), Ok(1));
@@ -139,7 +139,7 @@
 #[test]
 fn the_longest_items_are_begun_first() {
     let items = [item("short", Some(10)), item("unknown", None), item("long", Some(900))];
-    assert_eq!(begin_order(&items), [2, 1, 0]);
+    assert_eq!(start_order(&items), [2, 1, 0]);
 }
 
 #[test]
@@ -170,9 +170,10 @@
 #[test]
 fn daemons_stand_in_line_for_a_job_with_its_successor_first() {
     let alive: Vec<_> = ["a", "b", "c", "d"].map(node).to_vec();
-    let mut places: Vec<usize> = alive.iter().map(|me| place_in_line("j", me, &alive)).collect();
+    let mut places: Vec<usize> =
+        alive.iter().map(|me| takeover_position("j", me, &alive)).collect();
     let first = successor("j", alive.iter()).unwrap();
-    assert_eq!(place_in_line("j", first, &alive), 0);
+    assert_eq!(takeover_position("j", first, &alive), 0);
     places.sort_unstable();
     assert_eq!(places, [0, 1, 2, 3]);
 }
--- a/crates/heronbend-gateway/tests/checkpoint.rs
+++ b/crates/heronbend-gateway/tests/checkpoint.rs
@@ -4,14 +4,14 @@
 
 use heronbend_gateway::batch::event_stream::EventReader;
 use heronbend_gateway::batch::event_stream::ItemText;
+use heronbend_gateway::batch::job_texts::JobTexts;
 use heronbend_gateway::batch::segment::Segment;
-use heronbend_gateway::batch::texts::Texts;
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rand::SeedableRng;
 
 /// Adds events to a text, as a server under `version` would send them.
-fn make(texts: &Texts, item: usize, events: std::ops::RangeInclusive<u64>, version: u64) {
+fn make(texts: &JobTexts, item: usize, events: std::ops::RangeInclusive<u64>, version: u64) {
     let text = texts.get(item);
     let mut reader = EventReader::new("weights", Some(version));
     for number in events {
@@ -20,18 +20,18 @@
     }
 }
 
-fn restored(items: usize, segments: &[Segment]) -> Texts {
-    let mut texts = Texts::new(items);
+fn restored(items: usize, segments: &[Segment]) -> JobTexts {
+    let mut texts = JobTexts::new(items);
     texts.restore(segments);
     texts
 }
 
 #[test]
 fn a_long_text_is_saved_once_and_goes_on_with_its_versions() {
-    let mut texts = Texts::new(2);
+    let mut texts = JobTexts::new(2);
     make(&texts, 1, 1..=20, 3);
     let first = texts.unsaved(|_| false);
-    texts.saved(&first);
+    texts.mark_saved(&first);
     assert!(texts.unsaved(|_| false).is_empty());
     make(&texts, 1, 21..=25, 4);
     let second = texts.unsaved(|_| false);
@@ -44,7 +44,7 @@
 
 #[test]
 fn short_texts_and_listed_ones_are_not_saved() {
-    let texts = Texts::new(2);
+    let texts = JobTexts::new(2);
     make(&texts, 0, 1..=3, 1);
     make(&texts, 1, 1..=30, 1);
     assert!(texts.unsaved(|item| item == 1).is_empty());
@@ -52,7 +52,7 @@
 
 #[test]
 fn segments_of_two_writers_make_one_text_without_gap_or_repetition() {
-    let texts = Texts::new(1);
+    let texts = JobTexts::new(1);
     make(&texts, 0, 1..=40, 1);
     let text = texts.get(0);
     let segment = |after, to: usize| {
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_segment_after_a_gap_adds_nothing() {
-    let texts = Texts::new(1);
+    let texts = JobTexts::new(1);
     make(&texts, 0, 1..=40, 1);
     let late = texts.get(0).borrow().segment(0, 20);
     let restored = restored(1, &[late]);
@@ -78,10 +78,10 @@
 
 #[test]
 fn a_text_that_was_begun_anew_is_saved_from_its_start() {
-    let mut texts = Texts::new(1);
+    let mut texts = JobTexts::new(1);
     make(&texts, 0, 1..=40, 1);
     let saved = texts.unsaved(|_| false);
-    texts.saved(&saved);
+    texts.mark_saved(&saved);
     texts.get(0).take();
     make(&texts, 0, 1..=20, 2);
     assert_eq!(texts.unsaved(|_| false)[0].after, 0);
@@ -89,7 +89,7 @@
 
 #[test]
 fn no_checkpoint_is_larger_than_an_object_and_the_rest_goes_into_the_next() {
-    let mut texts = Texts::new(400);
+    let mut texts = JobTexts::new(400);
     for item in 0..400 {
         let text = texts.get(item);
         let mut reader = EventReader::new("weights", Some(1));
@@ -106,14 +106,14 @@
         }
         assert!(serde_json::to_vec(&segments).unwrap().len() < 1 << 20);
         saved += segments.len();
-        texts.saved(&segments);
+        texts.mark_saved(&segments);
     }
     assert_eq!(saved, 400);
 }
 
 #[test]
 fn the_longest_texts_are_saved_first() {
-    let texts = Texts::new(3);
+    let texts = JobTexts::new(3);
     for (item, events) in [(0, 20), (1, 60), (2, 40)] {
         make(&texts, item, 1..=events, 1);
     }
@@ -123,15 +123,15 @@
 
 #[test]
 fn a_text_fits_where_each_event_was_made_under_a_version_that_does() {
-    let texts = Texts::new(1);
+    let texts = JobTexts::new(1);
     let text = texts.get(0);
-    assert!(text.borrow().versions_fit(9, true));
+    assert!(text.borrow().satisfies_versions(9, true));
     make(&texts, 0, 1..=3, 4);
-    assert!(text.borrow().versions_fit(4, true));
-    assert!(!text.borrow().versions_fit(5, false));
+    assert!(text.borrow().satisfies_versions(4, true));
+    assert!(!text.borrow().satisfies_versions(5, false));
     make(&texts, 0, 4..=5, 5);
-    assert!(text.borrow().versions_fit(4, false));
-    assert!(!text.borrow().versions_fit(4, true));
+    assert!(text.borrow().satisfies_versions(4, false));
+    assert!(!text.borrow().satisfies_versions(4, true));
 }
 
 /// Adds events of one run at a server to a text, after `after` of the events that it has.
@@ -161,15 +161,15 @@
 }
 
 /// Saves what is unsaved of the texts.
-fn save(texts: &mut Texts) -> Vec<Segment> {
+fn save(texts: &mut JobTexts) -> Vec<Segment> {
     let segments = texts.unsaved(|_| false);
-    texts.saved(&segments);
+    texts.mark_saved(&segments);
     segments
 }
 
 #[test]
 fn texts_of_two_owners_that_went_on_from_one_event_are_not_joined() {
-    let mut first = Texts::new(1);
+    let mut first = JobTexts::new(1);
     make_by("a", &mut first.get(0).borrow_mut(), 40);
     let mut segments = save(&mut first);
     let mut second = restored(1, &segments);
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_late_checkpoint_of_a_former_owner_is_not_joined() {
-    let mut first = Texts::new(1);
+    let mut first = JobTexts::new(1);
     make_by("a", &mut first.get(0).borrow_mut(), 20);
     let mut segments = save(&mut first);
     let mut second = restored(1, &segments);
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_text_that_was_begun_anew_and_outgrew_the_saved_one_is_saved_from_its_start() {
-    let mut texts = Texts::new(1);
+    let mut texts = JobTexts::new(1);
     make_by("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = save(&mut texts);
     texts.get(0).take();
@@ -216,19 +216,19 @@
 
 #[test]
 fn a_text_that_was_begun_anew_while_its_checkpoint_was_written_is_saved_from_its_start() {
-    let mut texts = Texts::new(1);
+    let mut texts = JobTexts::new(1);
     make_by("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = texts.unsaved(|_| false);
     texts.get(0).take();
     make_by("b", &mut texts.get(0).borrow_mut(), 25);
-    texts.saved(&segments);
+    texts.mark_saved(&segments);
     segments.extend(save(&mut texts));
     assert_eq!(fault(&restored(1, &segments).get(0).borrow()), None);
 }
 
 #[test]
 fn a_text_that_was_moved_between_servers_goes_on_whole() {
-    let mut texts = Texts::new(1);
+    let mut texts = JobTexts::new(1);
     make_by("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = save(&mut texts);
     make_by("b", &mut texts.get(0).borrow_mut(), 7);
@@ -241,7 +241,7 @@
 
 #[test]
 fn checkpoints_that_are_read_in_another_order_make_the_same_text() {
-    let mut texts = Texts::new(1);
+    let mut texts = JobTexts::new(1);
     let mut segments = Vec::new();
     for _ in 0..3 {
         make_by("a", &mut texts.get(0).borrow_mut(), 20);
@@ -254,7 +254,7 @@
 /// Some owners of one job that may all be at work at once, and what they have saved.
 struct Owners {
     random: SmallRng,
-    owners: Vec<Texts>,
+    owners: Vec<JobTexts>,
     /// What the store holds.
     stored: Vec<Segment>,
     /// Writes that may be done later, or never.
@@ -269,7 +269,7 @@
     fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            owners: (0..OWNERS).map(|_| Texts::new(ITEMS)).collect(),
+            owners: (0..OWNERS).map(|_| JobTexts::new(ITEMS)).collect(),
             stored: Vec::new(),
             under_way: Vec::new(),
             runs: 0,
--- a/crates/heronbend-gateway/tests/moves.rs
+++ b/crates/heronbend-gateway/tests/migration.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use heronbend_gateway::batch::moves::is_in_time;
-use heronbend_gateway::batch::moves::MoveCost;
+use heronbend_gateway::batch::migration::meets_deadline;
+use heronbend_gateway::batch::migration::MigrationCost;
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -11,22 +11,22 @@
 
 #[test]
 fn a_move_wins_more_than_moves_have_cost_of_late() {
-    let mut cost = MoveCost::default();
+    let mut cost = MigrationCost::default();
     assert!(cost.is_exceeded_by(millis(300)));
     assert!(!cost.is_exceeded_by(millis(150)));
-    cost.learn(millis(600));
+    cost.record(millis(600));
     assert!(!cost.is_exceeded_by(millis(800)));
     assert!(cost.is_exceeded_by(millis(950)));
     // Moves that have become cheap are made again.
-    (0..40).for_each(|_| cost.learn(millis(50)));
+    (0..40).for_each(|_| cost.record(millis(50)));
     assert!(cost.is_exceeded_by(millis(300)));
 }
 
 #[test]
 fn a_text_that_ends_in_good_time_stays() {
     let due = Some(millis(7500));
-    assert!(is_in_time(millis(1000), millis(3000), due));
-    assert!(!is_in_time(millis(1000), millis(4000), due));
-    assert!(!is_in_time(millis(6000), millis(100), due));
-    assert!(!is_in_time(millis(0), millis(1), None), "nothing says when it is due");
+    assert!(meets_deadline(millis(1000), millis(3000), due));
+    assert!(!meets_deadline(millis(1000), millis(4000), due));
+    assert!(!meets_deadline(millis(6000), millis(100), due));
+    assert!(!meets_deadline(millis(0), millis(1), None), "nothing says when it is due");
 }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 use heronbend::access::Caller;
-use heronbend_gateway::batch::adoption::Reason;
+use heronbend_gateway::batch::adoption::AdoptionReason;
 use heronbend_gateway::batch::checkpoint;
 use heronbend_gateway::batch::event_stream::EventReader;
-use heronbend_gateway::batch::hand_in::{self, HandInError};
+use heronbend_gateway::batch::job_texts::JobTexts;
 use heronbend_gateway::batch::ownership::Ownership;
-use heronbend_gateway::batch::texts::Texts;
+use heronbend_gateway::batch::submission::{self, SubmitError};
 
 use heronbend_gateway::batch::registry::{
     chunk_name, results_kind, Job, OWNERSHIPS, SPECIFICATIONS,
 };
-use heronbend_gateway::batch::{appender, ownership_duty, reading};
+use heronbend_gateway::batch::{appender, ownership_manager, results_reader};
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::mirror::{self, MirrorSink, Source};
 use heronbend_gateway::peers::PeerReply;
@@ -142,8 +142,8 @@
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Late]);
             store.fail_writes(&[WriteFault::Refused; 20]);
-            let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
-            assert_eq!(taken, Err(HandInError::Unknown));
+            let taken = submission::submit(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
+            assert_eq!(taken, Err(SubmitError::Unknown));
         })
     });
 }
@@ -154,8 +154,8 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Refused; 20]);
-            let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
-            assert_eq!(taken, Err(HandInError::NotTaken));
+            let taken = submission::submit(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
+            assert_eq!(taken, Err(SubmitError::Unavailable));
             assert!(store.object(SPECIFICATIONS, "j").is_none());
         })
     });
@@ -169,8 +169,8 @@
             let second = gateway("b", &store, &executor);
             store.fail_writes(&[WriteFault::AnswerLost, WriteFault::AnswerLost]);
             let patience = first.now() + Duration::from_secs(20);
-            assert_eq!(hand_in::hand_in(&first, job("j", 2), patience).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&second, job("j", 2), patience).await, Ok(()));
+            assert_eq!(submission::submit(&first, job("j", 2), patience).await, Ok(()));
+            assert_eq!(submission::submit(&second, job("j", 2), patience).await, Ok(()));
             let owner = second.jobs.get("j").unwrap().owner();
             assert_eq!(owner, first.identity.node);
         })
@@ -184,8 +184,8 @@
             let gateway = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             let patience = gateway.now() + PATIENCE;
-            assert_eq!(hand_in::end(&gateway, "j", &Caller::Anyone, patience).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&gateway, job("j", 2), patience).await, Ok(()));
+            assert_eq!(submission::end(&gateway, "j", &Caller::Anyone, patience).await, Ok(()));
+            assert_eq!(submission::submit(&gateway, job("j", 2), patience).await, Ok(()));
             assert!(gateway.jobs.get("j").unwrap().ended.get());
             assert_eq!(store.object(OWNERSHIPS, "j").unwrap().content["ended"], json!(true));
         })
@@ -199,15 +199,15 @@
             let first = gateway("a", &store, &executor);
             let second = gateway("b", &store, &executor);
             let patience = first.now() + PATIENCE;
-            hand_in::hand_in(&first, job("j", 6), patience).await.unwrap();
-            hand_in::hand_in(&second, job("j", 6), patience).await.unwrap();
+            submission::submit(&first, job("j", 6), patience).await.unwrap();
+            submission::submit(&second, job("j", 6), patience).await.unwrap();
             store.fail_writes(&[WriteFault::AnswerLost, WriteFault::Late, WriteFault::Refused]);
             for (gateway, items) in [(&first, [0, 1, 2, 3]), (&second, [2, 3, 4, 5])] {
                 let job = gateway.jobs.get("j").unwrap();
                 executor.spawn(appender::run(gateway.clone(), job.clone())).detach();
                 for number in items {
                     job.log.borrow_mut().add(result(&format!("item-{number}")));
-                    job.result_waits.notify(usize::MAX);
+                    job.result_pending.notify(usize::MAX);
                     smol::Timer::after(Duration::from_millis(60)).await;
                 }
             }
@@ -218,7 +218,7 @@
             };
             wait_until("the owner's results are written", || all_written(0)).await;
             // What the second one still holds is appended once it owns the job.
-            ownership_duty::adopt(&second, &jobs[1], Reason::Silent).await;
+            ownership_manager::adopt(&second, &jobs[1], AdoptionReason::Silent).await;
             wait_until("all is written", || all_written(1)).await;
             for job in &jobs {
                 appender::catch_up(&first, job).await.unwrap();
@@ -244,7 +244,7 @@
     let ownership = Ownership::new(&job("j", 6), owner.identity.node.clone(), None);
     store.put(SPECIFICATIONS, "j", json!(job("j", 6)));
     store.put(OWNERSHIPS, "j", json!(ownership));
-    let job = owner.jobs.learn_object(&store.object(OWNERSHIPS, "j").unwrap()).unwrap();
+    let job = owner.jobs.upsert_object(&store.object(OWNERSHIPS, "j").unwrap()).unwrap();
     let task = executor.spawn(appender::run(owner.clone(), job.clone()));
     (job, task)
 }
@@ -252,14 +252,14 @@
 /// Adds a result that is to be written.
 fn add(job: &Job, item: &str) {
     job.log.borrow_mut().add(result(item));
-    job.result_waits.notify(usize::MAX);
+    job.result_pending.notify(usize::MAX);
 }
 
 /// Has `gateway` take the job over, and waits until it answers readers.
 async fn take_over(store: &Rc<MemoryStore>, gateway: &Rc<Gateway>) -> Rc<Job> {
     let object = store.object(OWNERSHIPS, "j").unwrap();
-    let job = gateway.jobs.learn_object(&object).unwrap();
-    ownership_duty::adopt(gateway, &job, Reason::Silent).await;
+    let job = gateway.jobs.upsert_object(&object).unwrap();
+    ownership_manager::adopt(gateway, &job, AdoptionReason::Silent).await;
     wait_until("the new owner answers", || job.is_authority(gateway.now())).await;
     job
 }
@@ -310,7 +310,7 @@
             let owner = gateway("a", &store, &executor);
             let (mine, task) = appending(&store, &owner, &executor);
             mine.running.set(true);
-            mine.confirmed.set(Some(owner.now()));
+            mine.ownership_confirmed_at.set(Some(owner.now()));
             assert!(mine.is_authority(owner.now()));
             store.fail_writes(&[WriteFault::AnswerLost]);
             store.fail_writes(&[WriteFault::Refused; 40]);
@@ -320,7 +320,7 @@
             wait_until("the owner is in doubt", || !mine.is_authority(owner.now())).await;
             drop(task);
             appender::catch_up(&owner, &mine).await.unwrap();
-            mine.confirmed.set(Some(owner.now()));
+            mine.ownership_confirmed_at.set(Some(owner.now()));
             assert!(mine.is_authority(owner.now()));
             assert_eq!(mine.log.borrow().len(), 1);
         })
@@ -353,19 +353,20 @@
             let owner = gateway("a", &store, &executor);
             let reader = gateway("b", &store, &executor);
             let patience = owner.now() + PATIENCE;
-            hand_in::hand_in(&owner, job("j", 3), patience).await.unwrap();
+            submission::submit(&owner, job("j", 3), patience).await.unwrap();
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            let page =
-                reading::results(&reader, "j", &Caller::Anyone, 0, reader.now()).await.unwrap();
+            let page = results_reader::results(&reader, "j", &Caller::Anyone, 0, reader.now())
+                .await
+                .unwrap();
             assert_eq!((page.total, page.results.len()), (3, 1));
             let missing =
-                reading::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
-            assert_eq!(missing.unwrap_err(), reading::ReadError::NotFound);
+                results_reader::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+            assert_eq!(missing.unwrap_err(), results_reader::ReadError::NotFound);
             store.set_down(true);
             let unsure =
-                reading::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
-            assert_eq!(unsure.unwrap_err(), reading::ReadError::Unavailable);
+                results_reader::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+            assert_eq!(unsure.unwrap_err(), results_reader::ReadError::Unavailable);
         })
     });
 }
@@ -397,22 +398,23 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             let patience = gateway.now() + PATIENCE;
-            hand_in::hand_in(&gateway, job("j", 3), patience).await.unwrap();
+            submission::submit(&gateway, job("j", 3), patience).await.unwrap();
             let job = gateway.jobs.get("j").unwrap();
             // Another daemon ran it before, and its results were read.
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            job.confirmed.set(None);
-            let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
+            job.ownership_confirmed_at.set(None);
+            let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert_eq!(reply, PeerReply::NotOwner);
-            let page =
-                reading::results(&gateway, "j", &Caller::Anyone, 0, gateway.now()).await.unwrap();
+            let page = results_reader::results(&gateway, "j", &Caller::Anyone, 0, gateway.now())
+                .await
+                .unwrap();
             assert_eq!(page.results.len(), 1);
-            job.confirmed.set(Some(gateway.now()));
-            let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
+            job.ownership_confirmed_at.set(Some(gateway.now()));
+            let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert!(matches!(reply, PeerReply::Results { chunks: 1, .. }), "{reply:?}");
             // Only what the reader asks for crosses, and how much there is.
-            let reply = reading::answer_peer(&gateway, "j", 1, Duration::ZERO).await;
+            let reply = results_reader::answer_peer(&gateway, "j", 1, Duration::ZERO).await;
             let nothing = PeerReply::Results { results: Vec::new(), settled: 1, chunks: 1 };
             assert_eq!(reply, nothing);
         })
@@ -430,7 +432,7 @@
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             store.put(OWNERSHIPS, "j", json!(ownership));
             // Only the list is read; the sweep for lost daemons' jobs, which waits, does not run.
-            executor.spawn(ownership_duty::follow(gateway.clone())).detach();
+            executor.spawn(ownership_manager::follow(gateway.clone())).detach();
             let is_mine = || {
                 let job = gateway.jobs.get("j");
                 job.is_some_and(|job| job.owner() == gateway.identity.node && job.running.get())
@@ -446,10 +448,10 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             let ownership = Ownership::new(&job("j", 1), gateway.identity.node.clone(), None);
-            let job_here = gateway.jobs.learn("j", ownership, 1);
+            let job_here = gateway.jobs.upsert("j", ownership, 1);
             *job_here.specification.borrow_mut() = Some(Rc::new(job("j", 1)));
             for saved in 1..=2 {
-                *job_here.texts.borrow_mut() = Texts::new(1);
+                *job_here.texts.borrow_mut() = JobTexts::new(1);
                 let text = job_here.texts.borrow().get(0);
                 for number in 1..=20 {
                     let event = format!("id: {number}\ndata: e\n\n");
@@ -474,9 +476,9 @@
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
             let ownership = Ownership::new(&job("j", 1), owner.identity.node.clone(), None);
-            ownership_duty::take_hint(&owner, "j", ownership.clone(), 7, true);
+            ownership_manager::apply_hint(&owner, "j", ownership.clone(), 7, true);
             smol::Timer::after(Duration::from_millis(50)).await;
-            let reply = hand_in::run_here(&owner, ownership, 7, job("j", 1), false);
+            let reply = submission::run_here(&owner, ownership, 7, job("j", 1), false);
             assert_eq!(reply, PeerReply::Running);
             smol::Timer::after(Duration::from_millis(50)).await;
             assert!(owner.jobs.get("j").is_some_and(|job| job.running.get()));
@@ -492,7 +494,7 @@
             let owner = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 1)));
             let ownership = Ownership::new(&job("j", 1), owner.identity.node.clone(), None);
-            ownership_duty::take_hint(&owner, "j", ownership, 7, true);
+            ownership_manager::apply_hint(&owner, "j", ownership, 7, true);
             wait_until("it is run", || owner.jobs.get("j").is_some_and(|j| j.running.get())).await;
         })
     });
--- a/spec/src/result_log.rs
+++ b/spec/src/result_log.rs
@@ -172,7 +172,7 @@
         if !part.is_running || !part.is_sealed || part.is_in_doubt {
             return None;
         }
-        let chunk = part.log.start_writing()?;
+        let chunk = part.log.start_write()?;
         let writer = state.run_of(daemon);
         next.writes.push(Write { writer, chunk, awaited: true });
         Some(next)
@@ -196,7 +196,7 @@
         let found = next.chunks[number].clone();
         let part = &mut next.parts[write.writer.0];
         if is_answered {
-            part.log.settle(write.chunk.number, found.results);
+            part.log.commit(write.chunk.number, found.results);
             let is_anothers = found.writer != write.writer;
             part.is_in_doubt |= is_anothers && self.doubts();
         } else {
@@ -207,7 +207,7 @@
 
     fn lose_answer(mutation: Mutation, log: &mut ResultLog, chunk: &Chunk) {
         if mutation == Mutation::TakesUnknownForDone {
-            log.settle(chunk.number, chunk.results.clone());
+            log.commit(chunk.number, chunk.results.clone());
         } else {
             log.write_failed(mutation != Mutation::NoInDoubt);
         }
@@ -235,7 +235,7 @@
         for (number, chunk) in state.chunks.iter().enumerate() {
             let is_news = number as u32 >= part.log.chunks();
             part.is_in_doubt |= is_news && chunk.writer != me && self.doubts();
-            part.log.settle(number as u32, chunk.results.clone());
+            part.log.commit(number as u32, chunk.results.clone());
         }
         (next != *state).then(|| next.check())
     }
@@ -265,13 +265,13 @@
         let number = part.log.chunks();
         if let Some(found) = state.chunks.get(number as usize) {
             let part = &mut next.parts[daemon];
-            part.log.settle(number, found.results.clone());
+            part.log.commit(number, found.results.clone());
             part.is_in_doubt = self.doubts();
             return Some(next.check());
         }
         if self.mutation != Mutation::NoSeal {
             next.chunks.push(Stored { writer: state.run_of(daemon), results: Vec::new() });
-            next.parts[daemon].log.settle(number, Vec::new());
+            next.parts[daemon].log.commit(number, Vec::new());
         }
         next.parts[daemon].is_sealed = true;
         Some(next.check())
@@ -302,7 +302,7 @@
         }
         if self.mutation == Mutation::SkipsReading {
             for number in 0..state.chunks.len() {
-                next.parts[daemon].log.settle(number as u32, Vec::new());
+                next.parts[daemon].log.commit(number as u32, Vec::new());
             }
         }
         Some(next)
--- a/spec/src/saved_texts.rs
+++ b/spec/src/saved_texts.rs
@@ -9,9 +9,9 @@
 use heronbend_gateway::batch::digest::Digest;
 use heronbend_gateway::batch::event_stream::EventReader;
 use heronbend_gateway::batch::event_stream::ItemText;
+use heronbend_gateway::batch::job_texts::longest_text;
+use heronbend_gateway::batch::job_texts::SavedPrefix;
 use heronbend_gateway::batch::segment::Segment;
-use heronbend_gateway::batch::texts::longest_text;
-use heronbend_gateway::batch::texts::Saved;
 
 use crate::explore::System;
 
@@ -50,7 +50,7 @@
     /// Whether it has owned the job, and believes that it still does.
     is_running: bool,
     text: ItemText,
-    saved: Saved,
+    saved: SavedPrefix,
     /// The run that makes the next event, and the event that it was asked to follow.
     run: Option<(u8, u64)>,
 }
@@ -142,7 +142,7 @@
         let mut next = state.clone();
         next.writes_left = next.writes_left.checked_sub(1)?;
         let part = &mut next.parts[daemon];
-        if Saved::all_of(&part.text) == part.saved || part.text.last_event() == 0 {
+        if SavedPrefix::all_of(&part.text) == part.saved || part.text.last_event() == 0 {
             return None;
         }
         let segment = if self.mutation == Mutation::GoesByLength {
@@ -152,7 +152,7 @@
             part.saved.unsaved(0, &part.text)
         };
         if self.mutation == Mutation::SavedWhenSent {
-            part.saved = Saved::through(&segment);
+            part.saved = SavedPrefix::through(&segment);
         }
         next.writes.push(Write { daemon, segment });
         Some(next)
@@ -163,7 +163,7 @@
         let mut next = state.clone();
         let Write { daemon, segment } = next.writes.remove(index);
         if answered {
-            next.parts[daemon].saved = Saved::through(&segment);
+            next.parts[daemon].saved = SavedPrefix::through(&segment);
         }
         next.stored.push(segment);
         next
@@ -173,7 +173,7 @@
         let mut next = state.clone();
         next.takeovers_left = next.takeovers_left.checked_sub(1)?;
         let text = self.restored(&next.stored);
-        let saved = Saved::all_of(&text);
+        let saved = SavedPrefix::all_of(&text);
         next.parts[daemon] = Part { is_running: true, text, saved, run: None };
         // What it sent before is not awaited any more, and may be executed all the same.
         Some(next)
