--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -1,4 +1,4 @@
-//! Runs one item: its text at one or more servers, then its score.
+//! Runs one item: generates its text on one or more servers, then requests its score.
 
 use std::cell::OnceCell;
 use std::cell::RefCell;
@@ -39,41 +39,41 @@
 use crate::quarantine::Isolation;
 use crate::quarantine::Pass;
 
-/// Longest silence before the first event. A request may wait in the server's queue.
+/// Timeout for the first event, including time in the server's queue.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest silence between two events. Servers fall silent while they load a version.
+/// Timeout between two events. Servers pause their streams while they load a version.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1600);
-/// Time that a server is given for an item, for want of a shorter bound.
+/// Upper bound on the duration of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait for the first configuration.
+/// Interval between checks for a configuration or a missing route.
 const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Half of the rest after the first attempt that added nothing.
+/// Base of the exponential backoff after attempts without progress.
 const BACKOFF_BASE: Duration = Duration::from_millis(5);
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Longest rest until it is looked again whether an item that is held back may be sent to engines.
+/// Longest wait before a quarantined item is checked again.
 const MAX_QUARANTINE_WAIT: Duration = Duration::from_secs(1);
 
-/// Lowest rank that servers tell apart.
+/// Largest priority value that servers distinguish.
 const MAX_SERVER_PRIORITY: u8 = 9;
 
-/// Why a text is moved to a faster server.
+/// Reason for migrating a text to a faster server.
 const OUTPACED: &str = "outpaced";
-/// Why a text leaves a server whose zone is evacuated.
+/// Reason for migrating a text out of an evacuated zone.
 const EVACUATED: &str = "evacuated";
 
-/// How an attempt at one server ended.
+/// Result of an attempt on one server.
 enum AttemptResult {
-    /// The text is whole.
+    /// The text is complete.
     Complete,
-    /// The server has not run it, or broke off: to be continued elsewhere.
+    /// The server did not run the item or the stream broke; retry on another server.
     Retry,
-    /// The server failed at it.
+    /// The server reported a failure.
     Failed,
-    /// It can never be done.
+    /// The request is invalid and is not retried.
     Unsendable,
 }
 
-/// One item that is being run.
+/// State of an item that is being run.
 struct ItemRun<'a> {
     gateway: &'a Rc<Gateway>,
     job: &'a Job,
@@ -81,22 +81,21 @@
     item: &'a Item,
     text: Rc<RefCell<ItemText>>,
     failures: u32,
-    /// Attempts in a row that added nothing.
+    /// Consecutive attempts that produced no events.
     attempts_without_progress: u32,
-    /// Since when the configuration in force has no route for it.
+    /// When the route was first found missing from the configuration.
     route_missing_since: Option<heronbend::Moment>,
-    /// The service that was drawn for it.
+    /// The service selected by the route's weights.
     service: Option<String>,
-    /// The server whose attempt ended last, to be avoided once, and those that failed at it: one more
-    /// failure may be the last that the route allows.
+    /// The last server, which the next attempt avoids, and all servers that failed the item.
     history: History,
-    /// Found when it is first asked for.
+    /// Computed on first use.
     fingerprint: OnceCell<Fingerprint>,
-    /// Whether it has been logged that the item is held back.
+    /// Whether the current quarantine of the item has been logged.
     hold_logged: bool,
 }
 
-/// Runs an item until it has a result; goes on with `text`, which may have been begun elsewhere.
+/// Runs an item until it has a result. Continues `text`, which may hold events restored from a checkpoint.
 pub async fn run(
     gateway: &Rc<Gateway>,
     job: &Job,
@@ -126,12 +125,12 @@
         let started = self.gateway.now();
         loop {
             let Some(configuration) = self.gateway.configuration() else {
-                // A daemon that has just started cannot tell whether the route is still there.
+                // Until the first configuration arrives the route cannot be looked up.
                 Timer::after(CONFIGURATION_POLL_INTERVAL).await;
                 continue;
             };
             let Some(route) = self.route(&configuration) else {
-                // The daemon that took the job in may know a newer configuration than this one.
+                // The daemon that accepted the job may have a newer configuration.
                 let missing_since = *self.route_missing_since.get_or_insert(self.gateway.now());
                 let missing_for = self.gateway.now().saturating_sub(missing_since);
                 if missing_for > self.gateway.tuning().configuration_notice * 2 {
@@ -152,7 +151,7 @@
             self.keep_apart(pass, &route);
             let history = self.history.clone();
             let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
-            // What is known may have changed while it waited for a place.
+            // The item may have been quarantined while it waited for a slot.
             if pass != Pass::Probe && self.is_quarantined(&route) {
                 continue;
             }
@@ -192,8 +191,8 @@
         self.text.borrow().result(&self.item.id, score)
     }
 
-    /// How the item may be sent to engines; nothing after a rest, where it may not yet. It is not
-    /// terminated: its caller has been promised that it waits until it can be run.
+    /// Asks the quarantine whether the item may be sent. Returns `None` after a delay if it may not; a
+    /// quarantined item is retried rather than terminated.
     async fn admit(&mut self, route: &Route) -> Option<Pass> {
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
@@ -222,22 +221,22 @@
         self.history = history;
     }
 
-    /// Whether the item, which was admitted, may not be sent to engines by now.
+    /// Whether an item that was admitted earlier has been quarantined since.
     fn is_quarantined(&self, route: &Route) -> bool {
         !quarantine::may_go_on(self.gateway, || self.fingerprint(route))
     }
 
-    /// What tells that the item has come before.
+    /// Identifies repeated submissions of the same request.
     fn fingerprint(&self, route: &Route) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let outgoing = self.outgoing(Fitness::Listed, route);
-            // One that cannot be sent at all ends no engine.
+            // A request that cannot be built is never sent, so any fingerprint will do.
             let names = self.gateway.dialect.headers();
             outgoing.map_or_else(Fingerprint::default, |outgoing| outgoing.fingerprint(names))
         })
     }
 
-    /// Rests after an attempt that added nothing to the text, longer after each one in a row.
+    /// Applies exponential backoff after consecutive attempts without progress.
     async fn back_off(&mut self, events_before: u64) {
         if self.last_event() > events_before {
             self.attempts_without_progress = 0;
@@ -265,7 +264,7 @@
         }
     }
 
-    /// The item's route in force; nothing when it has been removed.
+    /// The current route of the item, or `None` if it has been removed.
     fn route(&self, configuration: &Configuration) -> Option<Rc<Route>> {
         let path = self.item.path.split('?').next().unwrap_or_default();
         let route = configuration.route(&self.specification.host, path);
@@ -274,7 +273,7 @@
             .cloned()
     }
 
-    /// The service that runs the item: drawn once, unless the route leads elsewhere meanwhile.
+    /// The service that runs the item. Selected once and again only if the route no longer includes it.
     fn service(&mut self, route: &Route) -> Option<String> {
         let is_current = |service: &String| {
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
@@ -290,7 +289,7 @@
         self.text.borrow().last_event()
     }
 
-    /// What the item needs of a server.
+    /// Placement requirements of the item.
     fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
         let allowed_regions = homes::of(configuration, route, &owner);
@@ -299,7 +298,7 @@
         places::need(self.gateway, service, model, allowed_regions.as_ref())
     }
 
-    /// How urgent the item is among those that wait.
+    /// Queueing priority of the item.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
         let delay =
@@ -349,7 +348,7 @@
             let status = exchange.status;
             quarantine::note_answer(self.gateway, &outgoing, status);
             self.log_attempt(server, status.as_str(), 0);
-            // A server that fails at all it gets is always free, and would get ever more.
+            // Record failures: a server that fails every request is always idle and would attract more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Abandoned };
             counted.end(end);
@@ -432,7 +431,7 @@
         })
     }
 
-    /// Reads events until the text is whole; an error when it has to be continued elsewhere.
+    /// Reads events until the text is complete. Returns the reason if it must continue elsewhere.
     async fn read_events(
         &mut self,
         server: &Rc<Server>,
@@ -444,7 +443,7 @@
         let (mut exchange, mut isolation) = (exchange, isolation);
         let mut throughput = ThroughputMeter::new(self.gateway.now());
         let names = self.gateway.dialect.headers();
-        // An answer that has nothing to add to the text tells no version.
+        // The version header is absent if the response has no further events.
         let version = exchange.header(&names.weight_version).and_then(|value| value.parse().ok());
         let field = names.weight_version.as_str();
         let mut reader = EventReader::new(field, version);
@@ -463,7 +462,7 @@
                         Ok(0) => {}
                         Ok(events) => {
                             timeout = EVENT_TIMEOUT;
-                            // It has begun and its engine lives: others need not wait for its end.
+                            // The engine survived the start of the request; release the isolation.
                             drop(isolation.take());
                             if let Some(sent_at) = resume_sent_at.take() {
                                 let delay = self.gateway.now().saturating_sub(sent_at);
@@ -501,7 +500,7 @@
         outcome
     }
 
-    /// Whether the text had better go on at another server.
+    /// Whether the text is expected to complete sooner on another server.
     fn should_migrate(
         &self,
         server: &Server,
@@ -530,7 +529,7 @@
         gain.is_some_and(|gain| self.gateway.migration_cost.borrow().is_exceeded_by(gain))
     }
 
-    /// Whether the text has to go on elsewhere, and can: its server's zone is evacuated.
+    /// Whether the server's zone is evacuated and another server can continue the text.
     fn must_leave_zone(&self, server: &Server, need: &Need) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
         placer.is_to_be_left(&server.id)
--- a/crates/heronbend-gateway/src/batch/mod.rs
+++ b/crates/heronbend-gateway/src/batch/mod.rs
@@ -1,26 +1,33 @@
-//! Batch jobs: many requests handed in together, run later, and read as a list of results.
+//! Batch jobs: sets of requests that are submitted together, run asynchronously and read as a list of
+//! results.
 //!
-//! A job's specification is one object, made before the job is acknowledged. Its results are an
-//! append-only log of objects whose names are consecutive numbers: whoever appends must know all
-//! that stands before, and of two that append the same number only one succeeds. So a daemon that
-//! was paused or lost its ownership can repeat work and never a result, and no lease is needed.
-//! Ownership, a small object for each job, says who runs it. Who takes a job over seals the log with
-//! an empty chunk before it answers readers: from then on nobody else appends.
+//! A job's specification is a single object, written before the job is acknowledged. Its results are an
+//! append-only log of objects named by consecutive numbers. A writer has to know every earlier chunk, and
+//! only one writer can create a given number, so a daemon that was paused or lost its ownership may
+//! repeat work but never duplicates a result. No lease is required. A small ownership object per job
+//! names the daemon that runs it. A daemon that takes a job over seals the log with an empty chunk before
+//! it serves readers, which fences off all former owners.
 //!
-//! - [`specification`]: what a job consists of.
-//! - [`result_log`]: the log of results, without I/O.
-//! - [`ownership`]: who runs a job, and whether it has ended, without I/O.
-//! - [`schedule`]: the order in which items are begun, without I/O.
-//! - [`length`]: how long texts are expected to become, without I/O.
-//! - [`moves`]: whether a text had better go on at a faster server, without I/O.
-//! - [`gathering`]: how long results wait until they are listed together, without I/O.
-//! - [`event_stream`]: the text of an item from a server's events, without I/O.
-//! - [`checkpoint`], [`digest`]: texts under way, saved for whoever takes a job over.
-//! - [`registry`]: the jobs that this daemon knows.
-//! - [`hand_in`], [`reading`]: the callers' side.
-//! - [`runner`], [`item_run`], [`placement`], [`pace`], [`reward`], [`gate`], [`appender`]: the owner's side.
-//! - [`adoption`]: when a lost daemon's job is taken over, without I/O.
-//! - [`ownership_manager`]: who owns what, and jobs taken over.
+//! Data and decisions, without I/O:
+//!
+//! - [`specification`]: the contents of a job.
+//! - [`result_log`]: the log of results.
+//! - [`ownership`]: the owner of a job and whether the job has ended.
+//! - [`owner_selection`], [`adoption`]: which daemon runs a job, and when a lost owner is replaced.
+//! - [`schedule`]: the order in which items are started.
+//! - [`length_estimate`], [`throughput`], [`migration`]: whether an item should move to a faster server.
+//! - [`batching_window`]: how long results are buffered before they are committed.
+//! - [`event_stream`]: assembles an item's text from a server's event stream.
+//! - [`segment`], [`digest`], [`job_texts`]: partial texts in checkpoints.
+//! - [`read_pacing`], [`in_flight`]: load limits.
+//!
+//! I/O:
+//!
+//! - [`registry`]: the jobs known to this daemon.
+//! - [`submission`], [`results_reader`]: operations for callers.
+//! - [`runner`], [`item_run`], [`reward`], [`reward_limit`], [`appender`], [`checkpoint`]: run by the
+//!   owner of a job.
+//! - [`ownership_manager`]: tracks ownerships and takes over jobs of lost daemons.
 
 pub mod adoption;
 pub mod appender;
--- a/crates/heronbend-gateway/src/batch/runner.rs
+++ b/crates/heronbend-gateway/src/batch/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the jobs that this daemon owns.
+//! Runs the jobs owned by this daemon.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use crate::mirror::backoff;
 use crate::ports::{ObjectStore, StoreError};
 
-/// Starts every job that this daemon owns and does not run yet.
+/// Starts all jobs that this daemon owns and is not running yet.
 pub fn start_owned_jobs(gateway: &Rc<Gateway>) {
     for job in gateway.jobs.all() {
         let is_owned = job.owner() == gateway.identity.node;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Runs a job until it is complete, has ended or belongs to another daemon.
+/// Runs a job until it is complete, is ended by its caller or changes owner.
 async fn run_job(gateway: Rc<Gateway>, job: Rc<Job>) {
     let stopped = async {
         loop {
@@ -55,7 +55,7 @@
     );
     job.running.set(false);
     job.ownership_confirmed_at.set(None);
-    // What is listed stands in the log; a later run restores the rest.
+    // Committed results are in the log; a later run restores the rest from checkpoints.
     job.texts.take();
 }
 
@@ -92,14 +92,14 @@
     }
 }
 
-/// Reads a job's specification and the results that it has so far.
+/// Loads a job's specification, committed results and checkpoints. Retries until it succeeds.
 async fn load_job(gateway: &Gateway, job: &Job) -> Rc<JobSpecification> {
     let mut failures = 0;
     loop {
         let loaded = async {
             let specification = load_specification(gateway, job).await?;
             *job.texts.borrow_mut() = JobTexts::new(specification.items.len());
-            // A job that was handed in a moment ago has no results yet.
+            // A newly submitted job has no results to load.
             if !job.is_new.get() {
                 appender::catch_up(gateway, job).await?;
                 appender::seal(gateway, job).await?;
@@ -118,7 +118,9 @@
     }
 }
 
-/// A job's specification, read from the store unless it is known.
+/// Returns a job's specification, reading it from the store if it is not cached.
+///
+/// Fails with [`StoreError::NotFound`] if there is no such job.
 pub async fn load_specification(
     gateway: &Gateway,
     job: &Job,
--- a/crates/heronbend-gateway/src/batch/schedule.rs
+++ b/crates/heronbend-gateway/src/batch/schedule.rs
@@ -1,13 +1,11 @@
-//! The order in which a job's items are begun.
-//!
-//! The longest text decides when a step is whole, so items that are expected to be long go first.
-//! Items of groups that are nearly whole go before others when the expectations are close.
+//! Start order of a job's items: longest expected output first, since the longest text determines when
+//! the job completes.
 
 use std::cmp::Reverse;
 
 use super::specification::Item;
 
-/// Positions of `items` in the order in which they are begun.
+/// Returns the positions of `items` in start order.
 pub fn start_order(items: &[Item]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..items.len()).collect();
     order.sort_by_key(|&position| {
