--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -1,4 +1,4 @@
-//! Writes a job's results to the store, chunk by chunk.
+//! Appends chunks of results to the log of a job in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,22 +15,22 @@
 use crate::ports::{Object, ObjectStore, StoreError};
 use crate::wait;
 
-/// Rest between two looks whether this daemon owns the job again.
+/// Delay before ownership is checked again.
 const OWNERSHIP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Who wrote the chunk that a write found or made.
+/// Writer of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Writer {
     /// This run of this daemon.
     Here,
-    /// Another daemon, or an earlier run: it owns the job, or did when it wrote.
+    /// Another daemon, or an earlier run of this one, that owns the job or owned it at that time.
     Another,
 }
 
-/// Appends results for as long as this daemon runs the job.
+/// Appends results while this daemon runs the job.
 ///
-/// A chunk of another writer means that the job may have changed hands: nothing more is appended
-/// until the store confirms that this daemon owns it.
+/// A chunk by another writer means that the owner may have changed. Nothing is appended after it until
+/// the store confirms that this daemon is the owner.
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     let mut failures = 0;
     loop {
@@ -43,7 +43,7 @@
             result_pending.await;
             continue;
         }
-        // A chunk whose outcome is unknown is written, or read, before anything else.
+        // A chunk whose write may have succeeded is retried without delay.
         if !job.log.borrow().is_in_doubt() {
             wait_for_batch(&gateway, &job).await;
         }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Asks the store whether this daemon owns the job; rests where it does not, or cannot be told.
+/// Reads the ownership from the store. Waits before returning unless this daemon is the owner.
 async fn confirm_owner(gateway: &Gateway, job: &Job) {
     let read = gateway.store.get(OWNERSHIPS, &job.id).await;
     if let Ok(Some(object)) = &read {
@@ -87,13 +87,13 @@
     }
 }
 
-/// Appends a chunk without results, so that no write of a former owner can be done any more: one
-/// that is still under way finds its number taken, and a former owner that finds this chunk asks
-/// who owns the job. Until then the log here may lack what a former owner shows to readers.
+/// Appends an empty chunk, which fences off former owners: their in-flight writes conflict with it, and
+/// they confirm the owner before writing again. Until then the local log may be missing results that a
+/// former owner has committed.
 pub async fn seal(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     loop {
         if job.owner_in_doubt.get() {
-            // The chunks that were found may be those of a daemon that took the job over since.
+            // A chunk found by the write may belong to a newer owner.
             confirm_owner(gateway, job).await;
             continue;
         }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Waits for further results for as long as those that wait may wait.
+/// Waits until the pending results are to be committed.
 async fn wait_for_batch(gateway: &Gateway, job: &Job) {
     let started = gateway.now();
     loop {
@@ -123,13 +123,13 @@
     }
 }
 
-/// Whether there is nothing to wait for: the last result waits, or enough for a chunk.
+/// Whether the pending results include the last one or fill half a chunk.
 fn is_batch_full(job: &Job) -> bool {
     let log = job.log.borrow();
     log.len() + log.pending() >= job.total || log.is_chunk_half_full()
 }
 
-/// How far the step is that a job is for, if a trainer handed it in.
+/// Progress of the training step of a job; `None` if the job is not part of a step.
 fn step_progress(gateway: &Gateway, job: &Job) -> Option<batching_window::StepProgress> {
     let specification = job.specification.borrow();
     let specification = specification.as_deref()?;
@@ -170,11 +170,11 @@
             commit(gateway, job, chunk.number, chunk.results.clone());
             Ok(Writer::Here)
         }
-        // Written before, by this daemon or by another one that runs the job.
+        // The chunk exists: an earlier attempt succeeded, or another daemon runs the job.
         Err(StoreError::Conflict(Some(object))) => commit_object(gateway, job, &object),
         Err(StoreError::Conflict(None)) => match gateway.store.get(&kind, &name).await? {
             Some(object) => commit_object(gateway, job, &object),
-            None => Err(StoreError::NotDone("the chunk is gone".to_owned())),
+            None => Err(StoreError::NotDone("the conflicting chunk no longer exists".to_owned())),
         },
         Err(error) => Err(error),
     }
@@ -185,7 +185,7 @@
     commit(gateway, job, number, results);
     let writer = writer_of(gateway, object);
     if writer == Writer::Another {
-        // Only the store's word on the owner ends a doubt.
+        // Cleared once the store has confirmed the owner.
         job.owner_in_doubt.set(true);
     }
     Ok(writer)
@@ -220,7 +220,7 @@
     job.log_changed.notify(usize::MAX);
 }
 
-/// A chunk's number and results, from its object.
+/// Decodes a chunk object into its number and results.
 pub fn parse_chunk(object: &Object) -> Result<(u32, Vec<Rc<ItemResult>>), StoreError> {
     let malformed = |error: &dyn ToString| {
         StoreError::Malformed(format!("chunk {}: {}", object.name, error.to_string()))
@@ -232,7 +232,7 @@
     Ok((number, results.into_iter().map(Rc::new).collect()))
 }
 
-/// Reads from the store all chunks that are not known here yet.
+/// Reads all chunks from the store that are missing in the local log.
 pub async fn catch_up(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     let kind = results_kind(&job.id);
     loop {
@@ -256,7 +256,7 @@
     }
 }
 
-/// Removes everything that the store keeps of a job.
+/// Removes all objects of a job from the store.
 pub async fn remove_all(gateway: &Gateway, job: &str) -> Result<(), StoreError> {
     for kind in [results_kind(job), checkpoint::kind(job)] {
         for object in list_all(gateway, &kind).await?.0 {
--- a/crates/heronbend-gateway/src/batch/batching_window.rs
+++ b/crates/heronbend-gateway/src/batch/batching_window.rs
@@ -1,66 +1,62 @@
-//! How long results wait until they are listed together, without I/O.
+//! Decides how long results are buffered before they are committed in one chunk, without I/O.
 //!
-//! Each chunk has a price, and a trainer that has just read something rests before it reads again. It
-//! can do nothing with a part of a step: towards the step's end a chunk that does not make the step
-//! whole only delays the look that finds it whole. So results wait longer there, and what makes the
-//! step whole is listed at once.
+//! A trainer pauses after every read that returns results, and cannot use an incomplete step. Near the
+//! end of a step a partial chunk would only delay the read that completes it, so results are buffered
+//! longer there, and the results that complete the step are committed immediately.
 //!
-//! A trainer whose read is held hears of a chunk at once; one that rests hears of it some tenths of a
-//! second later. So results that are due are listed in time for a trainer that rests, and a little
-//! later for one whose read is held: the last text may end just then.
+//! A trainer in a long poll receives a chunk immediately; one between polls receives it with its next
+//! poll. Results that approach their deadline are therefore committed before it, or slightly after it if
+//! a long poll is open, since the last text may complete in the meantime.
 
 use std::time::Duration;
 
-/// Wait of results while most of a step is missing.
+/// Window while a step is far from complete.
 const BULK_WINDOW: Duration = Duration::from_millis(900);
-/// Wait of results of a job that no trainer waits for, and of steps that are late.
+/// Window for jobs that are not training steps, and for steps past their deadline.
 const DEFAULT_WINDOW: Duration = Duration::from_millis(450);
-/// Longest wait while a step nears its end: longer than the longest texts of steps that are in time
-/// take, so that a chunk without use does not come just before the last one.
+/// Window near the end of a step, longer than the longest texts usually take.
 const TAIL_WINDOW: Duration = Duration::from_secs(8);
-/// Share of the groups that a trainer waits for from which on a step nears its end.
+/// Fraction of the desired groups from which a step counts as near its end.
 const TAIL_SHARE: f64 = 0.6;
-/// Whole groups are listed this long before a step's results are due, counted from when the step was
-/// first heard of here, some hundredths of a second after its hand-in began.
+/// Complete groups are committed this long before the deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
-/// Rest of a trainer between two reads, at most: readers ask about twice a second.
+/// Upper bound on a trainer's delay between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// Results are listed this long before a held read ends, so that it still hears of them.
+/// Results are committed this long before a long poll times out, so that it still returns them.
 const LONG_POLL_MARGIN: Duration = Duration::from_millis(80);
-/// Time after which results that are due are listed also where a read is held: trainers take what they
-/// read within some tenths of a second after that for in time.
+/// Time past the deadline for which results may still be buffered while a long poll is open.
 const OVERDUE_GRACE: Duration = Duration::from_millis(350);
 
-/// When results are due, from now.
+/// Deadline for results, relative to now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deadline {
-    /// In so long.
+    /// Time left.
     Remaining(Duration),
-    /// So long ago.
+    /// Time since the deadline.
     Overdue(Duration),
 }
 
-/// What is known of a step when a result waits.
+/// Progress of a training step while results are pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepProgress {
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub desired_groups: usize,
-    /// Groups whose results are listed.
+    /// Groups whose results are all committed.
     pub committed_groups: usize,
-    /// Groups whose results are listed or wait.
+    /// Groups whose results are all committed or pending.
     pub complete_groups: usize,
-    /// Groups that the trainer cannot do without and that are not whole yet.
+    /// Required items without a result.
     pub required_missing: usize,
-    /// Groups that the trainer cannot do without and that are not listed yet.
+    /// Required items whose result is not committed.
     pub required_uncommitted: usize,
-    /// When the results are due, if the route says when.
+    /// Deadline for the results, if the route sets one.
     pub deadline: Option<Deadline>,
-    /// How much longer a read of the newest results is held here.
+    /// Time left in the current long poll for new results; zero if there is none.
     pub long_poll_left: Duration,
 }
 
 impl StepProgress {
-    /// Whether the waiting results make the trainer's wait end.
+    /// Whether committing the pending results completes the step.
     pub fn completes_step(&self) -> bool {
         let is_complete = self.complete_groups >= self.desired_groups && self.required_missing == 0;
         let is_committed =
@@ -68,8 +64,8 @@
         is_complete && !is_committed
     }
 
-    /// Whether the trainer may be content as soon as any further group is whole: it has as many as it
-    /// asked for, and which ones it cannot do without is not known for sure.
+    /// Whether any further group may complete the step. The trainer has the desired number of groups, but
+    /// this daemon may not know all required items.
     fn may_complete_step(&self) -> bool {
         self.committed_groups >= self.desired_groups && self.complete_groups > self.committed_groups
     }
@@ -79,8 +75,8 @@
     }
 }
 
-/// How much longer results may wait of which the oldest has waited for `waited`; nothing where they are
-/// listed at once.
+/// Returns how much longer to buffer results that have been pending for `waited`, or `None` to commit them
+/// now. `step` is `None` for jobs that are not training steps.
 pub fn remaining_wait(step: Option<&StepProgress>, waited: Duration) -> Option<Duration> {
     let Some(step) = step else {
         return DEFAULT_WINDOW.checked_sub(waited);
@@ -99,12 +95,12 @@
     }
 }
 
-/// Time until results that are due have to be listed; nothing once that is over.
+/// Time until pending results must be committed to meet the deadline; `None` if it has been missed.
 fn time_to_flush(deadline: Deadline, long_poll_left: Duration) -> Option<Duration> {
     if long_poll_left > LONG_POLL_MARGIN {
         let poll_left = long_poll_left - LONG_POLL_MARGIN;
         return match deadline {
-            // The reader is back before they are due.
+            // The next poll starts before the deadline.
             Deadline::Remaining(left) if left > long_poll_left + POLL_INTERVAL => {
                 Some(left - DEADLINE_MARGIN)
             }
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -143,21 +143,22 @@
             let Some(service) = self.service(&route) else {
                 return self.terminated("route without a service");
             };
-            let need = self.need(&configuration, &route, &service);
+            let requirements = self.requirements(&configuration, &route, &service);
             let urgency = self.urgency(&configuration, &route);
             let Some(pass) = self.admit(&route).await else {
                 continue;
             };
             self.keep_apart(pass, &route);
             let history = self.history.clone();
-            let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
+            let placed =
+                places::text(self.gateway, &self.item.id, requirements, urgency, history).await;
             // The item may have been quarantined while it waited for a slot.
             if pass != Pass::Probe && self.is_quarantined(&route) {
                 continue;
             }
             let events_before = self.last_event();
             let key = placed.key;
-            match self.attempt(placed, need, &route).await {
+            match self.attempt(placed, requirements, &route).await {
                 AttemptResult::Complete => break,
                 AttemptResult::Retry => self.back_off(events_before).await,
                 AttemptResult::Failed => {
@@ -290,7 +291,7 @@
     }
 
     /// Placement requirements of the item.
-    fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
+    fn requirements(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
         let allowed_regions = homes::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
@@ -314,7 +315,12 @@
         self.specification.step.as_ref().map_or(0, |step| step.min_version)
     }
 
-    async fn attempt(&mut self, placed: Placed, need: Need, route: &Route) -> AttemptResult {
+    async fn attempt(
+        &mut self,
+        placed: Placed,
+        requirements: Need,
+        route: &Route,
+    ) -> AttemptResult {
         let Placed { server, fitness, counted, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(fitness, route) else {
@@ -361,7 +367,7 @@
         if first_event > 0 {
             self.gateway.metrics.items_resumed.inc();
         }
-        let reading = (need, route);
+        let reading = (requirements, route);
         let outcome = self.read_events(server, exchange, reading, sent_at, isolation).await;
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
@@ -436,7 +442,7 @@
         &mut self,
         server: &Rc<Server>,
         exchange: Exchange,
-        (need, route): (Need, &Route),
+        (requirements, route): (Need, &Route),
         sent_at: Moment,
         isolation: Option<Isolation>,
     ) -> Result<(), &'static str> {
@@ -468,10 +474,15 @@
                                 let delay = self.gateway.now().saturating_sub(sent_at);
                                 self.gateway.migration_cost.borrow_mut().record(delay);
                             }
-                            if self.should_migrate(server, &mut throughput, events, (need, route)) {
+                            if self.should_migrate(
+                                server,
+                                &mut throughput,
+                                events,
+                                (requirements, route),
+                            ) {
                                 break Err(OUTPACED);
                             }
-                            if self.must_leave_zone(server, &need) {
+                            if self.must_leave_zone(server, &requirements) {
                                 break Err(EVACUATED);
                             }
                         }
@@ -506,7 +517,7 @@
         server: &Server,
         throughput: &mut ThroughputMeter,
         events: usize,
-        (need, route): (Need, &Route),
+        (requirements, route): (Need, &Route),
     ) -> bool {
         let now = self.gateway.now();
         let Some(per_event) = throughput.record(now, events as u64) else {
@@ -524,16 +535,16 @@
         }
         let gain = {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.gain(now, &need, &server.id, per_event, remaining)
+            placer.gain(now, &requirements, &server.id, per_event, remaining)
         };
         gain.is_some_and(|gain| self.gateway.migration_cost.borrow().is_exceeded_by(gain))
     }
 
     /// Whether the server's zone is evacuated and another server can continue the text.
-    fn must_leave_zone(&self, server: &Server, need: &Need) -> bool {
+    fn must_leave_zone(&self, server: &Server, requirements: &Need) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
         placer.is_to_be_left(&server.id)
-            && placer.text(self.gateway.now(), need, &self.history).is_some()
+            && placer.text(self.gateway.now(), requirements, &self.history).is_some()
     }
 
     fn satisfies_versions(&self, route: &Route) -> bool {
--- a/crates/heronbend-gateway/src/batch/length_estimate.rs
+++ b/crates/heronbend-gateway/src/batch/length_estimate.rs
@@ -1,23 +1,22 @@
-//! How many events texts are expected to have, from callers' guesses in tokens, without I/O.
+//! Estimates the number of events in a text, without I/O.
 //!
-//! A guess is right in the median and may be far off. How many tokens an event holds is learnt from
-//! texts that became whole.
+//! Callers estimate the output of an item in tokens. Completed texts give the ratio of tokens to events.
 
 use super::specification::Item;
 
-/// Weight of a new text in the mean number of tokens in an event.
+/// Weight of a new sample in the moving average of tokens per event.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// A text that has outgrown its guess, or has none, is expected to grow by this share of itself.
+/// Expected further growth of a text that has no estimate or has exceeded it, relative to its length.
 const GROWTH_SHARE: f64 = 0.5;
 
-/// What is known of the lengths of texts.
+/// Converts token estimates to events with a ratio learned from completed texts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LengthEstimator {
     tokens_per_event: Option<f64>,
 }
 
 impl LengthEstimator {
-    /// Takes in the length of a whole text, in events.
+    /// Records the length of a completed text in events.
     pub fn record(&mut self, item: &Item, events: u64) {
         let Some(guess) = item.expected_tokens.filter(|_| events > 0) else {
             return;
@@ -27,7 +26,7 @@
         self.tokens_per_event = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
     }
 
-    /// Events that a text with so many already is expected to gain yet.
+    /// Number of events still expected for a text that has `events` already.
     pub fn expected_remaining(&self, item: &Item, events: u64) -> u32 {
         let guess = item.expected_tokens.zip(self.tokens_per_event);
         let guessed =
--- a/crates/heronbend-gateway/src/batch/result_log.rs
+++ b/crates/heronbend-gateway/src/batch/result_log.rs
@@ -1,8 +1,8 @@
-//! The log of a job's results, without I/O.
+//! The append-only log of a job's results, without I/O.
 //!
-//! The log is written in chunks with consecutive numbers from 0. Chunk n may be written only by
-//! somebody who knows chunks 0 to n - 1, under the condition that there is no chunk n. A result has
-//! its position once the chunk that holds it is known to be in the store, and keeps it for ever.
+//! The log consists of chunks numbered from 0. A daemon may write chunk n only if it knows chunks 0 to
+//! n - 1, with a create that fails if chunk n exists. A result is committed, and its position final, once
+//! its chunk is known to be in the store.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,9 +15,9 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum ItemState {
-    /// Its text is whole.
+    /// The text is complete.
     Done,
-    /// It was given up.
+    /// The item was given up.
     Terminated,
 }
 
@@ -26,30 +26,30 @@
     Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, musli::Encode, musli::Decode,
 )]
 pub struct ItemResult {
-    /// The item.
+    /// Identifier of the item.
     pub item: String,
-    /// How it ended.
+    /// Final state of the item.
     pub state: ItemState,
-    /// The data of all events, separated by line feeds; empty unless it is done.
+    /// Data of all events, separated by line feeds; empty unless the state is `Done`.
     pub text: String,
-    /// Versions of the weights that made an event of the text, ascending.
+    /// Weight versions that generated events of the text, ascending.
     pub versions: Vec<u64>,
-    /// Signature of the reward call's answer.
+    /// Signature in the response to the reward call, if the item has one.
     pub score: Option<String>,
 }
 
-/// Results from a position on, for a reader.
+/// A page of consecutive committed results.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResultsPage {
-    /// Items of the job.
+    /// Number of items in the job.
     pub total: usize,
-    /// Position of the first result.
+    /// Position of the first result in the page.
     pub from: usize,
     /// The results.
     pub results: Vec<Rc<ItemResult>>,
 }
 
-/// A chunk that is to be written.
+/// A chunk to be written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Chunk {
     /// Its number.
@@ -58,14 +58,14 @@
     pub results: Vec<Rc<ItemResult>>,
 }
 
-/// Most text bytes in one chunk; a chunk is one object, whose size is bounded.
+/// Maximum size of a chunk in bytes, below the object size limit.
 const MAX_CHUNK_BYTES: usize = 480 * 1024;
-/// Most text bytes in one page.
+/// Maximum size of a page in bytes.
 const MAX_PAGE_BYTES: usize = 900 * 1024;
-/// Bytes of a result apart from its text.
+/// Estimated size of a result without its text, in bytes.
 const RESULT_OVERHEAD: usize = 256;
 
-/// One daemon's view of a job's log.
+/// A daemon's view of the log of one job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ResultLog {
     results: Vec<Rc<ItemResult>>,
@@ -73,49 +73,49 @@
     chunks: u32,
     pending: Vec<Rc<ItemResult>>,
     writing: bool,
-    /// Whether the store may hold one chunk more than is known here.
+    /// Whether the store may hold one more chunk than this view.
     in_doubt: bool,
 }
 
 impl ResultLog {
-    /// Results whose position is settled.
+    /// Number of committed results.
     pub fn len(&self) -> usize {
         self.results.len()
     }
 
-    /// Whether no result is settled.
+    /// Whether no results are committed.
     pub fn is_empty(&self) -> bool {
         self.results.is_empty()
     }
 
-    /// Chunks known to be in the store.
+    /// Number of chunks known to be in the store.
     pub fn chunks(&self) -> u32 {
         self.chunks
     }
 
-    /// Whether an item's result is settled.
+    /// Whether the result of an item is committed.
     pub fn is_committed(&self, item: &str) -> bool {
         self.committed.contains(item)
     }
 
-    /// Whether an item's result is settled or waits to be written.
+    /// Whether the result of an item is committed or pending.
     pub fn has_result(&self, item: &str) -> bool {
         self.is_committed(item) || self.pending.iter().any(|pending| pending.item == item)
     }
 
-    /// Results that wait to be written.
+    /// Number of results that are not committed yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether so many results wait that the next chunk is half full. What comes last is to fit into
-    /// one chunk: a reader that sees a part of it looks again only after a rest.
+    /// Whether the pending results fill at least half a chunk. Writing at that point leaves room for the
+    /// final results to fit into one chunk, so that a reader receives them in one poll.
     pub fn is_chunk_half_full(&self) -> bool {
         let bytes = self.pending.iter().map(|result| result.text.len() + RESULT_OVERHEAD);
         bytes.sum::<usize>() >= MAX_CHUNK_BYTES / 2
     }
 
-    /// Settled results from a position on, as many as fit one answer.
+    /// Committed results from position `from`, limited by size; at least one if any exists.
     pub fn page(&self, from: usize) -> Vec<Rc<ItemResult>> {
         let mut bytes = 0;
         let mut page = Vec::new();
@@ -129,7 +129,7 @@
         page
     }
 
-    /// Adds a result that is to be written; one of an item that has a result already is dropped.
+    /// Adds a pending result. Ignored if the item already has a result.
     pub fn add(&mut self, result: ItemResult) {
         let is_pending = self.pending.iter().any(|pending| pending.item == result.item);
         if !is_pending && !self.is_committed(&result.item) {
@@ -137,10 +137,10 @@
         }
     }
 
-    /// The next chunk to write, unless one is being written or nothing waits.
+    /// Returns the next chunk to write, or `None` if a write is in progress or no result is pending.
     ///
-    /// Until [`ResultLog::settle`] or [`ResultLog::write_failed`] is called, no further chunk is
-    /// given out: a chunk whose outcome is unknown has to be written, or read, before the next one.
+    /// The write remains in progress until [`ResultLog::commit`] or [`ResultLog::write_failed`] is
+    /// called.
     pub fn start_write(&mut self) -> Option<Chunk> {
         if self.writing || self.pending.is_empty() {
             return None;
@@ -155,19 +155,19 @@
         Some(Chunk { number: self.chunks, results: self.pending[..count].to_vec() })
     }
 
-    /// Notes that a chunk could not be written; `is_unknown` where it may have been, or may be yet.
+    /// Records a failed write. `is_unknown` means that the write may have taken effect or still may.
     pub fn write_failed(&mut self, is_unknown: bool) {
         self.writing = false;
         self.in_doubt |= is_unknown;
     }
 
-    /// Whether the store may hold a chunk that is not known here, and that others may have read.
+    /// Whether the store may hold a chunk that is missing here but visible to other daemons.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
 
-    /// Notes that a chunk, of whichever writer, is in the store. Chunks come in order; one that is
-    /// known already is passed over, and one after a gap is not taken in.
+    /// Records that a chunk by any writer is in the store. A chunk that is already known is ignored.
+    /// Returns false, and ignores the chunk, if an earlier one is missing.
     pub fn commit(&mut self, number: u32, results: Vec<Rc<ItemResult>>) -> bool {
         if number != self.chunks {
             return number < self.chunks;
@@ -185,7 +185,7 @@
         true
     }
 
-    /// Takes in results that another daemon has settled, up to chunk number `chunks`.
+    /// Appends results committed by another daemon, after which the log has `chunks` chunks.
     pub fn extend(&mut self, results: Vec<Rc<ItemResult>>, chunks: u32) {
         if chunks <= self.chunks {
             return;
--- a/crates/heronbend-gateway/src/batch/results_reader.rs
+++ b/crates/heronbend-gateway/src/batch/results_reader.rs
@@ -1,7 +1,7 @@
-//! Reading results and items, at any daemon.
+//! Serves results and items of any job to callers and peers.
 //!
-//! A reader gets results whose position is settled, from what this daemon knows, else from the
-//! owner, else from the store. Settled results never change, so an older view is a true prefix.
+//! Only committed results are returned: from the local log if it has them, otherwise from the owner or
+//! the store. Committed results never change, so a stale local log is a valid prefix.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,22 +22,22 @@
 use crate::ports::{ObjectStore, StoreError};
 use crate::wait;
 
-/// Why nothing can be read.
+/// Error of [`results`] and [`item`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// There is no such job or item.
+    /// There is no such job or item, or the caller may not see it.
     NotFound,
-    /// It cannot be told now.
+    /// Neither the owner nor the store can answer at present.
     Unavailable,
 }
 
-/// Rest between two looks at the store for a job whose owner cannot be asked.
+/// Interval between reads of the store if the owner cannot be reached.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Rest between two calls to an owner, which tells of results before the reader's position as well.
+/// Delay between consecutive calls to the owner.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Results from a position on; waits for one until `wait_until`.
+/// Returns results from position `from`. Waits until `wait_until` for the first one (long poll).
 pub async fn results(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -62,7 +62,7 @@
             job.long_poll_until.set(Moment::ZERO);
             continue;
         }
-        // An owner holds a call until it has news; the store answers at once.
+        // The owner answers as a long poll; the store answers immediately.
         let poll_interval = match ask_owner(gateway, &job, from, remaining).await {
             Some(page) => {
                 let page = page?;
@@ -84,18 +84,18 @@
     }
 }
 
-/// What is known here from a position on.
+/// Results in the local log from position `from`.
 fn local_page(job: &Job, from: usize) -> Result<ResultsPage, ReadError> {
     let log = job.log.borrow();
     if from > log.len() {
-        // The reader has seen more than is known here.
+        // The caller has already seen more results than the local log holds.
         return Err(ReadError::Unavailable);
     }
     Ok(ResultsPage { total: job.total, from, results: log.page(from) })
 }
 
-/// Asks the owner of a job that runs elsewhere for results from a position on, and for no others:
-/// texts are long, and their bytes between zones have a price. Nothing when it cannot tell.
+/// Asks a remote owner for results from position `from`. Earlier results are not requested, to limit
+/// traffic between zones. Returns `None` if the owner cannot answer.
 async fn ask_owner(
     gateway: &Gateway,
     job: &Job,
@@ -125,7 +125,7 @@
     Some(Ok(ResultsPage { total: job.total, from, results }))
 }
 
-/// Brings the log of a job up to date from the store.
+/// Updates the local log from the store.
 async fn catch_up(gateway: &Gateway, job: &Job) -> Result<(), ReadError> {
     appender::catch_up(gateway, job).await.map_err(|error| {
         log::warn!("event=results_not_read job={} error=\"{error}\"", job.id);
@@ -133,7 +133,7 @@
     })
 }
 
-/// Answers a peer that reads a job which runs here.
+/// Answers a read from a peer for a job that runs on this daemon.
 pub async fn answer_peer(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -161,7 +161,7 @@
     PeerReply::Results { results, settled: log.len(), chunks: log.chunks() }
 }
 
-/// The body of an item.
+/// Returns the decoded body of an item.
 pub async fn item(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -177,7 +177,7 @@
     item_body(&specification, item).ok_or(ReadError::NotFound)
 }
 
-/// A job that is known here or in the store. One of another tenant is as good as none.
+/// Finds a job that is visible to the caller. A job of another tenant is reported as not found.
 async fn find_visible(gateway: &Gateway, id: &str, caller: &Caller) -> Result<Rc<Job>, ReadError> {
     let job = find(gateway, id).await?;
     job.is_visible_to(caller).then_some(job).ok_or(ReadError::NotFound)
--- a/crates/heronbend-gateway/src/batch/reward_limit.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -43,8 +43,8 @@
 /// Reward calls that this daemon may have under way at a service: its part of what those that run
 /// jobs may have together.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
-    let need = places::need(gateway, service, None, None);
-    let slots = gateway.directory.borrow().placer.slots(gateway.now(), &need);
+    let requirements = places::need(gateway, service, None, None);
+    let slots = gateway.directory.borrow().placer.slots(gateway.now(), &requirements);
     let jobs = gateway.jobs.all();
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
     let owners: BTreeSet<_> = open.map(|job| job.owner()).collect();
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -1,4 +1,4 @@
-//! Taking in batch jobs, and ending them.
+//! Accepts batch jobs from callers, and ends them on request.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,26 +28,26 @@
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
 
-/// Room that an object needs apart from a specification's own bytes.
+/// Bytes reserved in an object for metadata besides the specification.
 const OBJECT_OVERHEAD: usize = 4 * 1024;
 
-/// Why a job was not taken in.
+/// Error of [`submit`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitError {
-    /// It is not well formed.
+    /// The specification is invalid; the text lists the problems.
     Malformed(String),
-    /// It is larger than the store takes.
+    /// The specification exceeds the object size limit of the store.
     TooLarge,
-    /// Nothing of it runs, now or later.
+    /// The job was not accepted and will not run.
     Unavailable,
-    /// Its identifier is that of another tenant's job.
+    /// Another tenant has a job with the same identifier.
     IdInUse,
-    /// It may have been taken in.
+    /// The outcome is unknown: the job may have been accepted.
     Unknown,
 }
 
 impl SubmitError {
-    /// The status that tells a caller.
+    /// The HTTP status reported to the caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -59,7 +59,9 @@
     }
 }
 
-/// Takes a job in; when this returns without an error, all of it is kept and will be run.
+/// Accepts a job. On success the job is durable and will run.
+///
+/// Store operations are retried until `deadline`. Submitting a job again is idempotent.
 pub async fn submit(
     gateway: &Rc<Gateway>,
     specification: JobSpecification,
@@ -84,7 +86,7 @@
     loop {
         match gateway.store.create(SPECIFICATIONS, &specification.id, content.clone()).await {
             Ok(_) => break,
-            // Handed in before, here or at another daemon.
+            // Submitted before, to this daemon or another one.
             Err(StoreError::Conflict(object)) => {
                 if object.is_some_and(|object| is_of_other_tenant(&object, &specification)) {
                     return Err(SubmitError::IdInUse);
@@ -109,7 +111,7 @@
     create_ownership(gateway, Rc::new(specification), deadline).await
 }
 
-/// Whether a job in the store belongs to another tenant than `specification`.
+/// Whether a stored specification belongs to another tenant, or cannot be decoded.
 fn is_of_other_tenant(object: &Object, specification: &JobSpecification) -> bool {
     match serde_json::from_value::<JobSpecification>(object.content.clone()) {
         Ok(known) => known.tenant != specification.tenant,
@@ -123,14 +125,14 @@
 fn validate(specification: &JobSpecification) -> Result<(), SubmitError> {
     let mut problems = Vec::new();
     if specification.items.is_empty() {
-        problems.push("there are no items".to_owned());
+        problems.push("the job has no items".to_owned());
     }
     for item in &specification.items {
         if !is_base64(&item.body) {
             problems.push(format!("item {}: the body is not base64", item.id));
         }
         if item.path.parse::<http::Uri>().is_err() {
-            problems.push(format!("item {}: the path is malformed", item.id));
+            problems.push(format!("item {}: the path is not a valid URI", item.id));
         }
     }
     if problems.is_empty() {
@@ -140,7 +142,7 @@
     }
 }
 
-/// Makes the job's ownership. From then on it is run, whatever becomes of this daemon.
+/// Creates the ownership object of a job. From then on the job runs even if this daemon fails.
 async fn create_ownership(
     gateway: &Rc<Gateway>,
     specification: Rc<JobSpecification>,
@@ -188,7 +190,7 @@
     }
 }
 
-/// Has a job that was handed in a moment ago run by its owner.
+/// Starts a newly submitted job on its owner, which may be a peer.
 fn dispatch(
     gateway: &Rc<Gateway>,
     ownership: Ownership,
@@ -217,7 +219,9 @@
     executor.spawn(request_run).detach();
 }
 
-/// Runs a job that has no results yet.
+/// Starts a newly submitted job on this daemon.
+///
+/// Refuses jobs of peers while this daemon is draining or cannot reach the store.
 pub fn run_here(
     gateway: &Rc<Gateway>,
     ownership: Ownership,
@@ -225,7 +229,6 @@
     specification: JobSpecification,
     is_submitted_here: bool,
 ) -> PeerReply {
-    // For a job that was handed in at this daemon itself there is nobody to refuse to.
     let accepts_jobs = !gateway.draining.get() && gateway.store.is_reached();
     if ownership.owner != gateway.identity.node || !(accepts_jobs || is_submitted_here) {
         return PeerReply::NotOwner;
@@ -238,8 +241,8 @@
     PeerReply::Running
 }
 
-/// Who runs a job. The jobs of one model are run by one daemon, where that is possible: it knows
-/// what it has sent to each server, and its connections serve one step after the other.
+/// Selects the owner of a new job. Jobs of one model preferably share an owner, which can then track the
+/// load of the model's servers and reuse connections.
 fn choose_owner(
     gateway: &Gateway,
     specification: &JobSpecification,
@@ -256,7 +259,7 @@
     chosen.unwrap_or(this_node)
 }
 
-/// The regions in which a job may run.
+/// The regions in which a job may run; `None` if unrestricted.
 fn allowed_regions(
     gateway: &Gateway,
     specification: &JobSpecification,
@@ -267,7 +270,7 @@
     homes::of(&configuration, route, &owner)
 }
 
-/// Who runs the newest job of each model.
+/// The owner of the newest job of each model.
 fn model_owners(gateway: &Gateway) -> Vec<ModelOwner> {
     let mut newest: BTreeMap<String, (Moment, NodeId)> = BTreeMap::new();
     for job in gateway.jobs.all() {
@@ -283,16 +286,18 @@
     newest.into_iter().map(|(model, (_, owner))| ModelOwner { model, owner }).collect()
 }
 
-/// Why a job could not be ended.
+/// Error of [`end`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndError {
     /// There is no such job.
     NoSuchJob,
-    /// The store does not answer.
+    /// The store could not record the end in time.
     Unavailable,
 }
 
-/// Ends a job; when this returns without an error, nothing of it is begun any more.
+/// Ends a job. On success no further items are started.
+///
+/// Store operations are retried until `deadline`.
 pub async fn end(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -304,7 +309,7 @@
         match try_end(gateway, id, caller).await {
             Ok(true) => return Ok(()),
             Ok(false) => return Err(EndError::NoSuchJob),
-            // It changed hands meanwhile: the newer ownership is known now.
+            // The ownership changed concurrently; retry with the newer revision.
             Err(StoreError::Conflict(Some(object))) => {
                 gateway.jobs.upsert_object(&object);
                 failures += 1;
@@ -322,7 +327,7 @@
     }
 }
 
-/// Whether the job was ended; false when there is none.
+/// Tries once to end a job. Returns false if there is no job visible to the caller.
 async fn try_end(gateway: &Rc<Gateway>, id: &str, caller: &Caller) -> Result<bool, StoreError> {
     let job = match gateway.jobs.get(id) {
         Some(job) => job,
@@ -340,7 +345,7 @@
     if job.ended.get() && job.ownership.borrow().0.ended {
         return Ok(true);
     }
-    // Begin nothing more, whether or not the store answers.
+    // Stop locally even if the store cannot be reached.
     job.end(gateway.now());
     let (ownership, revision) = job.ownership.borrow().clone();
     if ownership.ended {
@@ -350,12 +355,12 @@
     let content = json!(ownership);
     let object = gateway.store.replace(OWNERSHIPS, id, content, Condition::At(revision)).await?;
     gateway.jobs.upsert_object(&object);
-    // Its owner stops at once, and nobody takes it for a job that lacks one later.
+    // The owner stops immediately, and no daemon adopts the job later.
     ownership_manager::announce(gateway, id, &ownership, object.revision, false);
     Ok(true)
 }
 
-/// Ends a job that was written but never acknowledged.
+/// Ends a job whose specification was written but whose ownership was not.
 async fn end_unowned(gateway: &Rc<Gateway>, id: &str, caller: &Caller) -> Result<bool, StoreError> {
     let Some(object) = gateway.store.get(SPECIFICATIONS, id).await? else {
         return Ok(false);
@@ -374,7 +379,7 @@
     Ok(true)
 }
 
-/// The body of an item, decoded.
+/// The decoded body of an item, or `None` if the job has no such item.
 pub fn item_body(specification: &JobSpecification, item: &str) -> Option<Bytes> {
     specification.items.iter().find(|known| known.id == item).map(|item| item.decoded_body())
 }
--- a/crates/heronbend-gateway/src/batch/throughput.rs
+++ b/crates/heronbend-gateway/src/batch/throughput.rs
@@ -1,29 +1,29 @@
-//! How fast a server makes the events of a text.
+//! Measures how fast a server generates the events of a text.
 
 use std::time::Duration;
 
 use heronbend::Moment;
 
-/// Events after which a server's pace is judged anew.
+/// Number of events in a full sample.
 const SAMPLE_EVENTS: u64 = 8;
-/// Time after which it is judged by fewer: a slow server takes long for that many.
+/// Time after which a sample is closed early, so that slow servers are detected soon.
 const MAX_SAMPLE_TIME: Duration = Duration::from_millis(420);
-/// Events that it takes at least.
+/// Minimum number of events in a sample.
 const MIN_SAMPLE_EVENTS: u64 = 2;
 
-/// Measures the time that a server takes for an event.
+/// Measures the mean time between events in consecutive samples.
 pub struct ThroughputMeter {
     started: Moment,
     events: u64,
 }
 
 impl ThroughputMeter {
-    /// A meter that begins now.
+    /// Starts a sample at `now`.
     pub fn new(now: Moment) -> Self {
         Self { started: now, events: 0 }
     }
 
-    /// The mean time for an event, once enough have come.
+    /// Records new events. Returns the mean time per event when a sample is complete.
     pub fn record(&mut self, now: Moment, events: u64) -> Option<Duration> {
         self.events += events;
         let elapsed = now.saturating_sub(self.started);
