--- a/crates/heronbend-gateway/src/batch/adoption.rs
+++ b/crates/heronbend-gateway/src/batch/adoption.rs
@@ -1,36 +1,35 @@
-//! When a daemon takes over the job of another one that is lost to it.
+//! Decides when a daemon takes over the job of a lost owner, without I/O.
 //!
-//! Views of who is alive differ from daemon to daemon, the more the more daemons there are. A job that
-//! is taken from an owner that is well is run twice for a time, so an owner that only stopped
-//! answering probes is asked before its job is taken.
+//! Membership views differ between daemons. Adopting the job of a healthy owner would run it twice for a
+//! while, so an owner that merely stopped answering probes is asked first.
 
 use std::time::Duration;
 
 use crate::peers::Standing;
 
-/// Time that each daemon in line for a lost daemon's job is given before the next one takes it over.
+/// Time that each daemon in the takeover order has before it is the next one's turn.
 const TURN_DELAY: Duration = Duration::from_millis(800);
-/// Time after which the owner of a job is taken for lost if nothing was heard of it: it may have
-/// started a moment ago, and the rumour of it takes some periods of the failure detector.
+/// Time after which an owner that is not in the membership view counts as lost. Gossip about a newly
+/// started daemon takes several probe periods to spread.
 const UNKNOWN_OWNER_GRACE: Duration = Duration::from_secs(4);
 
-/// Why a job changes hands.
+/// Reason for adopting a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AdoptionReason {
-    /// Its owner has not answered for some time.
+    /// The owner has stopped answering probes.
     Silent,
-    /// Its owner's run has certainly ended.
+    /// The owner's incarnation has ended.
     Ended,
-    /// Nobody has told of its owner.
+    /// The owner is not in the membership view.
     Unknown,
-    /// It was run by an earlier run of this daemon.
+    /// The owner is an earlier incarnation of this daemon.
     EarlierRun,
-    /// The daemon that was to run it refused.
+    /// The selected owner refused the job.
     Refused,
 }
 
 impl AdoptionReason {
-    /// Its name in logs and metrics.
+    /// The reason as it appears in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -41,15 +40,16 @@
         }
     }
 
-    /// Whether the owner may be well, and is to be asked first.
+    /// Whether the owner may be healthy and has to be asked first.
     pub fn needs_confirmation(self) -> bool {
         self == Self::Silent
     }
 }
 
-/// Why the daemon at a place in line, counted from 0, takes a job over whose owner has been lost to it
-/// for so long, if it is its turn. Those behind the first wait for it: it may not know the job yet, or
-/// may be cut off from the store without the others knowing.
+/// Returns why the daemon at `position` in the takeover order should adopt a job, or `None` if it is not its
+/// turn. `lost_for` is the time since it first saw the owner as lost.
+///
+/// Later daemons wait in case the first does not know the job or cannot reach the store.
 pub fn reason_for_position(
     owner: Standing,
     lost_for: Duration,
--- a/crates/heronbend-gateway/src/batch/checkpoint.rs
+++ b/crates/heronbend-gateway/src/batch/checkpoint.rs
@@ -1,10 +1,9 @@
-//! Texts under way, saved now and then: a daemon that takes a job over goes on with them.
+//! Checkpoints of texts in progress, from which a new owner of a job continues.
 //!
-//! A checkpoint holds the events that long texts have gained since the one before it, each with the
-//! version of the weights that made it. It promises nothing: a text that is lost, or saved in part, is
-//! made again from where the saved part ends. So checkpoints need no order among writers and no
-//! condition. Several daemons may save texts of one job, each of its own runs: a segment says by a
-//! digest which events it continues, and is joined to those alone.
+//! A checkpoint is incremental: it holds the events added to long texts since the previous one, each with
+//! the weight version that generated it. Checkpoints are best effort; events that are not saved are
+//! generated again. Writers need no coordination, even if several daemons save texts of the same job:
+//! each segment carries a digest of the events before it and is joined only to those.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,20 +20,20 @@
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
 
-/// Time between two checkpoints of a job: what a new owner has to make again at most.
+/// Interval between checkpoints of a job.
 const PERIOD: Duration = Duration::from_millis(1000);
-/// Most checkpoints in one period.
+/// Maximum number of checkpoint objects written per interval.
 const MAX_PER_PERIOD: usize = 3;
 
-/// What the kinds of checkpoints begin with.
+/// Prefix of the object kinds of checkpoints.
 pub const CHECKPOINTS_KIND_PREFIX: &str = "heronbend-progress";
 
-/// Kind of a job's checkpoints.
+/// Object kind of the checkpoints of a job.
 pub fn kind(job: &str) -> String {
     format!("{CHECKPOINTS_KIND_PREFIX}-{job}")
 }
 
-/// Saves a job's texts for as long as this daemon runs it.
+/// Periodically saves the texts of a job while this daemon runs it.
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     loop {
         Timer::after(PERIOD).await;
@@ -47,18 +46,18 @@
     }
 }
 
-/// Writes one checkpoint; false when it may not have been written.
+/// Writes one checkpoint. Returns false if the write failed or its outcome is unknown.
 async fn save(gateway: &Gateway, job: &Job, segments: &[Segment]) -> bool {
     let node = &gateway.identity.node;
-    // A name is not used again: a write that failed may have been done, or may be yet, and the job
-    // may come back to this daemon.
+    // Names are never reused: a failed write may still take effect, and the job may return to this
+    // daemon.
     let number = job.next_checkpoint.replace(job.next_checkpoint.get() + 1);
     let name = format!("{}-{}-{number:06}", node.name, node.incarnation.0);
     let written =
         gateway.store.create(&kind(&job.id), &name, json!({ "segments": segments })).await;
     match &written {
         Ok(_) => job.texts.borrow_mut().mark_saved(segments),
-        // The same events go into the next one.
+        // The next checkpoint includes the same events.
         Err(error) => log::warn!(
             "event=checkpoint_not_written job={} name={name} texts={} error=\"{error}\"",
             job.id,
@@ -77,7 +76,7 @@
     job.texts.borrow().unsaved(|item| log.is_committed(&specification.items[item].id))
 }
 
-/// Restores the texts that former owners of a job have saved.
+/// Restores the texts saved by former owners of a job.
 pub async fn restore(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     let (objects, _) = list_all(gateway, &kind(&job.id)).await?;
     let segments: Vec<Segment> = objects.iter().flat_map(segments).collect();
@@ -94,7 +93,7 @@
     Ok(())
 }
 
-/// The segments of a checkpoint; one that cannot be understood is passed over.
+/// Decodes the segments of a checkpoint. A malformed checkpoint is logged and skipped.
 fn segments(object: &Object) -> Vec<Segment> {
     Vec::deserialize(&object.content["segments"]).unwrap_or_else(|error| {
         log::warn!("event=checkpoint_malformed name={} error=\"{error}\"", object.name);
--- a/crates/heronbend-gateway/src/batch/digest.rs
+++ b/crates/heronbend-gateway/src/batch/digest.rs
@@ -1,21 +1,20 @@
-//! Digests by which a segment of a text says which events it continues.
+//! Chained digests of texts, used to match a segment to the events that it continues.
 
 use rapidhash::v3::rapidhash_v3;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Stands for all events of a text up to one of them, with the versions that made them.
+/// Digest of a prefix of a text: its events and the weight versions that generated them.
 ///
-/// Two runs of one item number their events alike, so a number alone does not tell what comes
-/// before it. Texts of which one digest agrees agree in all events before it.
+/// Event numbers alone do not identify a prefix, since every run of an item numbers its events from 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// Of a text without events.
+    /// Digest of an empty text.
     pub const EMPTY: Self = Self(0);
 
-    /// The digest after one more event.
+    /// Returns the digest of the prefix extended by one event.
     pub fn chain(self, event: &str, version: u64) -> Self {
         let mut bytes = Vec::with_capacity(event.len() + 16);
         bytes.extend_from_slice(&self.0.to_le_bytes());
--- a/crates/heronbend-gateway/src/batch/job_texts.rs
+++ b/crates/heronbend-gateway/src/batch/job_texts.rs
@@ -1,4 +1,4 @@
-//! The texts of one job that is being run here, and how much of them is in checkpoints.
+//! Texts of a running job and how much of each is saved in checkpoints.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -8,28 +8,28 @@
 use super::event_stream::ItemText;
 use super::segment::Segment;
 
-/// Texts that are shorter are made again in less time than the others need anyway.
+/// Minimum number of events of a text to be saved. Shorter texts are cheap to generate again.
 const MIN_EVENTS: u64 = 16;
-/// Most bytes of events in one checkpoint, which is one object. The rest goes into the next one.
+/// Maximum size of the events in one checkpoint in bytes, below the object size limit.
 const MAX_BYTES: usize = 400 * 1024;
 
-/// How much of a text is in checkpoints.
+/// The prefix of a text that is saved in checkpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct SavedPrefix {
-    /// Number of the last event that is saved.
+    /// Number of the last saved event.
     pub events: u64,
-    /// The digest of the text up to that event.
+    /// Digest of the text up to that event.
     pub digest: Digest,
 }
 
 impl SavedPrefix {
-    /// All of a text.
+    /// The prefix that covers a whole text.
     pub fn all_of(text: &ItemText) -> Self {
         let events = text.last_event();
         Self { events, digest: text.digest_at(events).unwrap_or_default() }
     }
 
-    /// What is saved once a segment is.
+    /// The prefix that ends with a segment.
     pub fn through(segment: &Segment) -> Self {
         let events = segment.events.iter().zip(&segment.versions);
         let digest =
@@ -37,34 +37,34 @@
         Self { events: segment.after + segment.events.len() as u64, digest }
     }
 
-    /// What a text has gained: all of it where it was begun anew since.
+    /// The events of a text after this prefix, or all events if the text no longer starts with it.
     pub fn unsaved(&self, item: usize, text: &ItemText) -> Segment {
         let continues = text.digest_at(self.events) == Some(self.digest);
         text.segment(item, if continues { self.events } else { 0 })
     }
 }
 
-/// The texts of one job that is being run here, by position of their item.
+/// Texts of a running job, by position of the item.
 #[derive(Debug, Default)]
 pub struct JobTexts {
     texts: Vec<Rc<RefCell<ItemText>>>,
-    /// What of each text is in checkpoints.
+    /// Saved prefix of each text.
     saved: Vec<SavedPrefix>,
 }
 
 impl JobTexts {
-    /// Empty texts for so many items.
+    /// Creates empty texts for `items` items.
     pub fn new(items: usize) -> Self {
         let texts = (0..items).map(|_| Rc::default()).collect();
         Self { texts, saved: vec![SavedPrefix::default(); items] }
     }
 
-    /// The text of an item.
+    /// Returns the text of an item; a new empty one if the position is out of range.
     pub fn get(&self, item: usize) -> Rc<RefCell<ItemText>> {
         self.texts.get(item).cloned().unwrap_or_default()
     }
 
-    /// Sets each text to the longest one that the segments of one or more writers make.
+    /// Sets each text to the longest one that can be assembled from segments of any writers.
     pub fn restore(&mut self, segments: &[Segment]) {
         for (item, text) in self.texts.iter().enumerate() {
             let item_segments: Vec<&Segment> =
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Events that each text has.
+    /// Number of events in each text.
     pub fn event_counts(&self) -> impl Iterator<Item = u64> + '_ {
         self.texts.iter().map(|text| text.borrow().last_event())
     }
 
-    /// What long texts have gained since they were saved last, the longest first, as much as fits one
-    /// checkpoint.
+    /// Unsaved events of texts that are long enough and not committed: longest texts first, as many as fit
+    /// into one checkpoint.
     pub fn unsaved(&self, is_committed: impl Fn(usize) -> bool) -> Vec<Segment> {
         let length = |item: usize| self.texts[item].borrow().last_event();
         let is_saved = |item: usize| {
@@ -109,7 +109,7 @@
         segments
     }
 
-    /// Notes that segments are in the store.
+    /// Records that segments are in the store.
     pub fn mark_saved(&mut self, segments: &[Segment]) {
         for segment in segments {
             self.saved[segment.item] = SavedPrefix::through(segment);
@@ -117,7 +117,7 @@
     }
 }
 
-/// The longest text that segments make from a known one, in whatever order they come.
+/// Returns the longest text that can be assembled from a known one and segments in any order.
 pub fn longest_text(known: &ItemText, mut segments: Vec<&Segment>) -> ItemText {
     let mut branches = vec![known.clone()];
     loop {
@@ -130,7 +130,7 @@
     branches.into_iter().max_by_key(ItemText::last_event).unwrap_or_default()
 }
 
-/// Adds a segment to the texts that were made so far; false where none has the events that it follows.
+/// Adds a segment to the candidate texts. Returns false if it continues none of them.
 fn extend_branches(branches: &mut Vec<ItemText>, segment: &Segment) -> bool {
     let Some(extended) = branches.iter().find_map(|text| text.continued_by(segment)) else {
         return false;
--- a/crates/heronbend-gateway/src/batch/owner_selection.rs
+++ b/crates/heronbend-gateway/src/batch/owner_selection.rs
@@ -1,7 +1,7 @@
-//! Which daemon runs a job, without I/O.
+//! Selects the daemon that runs a job, without I/O.
 //!
-//! Whoever runs a job reads every event of its texts. Where some daemons have much more processor
-//! than others, these run the jobs; the others take one over only when none of these is left.
+//! The owner of a job reads every event of its texts. If some daemons have much more CPU than others,
+//! those run the jobs, and the small ones take over only when no large daemon is left.
 
 use std::cmp::Reverse;
 
@@ -14,14 +14,12 @@
 /// The owner of a model's newest job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelOwner {
-    /// The model.
     pub model: String,
-    /// The daemon that runs its newest job.
+    /// The daemon that runs the newest job of the model.
     pub owner: NodeId,
 }
 
-/// The daemons in the order in which they take a job over: large ones first, and among these an
-/// order that differs from job to job.
+/// Order in which daemons take over a job: large ones first, then by rendezvous hash.
 pub fn takeover_order(job: &str, candidates: &[Candidate]) -> Vec<NodeId> {
     let large_nodes = large_nodes(candidates);
     let mut order: Vec<&Candidate> = candidates.iter().collect();
@@ -32,9 +30,11 @@
     order.into_iter().map(|candidate| candidate.node.clone()).collect()
 }
 
-/// Who runs a new job of a model. The jobs of one model stay with one daemon, which knows what it has
-/// sent to each server; of two models at one daemon the later by name moves to one that runs none,
-/// where there is such.
+/// Selects the owner of a new job of a model, or `None` without candidates.
+///
+/// Jobs of one model stay with one large daemon, which can track the load of the model's servers. If
+/// several models share a daemon, all but the first by name move to a large daemon without a model, if
+/// there is one.
 pub fn select_owner(
     model: &str,
     candidates: &[Candidate],
--- a/crates/heronbend-gateway/src/batch/ownership.rs
+++ b/crates/heronbend-gateway/src/batch/ownership.rs
@@ -1,4 +1,4 @@
-//! Who runs a job, and whether it has ended.
+//! The owner of a job and whether the job has ended.
 
 use std::collections::BTreeSet;
 
@@ -6,35 +6,35 @@
 use heronbend::identity::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// A job as all daemons know it: a small object beside its specification.
+/// Shared state of a job: a small object stored next to its specification.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, musli::Encode, musli::Decode)]
 pub struct Ownership {
-    /// The run of the daemon that runs it.
+    /// The daemon, and its incarnation, that runs the job.
     pub owner: NodeId,
-    /// Number of its items.
+    /// Number of items in the job.
     pub total: usize,
-    /// The model that it needs, if any.
+    /// The model that the job requires, if any.
     #[serde(default)]
     #[musli(default)]
     pub model: Option<String>,
-    /// Tokens that are expected to come out of all items together.
+    /// Expected output of all items together, in tokens.
     #[serde(default)]
     #[musli(default)]
     pub expected_tokens: u64,
-    /// The tenant that it belongs to, if any.
+    /// The tenant that submitted the job, if any.
     #[serde(default)]
     #[musli(default)]
     pub tenant: Option<String>,
-    /// The regions in which it may run; anywhere where there are none.
+    /// The regions in which the job may run; `None` if unrestricted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[musli(default)]
     pub homes: Option<BTreeSet<String>>,
-    /// Whether its caller has ended it: nothing of it is run any more.
+    /// Whether the caller has ended the job. No further items are run.
     pub ended: bool,
 }
 
 impl Ownership {
-    /// The ownership of a job that nobody has run yet.
+    /// Creates the ownership of a new job.
     pub fn new(
         specification: &JobSpecification,
         owner: NodeId,
@@ -53,19 +53,19 @@
     }
 }
 
-/// Which of the daemons that are alive takes over a job: the first in an order that differs from
-/// job to job, so that the jobs of a lost daemon are spread.
+/// Selects the live daemon that takes over a job by rendezvous hashing, so that the jobs of a lost daemon
+/// are spread over the others.
 pub fn successor<'a>(job: &str, alive: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     alive.max_by_key(|node| rendezvous_weight(job, node))
 }
 
-/// The place of a daemon, counted from 0, among those that may take a job over.
+/// Position of a daemon in the takeover order of a job, counted from 0.
 pub fn takeover_position(job: &str, me: &NodeId, alive: &[NodeId]) -> usize {
     let mine = rendezvous_weight(job, me);
     alive.iter().filter(|node| rendezvous_weight(job, node) > mine).count()
 }
 
-/// What the order for a job goes by; the largest comes first.
+/// Rendezvous hash of a job and a daemon. The daemon with the largest value comes first.
 pub(crate) fn rendezvous_weight(job: &str, node: &NodeId) -> (u64, NodeId) {
     let key = format!("{job}/{}", node.name);
     (rapidhash::v3::rapidhash_v3(key.as_bytes()), node.clone())
--- a/crates/heronbend-gateway/src/batch/ownership_manager.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_manager.rs
@@ -1,9 +1,9 @@
-//! Keeps track of who runs which job, and takes over the jobs of daemons that are lost.
+//! Tracks the owner of each job and takes over the jobs of lost daemons.
 //!
-//! Ownerships are told by hint when they are written. Hints may be lost, so the daemons that watch
-//! the store for others list them at the start, after an outage and now and then, and tell the
-//! others; a few list when a daemon was lost. An owner looks at its own job's object while it runs
-//! it, so that an end that was recorded elsewhere is known in time.
+//! Ownership changes are announced by hints. Since hints may be lost, the daemons that watch the store
+//! list all ownerships at startup, after an outage and periodically, and pass them on to the other
+//! daemons. A few daemons also list them after a daemon is lost. An owner polls the objects of the jobs
+//! that it runs, to notice an end that was recorded elsewhere.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,27 +28,27 @@
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
 use crate::wait;
 
-/// Time between two looks for jobs without a living owner.
+/// Interval between checks for jobs without a live owner.
 const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks of an owner at its job's object. Bounds how long items of a job that was
-/// ended elsewhere still go out when the hint was lost.
+/// Interval between an owner's reads of its job's object. Bounds how long items of an ended job are still
+/// sent if the hint is lost.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(1300);
-/// Longest time between two lists.
+/// Maximum time between two loads of all ownerships.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(20);
-/// Wait after a daemon was lost, so that one list serves for several that are lost together.
+/// Delay between loads, so that one load serves several losses.
 const LOSS_BATCHING_WINDOW: Duration = Duration::from_millis(300);
-/// Daemons that list after others were lost: always the same ones, so that a loss of many costs few
-/// lists.
+/// Number of daemons that load the ownerships after a loss. The same daemons are selected for every loss,
+/// so that simultaneous losses cause few loads.
 const RELOADING_DAEMONS: usize = 3;
-/// What the order of those goes by.
+/// Key of the rendezvous hash that selects those daemons.
 const RELOAD_ORDER_KEY: &str = "ownerships";
-/// Time in which the daemon that took a job in passes it on to its owner. After it the owner starts
-/// the job by itself: the other one may be lost.
+/// Time allowed for the daemon that accepted a job to hand it to its owner. Afterwards the owner starts
+/// the job from the store.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time that a daemon which is taken for lost is given to say that it runs its job.
+/// Timeout for asking a suspected owner whether it still runs its job.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Learns the ownerships whenever hints may have been missed.
+/// Loads the ownerships whenever hints may have been missed. Runs for the lifetime of the daemon.
 pub async fn follow(gateway: Rc<Gateway>) {
     gateway.members.introduction.wait().await;
     let mut failures = 0;
@@ -81,8 +81,8 @@
     }
 }
 
-/// Learns the ownerships from a daemon that has listed them, where this one follows such; from the
-/// store otherwise, and where they are wanted because a daemon was lost.
+/// Loads the ownerships from a peer that watches the store, or from the store itself if this daemon has no
+/// such peer or `from_store` is set.
 async fn load_ownerships(gateway: &Rc<Gateway>, from_store: bool) -> Result<(), StoreError> {
     if !from_store {
         match dissemination::way(gateway) {
@@ -94,7 +94,11 @@
                     }
                 }
             }
-            Way::Outage => return Err(StoreError::NotDone("those that watch hear nothing".into())),
+            Way::Outage => {
+                return Err(StoreError::NotDone(
+                    "the watching daemons cannot reach the store".into(),
+                ))
+            }
         }
     }
     let (objects, _) = list_all(gateway, OWNERSHIPS).await?;
@@ -109,7 +113,7 @@
     start_owned_jobs(gateway);
 }
 
-/// Takes over the jobs of an earlier run of this very daemon, which has certainly ended.
+/// Takes over the jobs of earlier incarnations of this daemon.
 async fn adopt_from_earlier_run(gateway: &Rc<Gateway>) {
     let this_node = &gateway.identity.node;
     for job in gateway.jobs.all() {
@@ -122,7 +126,7 @@
     }
 }
 
-/// Notes that a daemon was lost: its jobs may be unknown here.
+/// Requests a load of the ownerships after a daemon is lost, as its jobs may be unknown here.
 pub fn on_member_lost(gateway: &Gateway) {
     let mut order = gateway.members.alive();
     order.push(gateway.identity.node.clone());
@@ -131,7 +135,7 @@
     }
 }
 
-/// Tells the other daemons of an ownership that was written.
+/// Announces a written ownership to the other daemons.
 pub fn announce(
     gateway: &Gateway,
     job: &str,
@@ -143,10 +147,10 @@
     gateway.members.tell_all(Hint::JobOwned { job, ownership, revision, is_new });
 }
 
-/// Takes in what another daemon tells of an ownership.
+/// Applies an ownership announced by another daemon.
 ///
-/// A new job is passed on to its owner together with its items. An owner that starts by the hint, which
-/// comes earlier, has to read them from the store and cannot know that there are no results yet.
+/// The owner of a new job waits for the handoff, which includes the items. If it started on the earlier
+/// hint, it would have to read the items and the empty log from the store.
 pub fn apply_hint(
     gateway: &Rc<Gateway>,
     job: &str,
@@ -167,10 +171,10 @@
     start_owned_jobs(gateway);
 }
 
-/// Looks at a job that is run here until its object says that it has ended or changed hands.
+/// Polls the ownership of a running job until the job has ended or changed owner.
 pub async fn watch_ownership(gateway: &Rc<Gateway>, job: &Job) {
     loop {
-        // Who was taken for lost may have been replaced.
+        // If peers suspected this daemon, its jobs may have been adopted.
         wait::at_most(OWNERSHIP_CHECK_INTERVAL, gateway.members.was_doubted.listen()).await;
         let requested = gateway.now();
         if let Ok(Some(object)) = gateway.store.get(OWNERSHIPS, &job.id).await {
@@ -185,7 +189,7 @@
     }
 }
 
-/// Looks for jobs whose owner is lost, and takes over those that fall to this daemon.
+/// Periodically takes over jobs whose owner is lost and for which it is this daemon's turn.
 pub async fn adopt_orphans(gateway: Rc<Gateway>) {
     Timer::after(INTRODUCTION).await;
     loop {
@@ -204,7 +208,7 @@
     }
 }
 
-/// Why it falls to this daemon to take a job over now, if it does.
+/// Returns why this daemon should take over a job now, if it should.
 fn adoption_reason(gateway: &Gateway, job: &Job) -> Option<AdoptionReason> {
     let (owner, this_node) = (job.owner(), &gateway.identity.node);
     let is_open = !job.ended.get() && !job.is_complete();
@@ -218,14 +222,14 @@
     job.orphaned_since.set(Some(since));
     let candidates = gateway.job_candidates(job.ownership.borrow().0.homes.as_ref());
     let order = owner_selection::takeover_order(&job.id, &candidates);
-    // Nobody outside of its homes runs it.
+    // Daemons outside the allowed regions are not candidates.
     let position = order.iter().position(|node| node == this_node)?;
     adoption::reason_for_position(standing, now - since, position)
         .filter(|_| !gateway.draining.get())
 }
 
-/// Asks a daemon that is taken for lost whether it runs its job. Views of who is alive differ from
-/// daemon to daemon; a job that is taken from an owner that is well is run twice for a time.
+/// Asks a suspected owner whether it still runs its job. Membership views differ between daemons, and
+/// adopting the job of a healthy owner would run it twice for a while.
 async fn confirmed_by_owner(gateway: &Gateway, job: &Job) -> bool {
     let owner = job.owner();
     let Some(address) = gateway.members.last_address(&owner) else {
@@ -239,7 +243,7 @@
     is_running
 }
 
-/// Answers a daemon that asks whether this one runs a job.
+/// Answers a peer that asks whether this daemon runs a job.
 pub fn confirm_owner(gateway: &Gateway, job: &str, revision: Revision) -> PeerReply {
     let runs = gateway.jobs.get(job).is_some_and(|job| {
         let is_newest = job.ownership.borrow().1 >= revision;
@@ -258,7 +262,7 @@
     successor(job, alive.iter()).cloned().unwrap_or_else(|| gateway.identity.node.clone())
 }
 
-/// Takes a job over, if nobody else has meanwhile.
+/// Takes over a job unless its ownership has changed concurrently.
 pub async fn adopt(gateway: &Rc<Gateway>, job: &Rc<Job>, reason: AdoptionReason) {
     let (former, revision) = job.ownership.borrow().clone();
     if !homes::allow(former.homes.as_ref(), &gateway.identity.region) {
@@ -287,12 +291,12 @@
         Err(StoreError::Conflict(Some(object))) => {
             gateway.jobs.upsert_object(&object);
         }
-        // The next attempt tells if it was done after all.
+        // The next attempt finds out whether the write took effect.
         Err(_) => {}
     }
 }
 
-/// Removes jobs whose results need not be readable any more.
+/// Removes ended jobs whose retention time has passed.
 async fn remove_expired_jobs(gateway: &Gateway) {
     let now = gateway.now();
     let retention = gateway.tuning().result_retention;
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -1,4 +1,4 @@
-//! The jobs that this daemon knows, each with what it has of its results.
+//! Registry of the jobs known to this daemon.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -17,72 +17,72 @@
 use super::specification::JobSpecification;
 use crate::ports::{Object, Revision};
 
-/// Kind of the specifications.
+/// Object kind of job specifications.
 pub const SPECIFICATIONS: &str = "heronbend-jobs";
-/// Kind of the ownerships.
+/// Object kind of job ownerships.
 pub const OWNERSHIPS: &str = "heronbend-work";
 
-/// Time for which a confirmation from the store holds. An owner that is lost to the others is
-/// replaced no sooner.
+/// Time for which a confirmation of ownership by the store is valid. Shorter than the time after which
+/// other daemons replace a lost owner.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(2500);
 
-/// What the kinds of chunks begin with.
+/// Prefix of the object kinds of result chunks.
 pub const RESULTS_KIND_PREFIX: &str = "heronbend-results";
 
-/// Kind of the chunks of a job's results.
+/// Object kind of the result chunks of a job.
 pub fn results_kind(job: &str) -> String {
     format!("{RESULTS_KIND_PREFIX}-{job}")
 }
 
-/// Name of a chunk; names sort by number.
+/// Object name of a chunk. Names sort by chunk number.
 pub fn chunk_name(number: u32) -> String {
     format!("{number:08}")
 }
 
-/// A job and what this daemon has of it.
+/// A job and its local state.
 pub struct Job {
-    /// Its identifier.
+    /// Identifier of the job.
     pub id: String,
-    /// Number of its items.
+    /// Number of items.
     pub total: usize,
-    /// Who runs it, by the newest that is known, with the revision of that.
+    /// Newest known ownership and its revision in the store.
     pub ownership: RefCell<(Ownership, Revision)>,
-    /// Its items, where they have been read.
+    /// The specification, once it has been read.
     pub specification: RefCell<Option<Rc<JobSpecification>>>,
-    /// Items of groups that an earlier step left behind: the trainer cannot do without them.
+    /// Identifiers of items that an earlier job had as well. The trainer needs them to complete its step.
     pub required_items: RefCell<BTreeSet<String>>,
-    /// Its results as far as they are known here.
+    /// Local view of the result log.
     pub log: RefCell<ResultLog>,
-    /// Texts of its items, while it is run here.
+    /// Texts of the items while the job runs here.
     pub texts: RefCell<JobTexts>,
-    /// Number of the next checkpoint of its texts that this run of the daemon writes.
+    /// Number of the next checkpoint that this daemon writes.
     pub next_checkpoint: Cell<u32>,
-    /// Notified when the log has grown.
+    /// Notified when the log grows or the job ends.
     pub log_changed: Event,
-    /// Until when a read of the newest results is held, here or by a daemon that asks this one.
+    /// When the current long poll for new results, from a caller or a peer, times out.
     pub long_poll_until: Cell<Moment>,
-    /// Notified when a result waits to be written.
+    /// Notified when a result is added to the log.
     pub result_pending: Event,
-    /// Whether it has ended.
+    /// Whether the job has ended.
     pub ended: Cell<bool>,
-    /// Notified when it ends, or when another daemon takes it over.
+    /// Notified when the job ends or its owner changes.
     pub stopping: Event,
-    /// Whether it is being run here.
+    /// Whether the job runs here.
     pub running: Cell<bool>,
-    /// When the store last confirmed that this daemon runs it and that the log here is complete.
+    /// When the store last confirmed that this daemon is the owner; set only while the log is complete.
     pub ownership_confirmed_at: Cell<Option<Moment>>,
-    /// Whether a chunk of another writer was found, which may be a newer owner's: nothing is appended
-    /// until the store has confirmed the owner.
+    /// Whether a chunk by another writer was found, which may be a newer owner. Nothing is appended until
+    /// the store has confirmed the owner.
     pub owner_in_doubt: Cell<bool>,
-    /// Whether it was made a moment ago, so that it has no results in the store.
+    /// Whether the job was just submitted, so that the store has no results for it.
     pub is_new: Cell<bool>,
-    /// Until when its items are awaited from the daemon that took it in.
+    /// Until when the owner waits for the handoff from the daemon that accepted the job.
     pub handoff_deadline: Cell<Option<Moment>>,
-    /// When this daemon first knew of it.
+    /// When this daemon first learned of the job.
     pub first_seen: Moment,
-    /// Since when it is seen to have no living owner.
+    /// Since when the owner appears lost, if it does.
     pub orphaned_since: Cell<Option<Moment>>,
-    /// When this daemon learnt of its end.
+    /// When this daemon learned that the job had ended.
     pub ended_at: Cell<Option<Moment>>,
 }
 
@@ -113,18 +113,18 @@
         })
     }
 
-    /// The run of the daemon that runs it.
+    /// The current owner.
     pub fn owner(&self) -> NodeId {
         self.ownership.borrow().0.owner.clone()
     }
 
-    /// Whether a caller may know of it.
+    /// Whether a caller may see the job.
     pub fn is_visible_to(&self, caller: &Caller) -> bool {
         caller.may_see(self.ownership.borrow().0.tenant.as_deref())
     }
 
-    /// Whether this daemon runs it and its log is sure to hold all that has ever been readable. A
-    /// daemon that was paused may have lost the job to another one, which has appended since.
+    /// Whether this daemon is the confirmed owner and its log holds every result that any reader may have
+    /// seen. The confirmation expires, since a paused daemon may have lost the job to another one.
     pub fn is_authority(&self, now: Moment) -> bool {
         let confirmed_at = self.ownership_confirmed_at.get();
         let knows_all = !self.log.borrow().is_in_doubt();
@@ -133,12 +133,12 @@
             && confirmed_at.is_some_and(|at| now < at + CONFIRMATION_TTL)
     }
 
-    /// Whether every item has a settled result.
+    /// Whether every item has a committed result.
     pub fn is_complete(&self) -> bool {
         self.log.borrow().len() >= self.total
     }
 
-    /// Notes its end.
+    /// Marks the job as ended.
     pub fn end(&self, now: Moment) {
         if !self.ended.replace(true) {
             self.ended_at.set(Some(now));
@@ -152,14 +152,14 @@
 pub struct JobRegistry {
     jobs: RefCell<HashMap<String, Rc<Job>>>,
     clock: Box<dyn Fn() -> Moment>,
-    /// Notified when the ownerships are to be listed.
+    /// Notified when the ownerships are to be loaded from the store.
     pub reload_requested: Event,
-    /// Whether the ownerships have been listed here, or by a daemon that told them.
+    /// Whether the ownerships have been loaded, from the store or from a peer.
     pub is_loaded: Cell<bool>,
 }
 
 impl JobRegistry {
-    /// An empty registry.
+    /// Creates an empty registry with a clock.
     pub fn new(clock: impl Fn() -> Moment + 'static) -> Self {
         Self {
             jobs: RefCell::default(),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A job by its identifier.
+    /// Returns a job by its identifier.
     pub fn get(&self, id: &str) -> Option<Rc<Job>> {
         self.jobs.borrow().get(id).cloned()
     }
@@ -179,7 +179,7 @@
         self.jobs.borrow().values().cloned().collect()
     }
 
-    /// Takes in an ownership that is in the store; an older one than is known is passed over.
+    /// Inserts or updates a job from a stored ownership. An older revision than the known one is ignored.
     pub fn upsert(&self, id: &str, ownership: Ownership, revision: Revision) -> Rc<Job> {
         let now = (self.clock)();
         let known = self.get(id);
@@ -202,7 +202,7 @@
         job
     }
 
-    /// Takes in an ownership object; one that cannot be understood is logged and passed over.
+    /// Inserts or updates a job from an ownership object. Logs and returns `None` if it cannot be decoded.
     pub fn upsert_object(&self, object: &Object) -> Option<Rc<Job>> {
         match serde_json::from_value::<Ownership>(object.content.clone()) {
             Ok(ownership) => Some(self.upsert(&object.name, ownership, object.revision)),
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Notes which items of a job an earlier job has had as well, as far as its items are known here.
+    /// Records which items of a job also belong to an earlier job whose specification is loaded.
     pub fn record_required_items(&self, job: &Job, specification: &JobSpecification) {
         let jobs = self.jobs.borrow();
         let earlier =
@@ -229,7 +229,7 @@
             items.filter(|id| known_items.contains(*id)).cloned().collect();
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub fn remove(&self, id: &str) {
         self.jobs.borrow_mut().remove(id);
     }
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -1,4 +1,4 @@
-//! The call that scores a whole text.
+//! Calls that score completed texts.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -17,26 +17,26 @@
 use crate::homes;
 use crate::http::client::WholeAnswer;
 
-/// Servers that one round of a call may be sent to.
+/// Maximum number of servers tried in one round.
 const ATTEMPTS_PER_ROUND: u32 = 2;
-/// Shortest time that a round is given.
+/// Minimum timeout of a round.
 const MIN_ROUND_TIMEOUT: Duration = Duration::from_millis(600);
-/// A round is given this many times the route's target latency.
+/// Timeout of a round as a multiple of the route's target latency.
 const ROUND_TARGET_MULTIPLE: u32 = 4;
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Longest rest until it is looked again whether a call that is held back may be made.
+/// Longest delay before a quarantined call is tried again.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How a reward call ended.
+/// Outcome of a reward call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Score {
-    /// The signature of a good answer.
+    /// Signature in the successful response.
     Signed(String),
-    /// It failed too often.
+    /// The call failed as often as the route allows.
     Failed,
 }
 
-/// Calls until there is a score, or the call has failed as often as its route allows.
+/// Repeats a reward call until it succeeds or reaches the failure limit of its route.
 pub async fn score(gateway: &Rc<Gateway>, job: &Job, item: &str, call: &RewardCall) -> Score {
     let mut failures = 0;
     loop {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Rest before the next round: longer where the call is kept from servers.
+/// Delay before the next round, longer for a quarantined call.
 fn retry_delay(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
     match answer {
         Err(ForwardError::Quarantined(refused)) => {
--- a/crates/heronbend-gateway/src/batch/reward_limit.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -1,7 +1,7 @@
-//! Bounds reward calls, so that callers who wait for an answer find places at the same servers.
+//! Limits concurrent reward calls, to leave capacity for interactive requests on the same servers.
 //!
-//! A step's texts become whole in bursts, and each asks for a score at once. Nobody waits for a
-//! score by itself: it may take its turn.
+//! Texts complete in bursts, and each is then scored. No caller waits for a single score, so the calls
+//! can be queued.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,13 +11,12 @@
 use crate::places;
 use crate::wait;
 
-/// Reward calls that may be under way for each place at a service's servers. Fewer would let texts
-/// wait for their scores; more would fill the servers' queues.
+/// Reward calls in flight per slot of the service's servers.
 const CALLS_PER_SLOT: f64 = 1.25;
-/// Longest wait until the places are counted again without news.
+/// Interval after which a waiting call checks the limit again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Leave to make one call; given back when dropped.
+/// Permission to make one call, released when dropped.
 pub struct Permit {
     gateway: Rc<Gateway>,
     service: String,
@@ -29,7 +28,7 @@
     }
 }
 
-/// Waits until another reward call may be made to a service.
+/// Waits until another reward call to a service is allowed.
 pub async fn acquire(gateway: &Rc<Gateway>, service: &str) -> Permit {
     let calls = &gateway.reward_calls;
     while calls.count(service) >= limit(gateway, service) {
@@ -40,8 +39,8 @@
     Permit { gateway: gateway.clone(), service: service.to_owned() }
 }
 
-/// Reward calls that this daemon may have under way at a service: its part of what those that run
-/// jobs may have together.
+/// Maximum number of reward calls in flight from this daemon to a service: an equal share of the total
+/// among all owners of running jobs.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
     let requirements = places::need(gateway, service, None, None);
     let slots = gateway.directory.borrow().placer.slots(gateway.now(), &requirements);
--- a/crates/heronbend-gateway/src/batch/segment.rs
+++ b/crates/heronbend-gateway/src/batch/segment.rs
@@ -1,22 +1,22 @@
-//! One part of a text as a checkpoint holds it.
+//! A part of a text as stored in a checkpoint.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::digest::Digest;
 
-/// Consecutive events of one item's text.
+/// Consecutive events of the text of one item.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Segment {
-    /// Position of the item in its job.
+    /// Position of the item in the job.
     pub item: usize,
-    /// Number of the event that it follows; 0 at the start of the text.
+    /// Number of the event before the segment; 0 at the start of the text.
     pub after: u64,
-    /// The digest of the text up to that event.
+    /// Digest of the text up to and including that event.
     #[serde(default)]
     pub follows: Digest,
-    /// The data of its events.
+    /// Data of each event.
     pub events: Vec<String>,
-    /// The version of the weights that made each event.
+    /// Weight version that generated each event.
     pub versions: Vec<u64>,
 }
--- a/crates/heronbend-gateway/src/batch/specification.rs
+++ b/crates/heronbend-gateway/src/batch/specification.rs
@@ -1,4 +1,4 @@
-//! What a batch job consists of.
+//! The specification of a batch job as submitted by a caller.
 
 use std::collections::HashMap;
 
@@ -6,27 +6,27 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A batch job as it was handed in.
+/// A submitted batch job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, musli::Encode, musli::Decode)]
 pub struct JobSpecification {
-    /// Its identifier, chosen by the caller.
+    /// Identifier chosen by the caller.
     pub id: String,
-    /// Host that it was handed in for.
+    /// Host of the submission request.
     pub host: String,
-    /// Path that it was handed in under.
+    /// Path of the submission request.
     pub path: String,
-    /// Its items, in the caller's order.
+    /// Items in the caller's order.
     pub items: Vec<Item>,
-    /// The step that it is for, if a trainer handed it in.
+    /// The training step, if a trainer submitted the job.
     pub step: Option<TrainerStep>,
-    /// The tenant that it belongs to; none where it was handed in without a key.
+    /// The tenant of the caller; `None` if it was submitted without a key.
     #[serde(default)]
     #[musli(default)]
     pub tenant: Option<String>,
 }
 
 impl JobSpecification {
-    /// Groups all of whose items fulfil a condition.
+    /// Number of groups whose items all satisfy a predicate. An item without a group counts as its own.
     pub fn complete_groups(&self, fulfils: impl Fn(&str) -> bool) -> usize {
         let mut groups: HashMap<&str, bool> = HashMap::new();
         for item in &self.items {
@@ -37,58 +37,58 @@
     }
 }
 
-/// The step of a trainer.
+/// A step of a trainer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, musli::Encode, musli::Decode)]
 pub struct TrainerStep {
-    /// Number of the step.
+    /// Step number.
     pub number: u64,
-    /// The model that is trained.
+    /// The model being trained.
     pub model: String,
-    /// Oldest version of the weights that may make its tokens.
+    /// Oldest weight version that may generate tokens for the step.
     pub min_version: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub desired_groups: usize,
 }
 
 /// One request of a batch job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, musli::Encode, musli::Decode)]
 pub struct Item {
-    /// Its identifier.
+    /// Identifier of the item, unique within the job.
     pub id: String,
     /// Path and query.
     pub path: String,
-    /// Headers that it is sent with.
+    /// Request headers.
     pub headers: Vec<(String, String)>,
     /// Body in base64.
     pub body: String,
-    /// Tokens of the prompt and the most that may come out.
+    /// Prompt tokens plus the maximum number of output tokens.
     pub tokens: u64,
-    /// The caller's guess of how many tokens come out.
+    /// Output length in tokens as estimated by the caller.
     pub expected_tokens: Option<u64>,
-    /// Items of one group are of use together.
+    /// Group of items that are only useful together.
     pub group: Option<String>,
-    /// The call that scores its text.
+    /// The call that scores the text, if any.
     pub reward: Option<RewardCall>,
 }
 
 impl Item {
-    /// Tokens that are expected to come out.
+    /// Expected output in tokens; `tokens` without an estimate.
     pub fn expected_output_tokens(&self) -> u64 {
         self.expected_tokens.unwrap_or(self.tokens)
     }
 
-    /// The decoded body; empty when it is not valid base64, which hand-in rules out.
+    /// The decoded body; empty if it is not valid base64, which submission rejects.
     pub fn decoded_body(&self) -> Bytes {
         decode(&self.body)
     }
 }
 
-/// A request that scores a text.
+/// A request that scores the text of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, musli::Encode, musli::Decode)]
 pub struct RewardCall {
-    /// Its identifier.
+    /// Identifier of the call, sent as the request identifier.
     pub id: String,
-    /// Host of its route.
+    /// Host that selects the route.
     pub host: String,
     /// Path and query.
     pub path: String,
@@ -97,7 +97,7 @@
 }
 
 impl RewardCall {
-    /// The decoded body.
+    /// The decoded body; empty if it is not valid base64.
     pub fn decoded_body(&self) -> Bytes {
         decode(&self.body)
     }
@@ -107,7 +107,7 @@
     BASE64_STANDARD.decode(text).map(Bytes::from).unwrap_or_default()
 }
 
-/// Whether a text is valid base64.
+/// Whether a string is valid base64.
 pub fn is_base64(text: &str) -> bool {
     BASE64_STANDARD.decode(text).is_ok()
 }
