--- a/crates/heronbend-gateway/src/batch/adoption.rs
+++ b/crates/heronbend-gateway/src/batch/adoption.rs
@@ -1,7 +1,7 @@
 //! Decides when a daemon takes over the job of a lost owner, without I/O.
 //!
-//! Membership views differ between daemons. Adopting the job of a healthy owner would run it twice for a
-//! while, so an owner that merely stopped answering probes is asked first.
+//! Membership views differ between daemons. Adopting the job of a healthy owner would run it twice
+//! for a while, so an owner that merely stopped answering probes is asked first.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 /// Time that each daemon in the takeover order has before it is the next one's turn.
 const TURN_DELAY: Duration = Duration::from_millis(800);
-/// Time after which an owner that is not in the membership view counts as lost. Gossip about a newly
-/// started daemon takes several probe periods to spread.
+/// Time after which an owner that is not in the membership view counts as lost. Gossip about a
+/// newly started daemon takes several probe periods to spread.
 const UNKNOWN_OWNER_GRACE: Duration = Duration::from_secs(4);
 
 /// Reason for adopting a job.
@@ -46,8 +46,8 @@
     }
 }
 
-/// Returns why the daemon at `position` in the takeover order should adopt a job, or `None` if it is not its
-/// turn. `lost_for` is the time since it first saw the owner as lost.
+/// Returns why the daemon at `position` in the takeover order should adopt a job, or `None` if it
+/// is not its turn. `lost_for` is the time since it first saw the owner as lost.
 ///
 /// Later daemons wait in case the first does not know the job or cannot reach the store.
 pub fn reason_for_position(
--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -29,8 +29,8 @@
 
 /// Appends results while this daemon runs the job.
 ///
-/// A chunk by another writer means that the owner may have changed. Nothing is appended after it until
-/// the store confirms that this daemon is the owner.
+/// A chunk by another writer means that the owner may have changed. Nothing is appended after it
+/// until the store confirms that this daemon is the owner.
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     let mut failures = 0;
     loop {
@@ -87,9 +87,9 @@
     }
 }
 
-/// Appends an empty chunk, which fences off former owners: their in-flight writes conflict with it, and
-/// they confirm the owner before writing again. Until then the local log may be missing results that a
-/// former owner has committed.
+/// Appends an empty chunk, which fences off former owners: their in-flight writes conflict with it,
+/// and they confirm the owner before writing again. Until then the local log may be missing results
+/// that a former owner has committed.
 pub async fn seal(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     loop {
         if job.owner_in_doubt.get() {
--- a/crates/heronbend-gateway/src/batch/batching_window.rs
+++ b/crates/heronbend-gateway/src/batch/batching_window.rs
@@ -1,12 +1,12 @@
 //! Decides how long results are buffered before they are committed in one chunk, without I/O.
 //!
-//! A trainer pauses after every read that returns results, and cannot use an incomplete step. Near the
-//! end of a step a partial chunk would only delay the read that completes it, so results are buffered
-//! longer there, and the results that complete the step are committed immediately.
+//! A trainer pauses after every read that returns results, and cannot use an incomplete step. Near
+//! the end of a step a partial chunk would only delay the read that completes it, so results are
+//! buffered longer there, and the results that complete the step are committed immediately.
 //!
-//! A trainer in a long poll receives a chunk immediately; one between polls receives it with its next
-//! poll. Results that approach their deadline are therefore committed before it, or slightly after it if
-//! a long poll is open, since the last text may complete in the meantime.
+//! A trainer in a long poll receives a chunk immediately; one between polls receives it with its
+//! next poll. Results that approach their deadline are therefore committed before it, or slightly
+//! after it if a long poll is open, since the last text may complete in the meantime.
 
 use std::time::Duration;
 
@@ -64,8 +64,8 @@
         is_complete && !is_committed
     }
 
-    /// Whether any further group may complete the step. The trainer has the desired number of groups, but
-    /// this daemon may not know all required items.
+    /// Whether any further group may complete the step. The trainer has the desired number of
+    /// groups, but this daemon may not know all required items.
     fn may_complete_step(&self) -> bool {
         self.committed_groups >= self.desired_groups && self.complete_groups > self.committed_groups
     }
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns how much longer to buffer results that have been pending for `waited`, or `None` to commit them
-/// now. `step` is `None` for jobs that are not training steps.
+/// Returns how much longer to buffer results that have been pending for `waited`, or `None` to
+/// commit them now. `step` is `None` for jobs that are not training steps.
 pub fn remaining_wait(step: Option<&StepProgress>, waited: Duration) -> Option<Duration> {
     let Some(step) = step else {
         return DEFAULT_WINDOW.checked_sub(waited);
--- a/crates/heronbend-gateway/src/batch/checkpoint.rs
+++ b/crates/heronbend-gateway/src/batch/checkpoint.rs
@@ -1,9 +1,9 @@
 //! Checkpoints of texts in progress, from which a new owner of a job continues.
 //!
-//! A checkpoint is incremental: it holds the events added to long texts since the previous one, each with
-//! the weight version that generated it. Checkpoints are best effort; events that are not saved are
-//! generated again. Writers need no coordination, even if several daemons save texts of the same job:
-//! each segment carries a digest of the events before it and is joined only to those.
+//! A checkpoint is incremental: it holds the events added to long texts since the previous one,
+//! each with the weight version that generated it. Checkpoints are best effort; events that are not
+//! saved are generated again. Writers need no coordination, even if several daemons save texts of
+//! the same job: each segment carries a digest of the events before it and is joined only to those.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/heronbend-gateway/src/batch/digest.rs
+++ b/crates/heronbend-gateway/src/batch/digest.rs
@@ -6,7 +6,8 @@
 
 /// Digest of a prefix of a text: its events and the weight versions that generated them.
 ///
-/// Event numbers alone do not identify a prefix, since every run of an item numbers its events from 1.
+/// Event numbers alone do not identify a prefix, since every run of an item numbers its events from
+/// 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(u64);
 
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -95,7 +95,8 @@
     hold_logged: bool,
 }
 
-/// Runs an item until it has a result. Continues `text`, which may hold events restored from a checkpoint.
+/// Runs an item until it has a result. Continues `text`, which may hold events restored from a
+/// checkpoint.
 pub async fn run(
     gateway: &Rc<Gateway>,
     job: &Job,
@@ -192,8 +193,8 @@
         self.text.borrow().result(&self.item.id, score)
     }
 
-    /// Asks the quarantine whether the item may be sent. Returns `None` after a delay if it may not; a
-    /// quarantined item is retried rather than terminated.
+    /// Asks the quarantine whether the item may be sent. Returns `None` after a delay if it may
+    /// not; a quarantined item is retried rather than terminated.
     async fn admit(&mut self, route: &Route) -> Option<Pass> {
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
@@ -274,14 +275,15 @@
             .cloned()
     }
 
-    /// The service that runs the item. Selected once and again only if the route no longer includes it.
+    /// The service that runs the item. Selected once and again only if the route no longer includes
+    /// it.
     fn service(&mut self, route: &Route) -> Option<String> {
         let is_current = |service: &String| {
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
         };
         if !self.service.as_ref().is_some_and(is_current) {
-            let drawn = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
-            self.service = drawn;
+            let selected = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+            self.service = selected;
         }
         self.service.clone()
     }
@@ -302,12 +304,12 @@
     /// Queueing priority of the item.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let delay =
+        let remaining =
             self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
             due: self.job.first_seen + route.result_deadline.unwrap_or_default(),
-            expected: Reverse(u64::from(delay)),
+            expected: Reverse(u64::from(remaining)),
         }
     }
 
@@ -354,7 +356,8 @@
             let status = exchange.status;
             quarantine::note_answer(self.gateway, &outgoing, status);
             self.log_attempt(server, status.as_str(), 0);
-            // Record failures: a server that fails every request is always idle and would attract more.
+            // Record failures: a server that fails every request is always idle and would attract
+            // more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Abandoned };
             counted.end(end);
@@ -367,8 +370,8 @@
         if first_event > 0 {
             self.gateway.metrics.items_resumed.inc();
         }
-        let reading = (requirements, route);
-        let outcome = self.read_events(server, exchange, reading, sent_at, isolation).await;
+        let context = (requirements, route);
+        let outcome = self.read_events(server, exchange, context, sent_at, isolation).await;
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
--- a/crates/heronbend-gateway/src/batch/job_texts.rs
+++ b/crates/heronbend-gateway/src/batch/job_texts.rs
@@ -83,8 +83,8 @@
         self.texts.iter().map(|text| text.borrow().last_event())
     }
 
-    /// Unsaved events of texts that are long enough and not committed: longest texts first, as many as fit
-    /// into one checkpoint.
+    /// Unsaved events of texts that are long enough and not committed: longest texts first, as many
+    /// as fit into one checkpoint.
     pub fn unsaved(&self, is_committed: impl Fn(usize) -> bool) -> Vec<Segment> {
         let length = |item: usize| self.texts[item].borrow().last_event();
         let is_saved = |item: usize| {
--- a/crates/heronbend-gateway/src/batch/length_estimate.rs
+++ b/crates/heronbend-gateway/src/batch/length_estimate.rs
@@ -1,12 +1,14 @@
 //! Estimates the number of events in a text, without I/O.
 //!
-//! Callers estimate the output of an item in tokens. Completed texts give the ratio of tokens to events.
+//! Callers estimate the output of an item in tokens. Completed texts give the ratio of tokens to
+//! events.
 
 use super::specification::Item;
 
 /// Weight of a new sample in the moving average of tokens per event.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// Expected further growth of a text that has no estimate or has exceeded it, relative to its length.
+/// Expected further growth of a text that has no estimate or has exceeded it, relative to its
+/// length.
 const GROWTH_SHARE: f64 = 0.5;
 
 /// Converts token estimates to events with a ratio learned from completed texts.
--- a/crates/heronbend-gateway/src/batch/migration.rs
+++ b/crates/heronbend-gateway/src/batch/migration.rs
@@ -1,8 +1,8 @@
 //! Decides whether a text in progress should migrate to a faster server, without I/O.
 //!
-//! A migration has a cost: the new server processes the prompt and all previous events again, the text
-//! may wait to join a batch, and a connection is closed. Throughput samples are noisy, so without
-//! hysteresis texts would migrate back and forth.
+//! A migration has a cost: the new server processes the prompt and all previous events again, the
+//! text may wait to join a batch, and a connection is closed. Throughput samples are noisy, so
+//! without hysteresis texts would migrate back and forth.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 const GAIN_FACTOR: f64 = 1.5;
 /// Weight of a new sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Fraction of the result deadline by which a text should complete. The remainder covers the reward call,
-/// the commit and texts that are longer than estimated.
+/// Fraction of the result deadline by which a text should complete. The remainder covers the reward
+/// call, the commit and texts that are longer than estimated.
 const DEADLINE_SHARE: f64 = 0.6;
 
 /// Moving average of the cost of recent migrations.
@@ -36,9 +36,9 @@
     }
 }
 
-/// Whether a text that needs `remaining` more time completes early enough on its current server. `age` is
-/// the time since the job was first seen and `deadline` is relative to the same instant. False without a
-/// deadline.
+/// Whether a text that needs `remaining` more time completes early enough on its current server.
+/// `age` is the time since the job was first seen and `deadline` is relative to the same instant.
+/// False without a deadline.
 pub fn meets_deadline(age: Duration, remaining: Duration, deadline: Option<Duration>) -> bool {
     deadline.is_some_and(|deadline| age + remaining <= deadline.mul_f64(DEADLINE_SHARE))
 }
--- a/crates/heronbend-gateway/src/batch/mod.rs
+++ b/crates/heronbend-gateway/src/batch/mod.rs
@@ -1,12 +1,12 @@
-//! Batch jobs: sets of requests that are submitted together, run asynchronously and read as a list of
-//! results.
+//! Batch jobs: sets of requests that are submitted together, run asynchronously and read as a list
+//! of results.
 //!
-//! A job's specification is a single object, written before the job is acknowledged. Its results are an
-//! append-only log of objects named by consecutive numbers. A writer has to know every earlier chunk, and
-//! only one writer can create a given number, so a daemon that was paused or lost its ownership may
-//! repeat work but never duplicates a result. No lease is required. A small ownership object per job
-//! names the daemon that runs it. A daemon that takes a job over seals the log with an empty chunk before
-//! it serves readers, which fences off all former owners.
+//! A job's specification is a single object, written before the job is acknowledged. Its results
+//! are an append-only log of objects named by consecutive numbers. A writer has to know every
+//! earlier chunk, and only one writer can create a given number, so a daemon that was paused or
+//! lost its ownership may repeat work but never duplicates a result. No lease is required. A small
+//! ownership object per job names the daemon that runs it. A daemon that takes a job over seals the
+//! log with an empty chunk before it serves readers, which fences off all former owners.
 //!
 //! Data and decisions, without I/O:
 //!
@@ -15,7 +15,8 @@
 //! - [`ownership`]: the owner of a job and whether the job has ended.
 //! - [`owner_selection`], [`adoption`]: which daemon runs a job, and when a lost owner is replaced.
 //! - [`schedule`]: the order in which items are started.
-//! - [`length_estimate`], [`throughput`], [`migration`]: whether an item should move to a faster server.
+//! - [`length_estimate`], [`throughput`], [`migration`]: whether an item should move to a faster
+//!   server.
 //! - [`batching_window`]: how long results are buffered before they are committed.
 //! - [`event_stream`]: assembles an item's text from a server's event stream.
 //! - [`segment`], [`digest`], [`job_texts`]: partial texts in checkpoints.
@@ -25,8 +26,8 @@
 //!
 //! - [`registry`]: the jobs known to this daemon.
 //! - [`submission`], [`results_reader`]: operations for callers.
-//! - [`runner`], [`item_run`], [`reward`], [`reward_limit`], [`appender`], [`checkpoint`]: run by the
-//!   owner of a job.
+//! - [`runner`], [`item_run`], [`reward`], [`reward_limit`], [`appender`], [`checkpoint`]: run by
+//!   the owner of a job.
 //! - [`ownership_manager`]: tracks ownerships and takes over jobs of lost daemons.
 
 pub mod adoption;
--- a/crates/heronbend-gateway/src/batch/owner_selection.rs
+++ b/crates/heronbend-gateway/src/batch/owner_selection.rs
@@ -1,7 +1,7 @@
 //! Selects the daemon that runs a job, without I/O.
 //!
-//! The owner of a job reads every event of its texts. If some daemons have much more CPU than others,
-//! those run the jobs, and the small ones take over only when no large daemon is left.
+//! The owner of a job reads every event of its texts. If some daemons have much more CPU than
+//! others, those run the jobs, and the small ones take over only when no large daemon is left.
 
 use std::cmp::Reverse;
 
@@ -32,9 +32,9 @@
 
 /// Selects the owner of a new job of a model, or `None` without candidates.
 ///
-/// Jobs of one model stay with one large daemon, which can track the load of the model's servers. If
-/// several models share a daemon, all but the first by name move to a large daemon without a model, if
-/// there is one.
+/// Jobs of one model stay with one large daemon, which can track the load of the model's servers.
+/// If several models share a daemon, all but the first by name move to a large daemon without a
+/// model, if there is one.
 pub fn select_owner(
     model: &str,
     candidates: &[Candidate],
--- a/crates/heronbend-gateway/src/batch/ownership.rs
+++ b/crates/heronbend-gateway/src/batch/ownership.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Selects the live daemon that takes over a job by rendezvous hashing, so that the jobs of a lost daemon
-/// are spread over the others.
+/// Selects the live daemon that takes over a job by rendezvous hashing, so that the jobs of a lost
+/// daemon are spread over the others.
 pub fn successor<'a>(job: &str, alive: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     alive.max_by_key(|node| rendezvous_weight(job, node))
 }
--- a/crates/heronbend-gateway/src/batch/ownership_manager.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_manager.rs
@@ -1,9 +1,9 @@
 //! Tracks the owner of each job and takes over the jobs of lost daemons.
 //!
-//! Ownership changes are announced by hints. Since hints may be lost, the daemons that watch the store
-//! list all ownerships at startup, after an outage and periodically, and pass them on to the other
-//! daemons. A few daemons also list them after a daemon is lost. An owner polls the objects of the jobs
-//! that it runs, to notice an end that was recorded elsewhere.
+//! Ownership changes are announced by hints. Since hints may be lost, the daemons that watch the
+//! store list all ownerships at startup, after an outage and periodically, and pass them on to the
+//! other daemons. A few daemons also list them after a daemon is lost. An owner polls the objects
+//! of the jobs that it runs, to notice an end that was recorded elsewhere.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,26 +30,26 @@
 
 /// Interval between checks for jobs without a live owner.
 const ORPHAN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between an owner's reads of its job's object. Bounds how long items of an ended job are still
-/// sent if the hint is lost.
+/// Interval between an owner's reads of its job's object. Bounds how long items of an ended job are
+/// still sent if the hint is lost.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(1300);
 /// Maximum time between two loads of all ownerships.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(20);
 /// Delay between loads, so that one load serves several losses.
 const LOSS_BATCHING_WINDOW: Duration = Duration::from_millis(300);
-/// Number of daemons that load the ownerships after a loss. The same daemons are selected for every loss,
-/// so that simultaneous losses cause few loads.
+/// Number of daemons that load the ownerships after a loss. The same daemons are selected for every
+/// loss, so that simultaneous losses cause few loads.
 const RELOADING_DAEMONS: usize = 3;
 /// Key of the rendezvous hash that selects those daemons.
 const RELOAD_ORDER_KEY: &str = "ownerships";
-/// Time allowed for the daemon that accepted a job to hand it to its owner. Afterwards the owner starts
-/// the job from the store.
+/// Time allowed for the daemon that accepted a job to hand it to its owner. Afterwards the owner
+/// starts the job from the store.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout for asking a suspected owner whether it still runs its job.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Loads the ownerships whenever hints may have been missed. Runs for the lifetime of the daemon.
-pub async fn follow(gateway: Rc<Gateway>) {
+pub async fn refresh_ownerships(gateway: Rc<Gateway>) {
     gateway.members.introduction.wait().await;
     let mut failures = 0;
     let mut was_requested = false;
@@ -81,8 +81,8 @@
     }
 }
 
-/// Loads the ownerships from a peer that watches the store, or from the store itself if this daemon has no
-/// such peer or `from_store` is set.
+/// Loads the ownerships from a peer that watches the store, or from the store itself if this daemon
+/// has no such peer or `from_store` is set.
 async fn load_ownerships(gateway: &Rc<Gateway>, from_store: bool) -> Result<(), StoreError> {
     if !from_store {
         match dissemination::way(gateway) {
@@ -149,8 +149,8 @@
 
 /// Applies an ownership announced by another daemon.
 ///
-/// The owner of a new job waits for the handoff, which includes the items. If it started on the earlier
-/// hint, it would have to read the items and the empty log from the store.
+/// The owner of a new job waits for the handoff, which includes the items. If it started on the
+/// earlier hint, it would have to read the items and the empty log from the store.
 pub fn apply_hint(
     gateway: &Rc<Gateway>,
     job: &str,
@@ -176,11 +176,11 @@
     loop {
         // If peers suspected this daemon, its jobs may have been adopted.
         wait::at_most(OWNERSHIP_CHECK_INTERVAL, gateway.members.was_doubted.listen()).await;
-        let requested = gateway.now();
+        let checked_at = gateway.now();
         if let Ok(Some(object)) = gateway.store.get(OWNERSHIPS, &job.id).await {
             gateway.jobs.upsert_object(&object);
             if job.ownership_confirmed_at.get().is_some() {
-                job.ownership_confirmed_at.set(Some(requested));
+                job.ownership_confirmed_at.set(Some(checked_at));
             }
             if job.ended.get() || job.owner() != gateway.identity.node {
                 return;
@@ -228,8 +228,8 @@
         .filter(|_| !gateway.draining.get())
 }
 
-/// Asks a suspected owner whether it still runs its job. Membership views differ between daemons, and
-/// adopting the job of a healthy owner would run it twice for a while.
+/// Asks a suspected owner whether it still runs its job. Membership views differ between daemons,
+/// and adopting the job of a healthy owner would run it twice for a while.
 async fn confirmed_by_owner(gateway: &Gateway, job: &Job) -> bool {
     let owner = job.owner();
     let Some(address) = gateway.members.last_address(&owner) else {
--- a/crates/heronbend-gateway/src/batch/read_pacing.rs
+++ b/crates/heronbend-gateway/src/batch/read_pacing.rs
@@ -1,7 +1,7 @@
 //! Paces reads from many concurrent event streams.
 //!
-//! Every read costs a wake-up and a system call, and no caller waits for a single event of a batch item.
-//! With many streams open, a delay between reads lets each read return several events.
+//! Every read costs a wake-up and a system call, and no caller waits for a single event of a batch
+//! item. With many streams open, a delay between reads lets each read return several events.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -22,8 +22,8 @@
 /// Object kind of job ownerships.
 pub const OWNERSHIPS: &str = "heronbend-work";
 
-/// Time for which a confirmation of ownership by the store is valid. Shorter than the time after which
-/// other daemons replace a lost owner.
+/// Time for which a confirmation of ownership by the store is valid. Shorter than the time after
+/// which other daemons replace a lost owner.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(2500);
 
 /// Prefix of the object kinds of result chunks.
@@ -49,7 +49,8 @@
     pub ownership: RefCell<(Ownership, Revision)>,
     /// The specification, once it has been read.
     pub specification: RefCell<Option<Rc<JobSpecification>>>,
-    /// Identifiers of items that an earlier job had as well. The trainer needs them to complete its step.
+    /// Identifiers of items that an earlier job had as well. The trainer needs them to complete its
+    /// step.
     pub required_items: RefCell<BTreeSet<String>>,
     /// Local view of the result log.
     pub log: RefCell<ResultLog>,
@@ -69,10 +70,11 @@
     pub stopping: Event,
     /// Whether the job runs here.
     pub running: Cell<bool>,
-    /// When the store last confirmed that this daemon is the owner; set only while the log is complete.
+    /// When the store last confirmed that this daemon is the owner; set only while the log is
+    /// complete.
     pub ownership_confirmed_at: Cell<Option<Moment>>,
-    /// Whether a chunk by another writer was found, which may be a newer owner. Nothing is appended until
-    /// the store has confirmed the owner.
+    /// Whether a chunk by another writer was found, which may be a newer owner. Nothing is appended
+    /// until the store has confirmed the owner.
     pub owner_in_doubt: Cell<bool>,
     /// Whether the job was just submitted, so that the store has no results for it.
     pub is_new: Cell<bool>,
@@ -123,8 +125,9 @@
         caller.may_see(self.ownership.borrow().0.tenant.as_deref())
     }
 
-    /// Whether this daemon is the confirmed owner and its log holds every result that any reader may have
-    /// seen. The confirmation expires, since a paused daemon may have lost the job to another one.
+    /// Whether this daemon is the confirmed owner and its log holds every result that any reader
+    /// may have seen. The confirmation expires, since a paused daemon may have lost the job to
+    /// another one.
     pub fn is_authority(&self, now: Moment) -> bool {
         let confirmed_at = self.ownership_confirmed_at.get();
         let knows_all = !self.log.borrow().is_in_doubt();
@@ -179,7 +182,8 @@
         self.jobs.borrow().values().cloned().collect()
     }
 
-    /// Inserts or updates a job from a stored ownership. An older revision than the known one is ignored.
+    /// Inserts or updates a job from a stored ownership. An older revision than the known one is
+    /// ignored.
     pub fn upsert(&self, id: &str, ownership: Ownership, revision: Revision) -> Rc<Job> {
         let now = (self.clock)();
         let known = self.get(id);
@@ -202,7 +206,8 @@
         job
     }
 
-    /// Inserts or updates a job from an ownership object. Logs and returns `None` if it cannot be decoded.
+    /// Inserts or updates a job from an ownership object. Logs and returns `None` if it cannot be
+    /// decoded.
     pub fn upsert_object(&self, object: &Object) -> Option<Rc<Job>> {
         match serde_json::from_value::<Ownership>(object.content.clone()) {
             Ok(ownership) => Some(self.upsert(&object.name, ownership, object.revision)),
--- a/crates/heronbend-gateway/src/batch/result_log.rs
+++ b/crates/heronbend-gateway/src/batch/result_log.rs
@@ -1,8 +1,8 @@
 //! The append-only log of a job's results, without I/O.
 //!
-//! The log consists of chunks numbered from 0. A daemon may write chunk n only if it knows chunks 0 to
-//! n - 1, with a create that fails if chunk n exists. A result is committed, and its position final, once
-//! its chunk is known to be in the store.
+//! The log consists of chunks numbered from 0. A daemon may write chunk n only if it knows chunks 0
+//! to n - 1, with a create that fails if chunk n exists. A result is committed, and its position
+//! final, once its chunk is known to be in the store.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -108,8 +108,8 @@
         self.pending.len()
     }
 
-    /// Whether the pending results fill at least half a chunk. Writing at that point leaves room for the
-    /// final results to fit into one chunk, so that a reader receives them in one poll.
+    /// Whether the pending results fill at least half a chunk. Writing at that point leaves room
+    /// for the final results to fit into one chunk, so that a reader receives them in one poll.
     pub fn is_chunk_half_full(&self) -> bool {
         let bytes = self.pending.iter().map(|result| result.text.len() + RESULT_OVERHEAD);
         bytes.sum::<usize>() >= MAX_CHUNK_BYTES / 2
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Returns the next chunk to write, or `None` if a write is in progress or no result is pending.
+    /// Returns the next chunk to write, or `None` if a write is in progress or no result is
+    /// pending.
     ///
     /// The write remains in progress until [`ResultLog::commit`] or [`ResultLog::write_failed`] is
     /// called.
@@ -155,7 +156,8 @@
         Some(Chunk { number: self.chunks, results: self.pending[..count].to_vec() })
     }
 
-    /// Records a failed write. `is_unknown` means that the write may have taken effect or still may.
+    /// Records a failed write. `is_unknown` means that the write may have taken effect or still
+    /// may.
     pub fn write_failed(&mut self, is_unknown: bool) {
         self.writing = false;
         self.in_doubt |= is_unknown;
@@ -166,8 +168,8 @@
         self.in_doubt
     }
 
-    /// Records that a chunk by any writer is in the store. A chunk that is already known is ignored.
-    /// Returns false, and ignores the chunk, if an earlier one is missing.
+    /// Records that a chunk by any writer is in the store. A chunk that is already known is
+    /// ignored. Returns false, and ignores the chunk, if an earlier one is missing.
     pub fn commit(&mut self, number: u32, results: Vec<Rc<ItemResult>>) -> bool {
         if number != self.chunks {
             return number < self.chunks;
--- a/crates/heronbend-gateway/src/batch/results_reader.rs
+++ b/crates/heronbend-gateway/src/batch/results_reader.rs
@@ -1,7 +1,7 @@
 //! Serves results and items of any job to callers and peers.
 //!
-//! Only committed results are returned: from the local log if it has them, otherwise from the owner or
-//! the store. Committed results never change, so a stale local log is a valid prefix.
+//! Only committed results are returned: from the local log if it has them, otherwise from the owner
+//! or the store. Committed results never change, so a stale local log is a valid prefix.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -94,8 +94,8 @@
     Ok(ResultsPage { total: job.total, from, results: log.page(from) })
 }
 
-/// Asks a remote owner for results from position `from`. Earlier results are not requested, to limit
-/// traffic between zones. Returns `None` if the owner cannot answer.
+/// Asks a remote owner for results from position `from`. Earlier results are not requested, to
+/// limit traffic between zones. Returns `None` if the owner cannot answer.
 async fn ask_owner(
     gateway: &Gateway,
     job: &Job,
--- a/crates/heronbend-gateway/src/batch/reward_limit.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -1,7 +1,7 @@
 //! Limits concurrent reward calls, to leave capacity for interactive requests on the same servers.
 //!
-//! Texts complete in bursts, and each is then scored. No caller waits for a single score, so the calls
-//! can be queued.
+//! Texts complete in bursts, and each is then scored. No caller waits for a single score, so the
+//! calls can be queued.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -39,8 +39,8 @@
     Permit { gateway: gateway.clone(), service: service.to_owned() }
 }
 
-/// Maximum number of reward calls in flight from this daemon to a service: an equal share of the total
-/// among all owners of running jobs.
+/// Maximum number of reward calls in flight from this daemon to a service: an equal share of the
+/// total among all owners of running jobs.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
     let requirements = places::need(gateway, service, None, None);
     let slots = gateway.directory.borrow().placer.slots(gateway.now(), &requirements);
--- a/crates/heronbend-gateway/src/batch/schedule.rs
+++ b/crates/heronbend-gateway/src/batch/schedule.rs
@@ -1,5 +1,5 @@
-//! Start order of a job's items: longest expected output first, since the longest text determines when
-//! the job completes.
+//! Start order of a job's items: longest expected output first, since the longest text determines
+//! when the job completes.
 
 use std::cmp::Reverse;
 
--- a/crates/heronbend-gateway/src/batch/specification.rs
+++ b/crates/heronbend-gateway/src/batch/specification.rs
@@ -26,7 +26,8 @@
 }
 
 impl JobSpecification {
-    /// Number of groups whose items all satisfy a predicate. An item without a group counts as its own.
+    /// Number of groups whose items all satisfy a predicate. An item without a group counts as its
+    /// own.
     pub fn complete_groups(&self, fulfils: impl Fn(&str) -> bool) -> usize {
         let mut groups: HashMap<&str, bool> = HashMap::new();
         for item in &self.items {
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -241,8 +241,8 @@
     PeerReply::Running
 }
 
-/// Selects the owner of a new job. Jobs of one model preferably share an owner, which can then track the
-/// load of the model's servers and reuse connections.
+/// Selects the owner of a new job. Jobs of one model preferably share an owner, which can then
+/// track the load of the model's servers and reuse connections.
 fn choose_owner(
     gateway: &Gateway,
     specification: &JobSpecification,
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -227,7 +227,7 @@
     spawn(Box::pin(peers::introduction::run(gateway.clone())));
     spawn(Box::pin(mirror::probe_store(gateway.clone())));
     spawn(Box::pin(log_counts(gateway.clone())));
-    spawn(Box::pin(ownership_manager::follow(gateway.clone())));
+    spawn(Box::pin(ownership_manager::refresh_ownerships(gateway.clone())));
     spawn(Box::pin(ownership_manager::adopt_orphans(gateway.clone())));
     spawn(Box::pin(versions::named::follow_versions(gateway.clone())));
     spawn(Box::pin(versions::duty::run(gateway.clone())));
--- a/crates/heronbend-gateway/tests/adoption.rs
+++ b/crates/heronbend-gateway/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Jobs of daemons that are lost, or taken for lost, in a fleet whose views differ.
+//! Adoption of jobs whose owner is lost or suspected, with membership views that differ.
 
 mod support;
 
@@ -19,7 +19,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn an_owner_that_nothing_is_known_of_is_not_lost_at_once() {
+fn unknown_owner_is_lost_only_after_a_grace_period() {
     assert_eq!(adoption::reason_for_position(Standing::Unknown, SECOND, 0), None);
     assert_eq!(
         adoption::reason_for_position(Standing::Unknown, 5 * SECOND, 0),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_standing_of_a_run_goes_by_what_is_known_of_its_daemon() {
+fn standing_of_an_incarnation_follows_the_membership_view() {
     let peers = Peers::default();
     let run =
         |name: &str, incarnation| NodeId { incarnation: Incarnation(incarnation), ..node(name) };
@@ -45,14 +45,18 @@
     ]);
     assert_eq!(peers.standing(&run("a", 5)), Standing::Alive);
     assert_eq!(peers.standing(&run("a", 4)), Standing::Ended);
-    assert_eq!(peers.standing(&run("a", 6)), Standing::Alive, "a later run, not heard of yet");
+    assert_eq!(
+        peers.standing(&run("a", 6)),
+        Standing::Alive,
+        "a newer incarnation than the known one"
+    );
     assert_eq!(peers.standing(&run("b", 5)), Standing::Silent);
     assert_eq!(peers.standing(&run("c", 5)), Standing::Ended);
     assert_eq!(peers.standing(&run("d", 5)), Standing::Unknown);
 }
 
 #[test]
-fn only_the_daemon_that_runs_a_job_says_so() {
+fn only_the_running_owner_confirms_a_job() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
@@ -63,7 +67,7 @@
             assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 1), PeerReply::NotOwner);
             job.running.set(true);
             assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 1), PeerReply::Running);
-            // The asker knows of a newer ownership than this daemon.
+            // The caller knows a newer revision than this daemon.
             assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
             gateway.jobs.upsert("j", Ownership { owner: node("b"), ..ownership }, 2);
             assert_eq!(ownership_manager::confirm_owner(&gateway, "j", 2), PeerReply::NotOwner);
@@ -71,15 +75,15 @@
     });
 }
 
-/// A fleet in which every daemon has a view of its own of who is alive, and a clock that is stepped.
+/// A simulated fleet with a stepped clock, in which every daemon has its own membership view.
 struct Fleet {
     random: SmallRng,
-    names: Vec<NodeId>,
+    nodes: Vec<NodeId>,
     dead: Vec<bool>,
-    /// For each daemon the owner that it knows, and since when that is lost to it.
+    /// For each daemon, the owner that it knows and since when it sees that owner as lost.
     known: Vec<(usize, Option<Duration>)>,
-    /// When each daemon hears of the newest owner.
-    hears_at: Vec<Option<Duration>>,
+    /// When each daemon learns of the newest owner.
+    notified_at: Vec<Option<Duration>>,
     owner: usize,
     revision: u32,
     now: Duration,
@@ -87,82 +91,83 @@
 
 const MEMBERS: usize = 250;
 const STEP: Duration = Duration::from_millis(100);
-/// Daemons of a hundred that a daemon knows nothing of, or takes for lost though they are well.
-const WRONG_IN_100: u64 = 8;
+/// Percentage of healthy daemons that a daemon sees as silent or unknown.
+const WRONG_PERCENT: u64 = 8;
 
 impl Fleet {
     fn new(seed: u64) -> Self {
-        let names: Vec<NodeId> = (0..MEMBERS).map(|number| node(&format!("n{number}"))).collect();
+        let nodes: Vec<NodeId> = (0..MEMBERS).map(|number| node(&format!("n{number}"))).collect();
         let mut random = SmallRng::seed_from_u64(seed);
         let owner = random.random_range(0..MEMBERS);
         Self {
             random,
-            names,
+            nodes,
             dead: vec![false; MEMBERS],
             known: vec![(owner, None); MEMBERS],
-            hears_at: vec![None; MEMBERS],
+            notified_at: vec![None; MEMBERS],
             owner,
             revision: 1,
             now: Duration::ZERO,
         }
     }
 
-    /// What one daemon believes of another; it differs from daemon to daemon and from second to second.
+    /// A daemon's view of another one, which varies by daemon and changes every second.
     fn standing(&self, viewer: usize, subject: usize) -> Standing {
         if self.dead[subject] {
             return Standing::Silent;
         }
-        let mix = (viewer * 31 + subject * 17) as u64 + self.now.as_secs() * 7;
-        match mix * 2_654_435_761 % 100 {
-            wrong if wrong < WRONG_IN_100 / 2 => Standing::Silent,
-            wrong if wrong < WRONG_IN_100 => Standing::Unknown,
+        let hash = (viewer * 31 + subject * 17) as u64 + self.now.as_secs() * 7;
+        match hash * 2_654_435_761 % 100 {
+            wrong if wrong < WRONG_PERCENT / 2 => Standing::Silent,
+            wrong if wrong < WRONG_PERCENT => Standing::Unknown,
             _ => Standing::Alive,
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        for me in 0..MEMBERS {
-            if self.hears_at[me].is_some_and(|at| at <= self.now) {
-                self.hears_at[me] = None;
-                self.known[me] = (self.owner, None);
+        for viewer in 0..MEMBERS {
+            if self.notified_at[viewer].is_some_and(|at| at <= self.now) {
+                self.notified_at[viewer] = None;
+                self.known[viewer] = (self.owner, None);
             }
-            if !self.dead[me] {
-                self.look(me);
+            if !self.dead[viewer] {
+                self.check_owner(viewer);
             }
         }
     }
 
-    fn look(&mut self, me: usize) {
-        let (owner, lost_since) = self.known[me];
-        let standing = self.standing(me, owner);
-        if me == owner || standing == Standing::Alive {
-            self.known[me].1 = None;
+    fn check_owner(&mut self, viewer: usize) {
+        let (owner, lost_since) = self.known[viewer];
+        let standing = self.standing(viewer, owner);
+        if viewer == owner || standing == Standing::Alive {
+            self.known[viewer].1 = None;
             return;
         }
         let since = lost_since.unwrap_or(self.now);
-        self.known[me].1 = Some(since);
+        self.known[viewer].1 = Some(since);
         let alive: Vec<NodeId> = (0..MEMBERS)
-            .filter(|other| *other == me || self.standing(me, *other) == Standing::Alive)
-            .map(|other| self.names[other].clone())
+            .filter(|other| *other == viewer || self.standing(viewer, *other) == Standing::Alive)
+            .map(|other| self.nodes[other].clone())
             .collect();
-        let place = takeover_position("job", &self.names[me], &alive);
-        let Some(reason) = adoption::reason_for_position(standing, self.now - since, place) else {
+        let position = takeover_position("job", &self.nodes[viewer], &alive);
+        let Some(reason) = adoption::reason_for_position(standing, self.now - since, position)
+        else {
             return;
         };
         let answers = !self.dead[owner] && owner == self.owner;
         let knows_newest = owner == self.owner;
         if (reason.needs_confirmation() && answers) || !knows_newest {
-            // The owner says that it runs the job, or the store that another owner was written.
-            self.known[me] = (self.owner, None);
+            // The owner confirms that it runs the job, or the write conflicts with a newer owner.
+            self.known[viewer] = (self.owner, None);
             return;
         }
-        self.owner = me;
+        self.owner = viewer;
         self.revision += 1;
-        self.known[me] = (me, None);
-        for other in (0..MEMBERS).filter(|other| *other != me) {
+        self.known[viewer] = (viewer, None);
+        for other in (0..MEMBERS).filter(|other| *other != viewer) {
             let delay = Duration::from_millis(self.random.random_range(1..300));
-            self.hears_at[other] = Some(self.now + delay);
+            self.notified_at[other] = Some(self.now + delay);
         }
     }
 
@@ -175,7 +180,7 @@
 }
 
 #[test]
-fn a_job_changes_hands_once_for_each_loss_of_its_owner_although_views_differ() {
+fn job_is_adopted_once_per_lost_owner_despite_differing_views() {
     let seed: u64 = rand::random();
     println!("first seed {seed}");
     for seed in (0..10).map(|number| seed.wrapping_add(number)) {
--- a/crates/heronbend-gateway/tests/batch.rs
+++ b/crates/heronbend-gateway/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Results of batch jobs: positions, texts and order, without I/O.
+//! Result log, event streams, start order and takeover order of batch jobs.
 
 mod support;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_result_has_no_position_before_its_chunk_is_written() {
+fn result_is_not_readable_before_its_chunk_is_committed() {
     let mut log = ResultLog::default();
     log.add(result("a"));
     assert!(log.page(0).is_empty());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn no_second_chunk_is_begun_while_one_is_in_doubt() {
+fn no_new_chunk_while_a_write_is_in_doubt() {
     let mut log = ResultLog::default();
     log.add(result("a"));
     let first = log.start_write().unwrap();
@@ -35,18 +35,18 @@
     assert!(log.start_write().is_none());
     log.write_failed(true);
     assert!(log.is_in_doubt());
-    let again = log.start_write().unwrap();
-    assert_eq!(again.number, first.number);
+    let retry = log.start_write().unwrap();
+    assert_eq!(retry.number, first.number);
 }
 
 #[test]
-fn another_writers_chunk_takes_the_position_and_nothing_stands_twice() {
+fn chunk_of_another_writer_wins_without_duplicate_results() {
     let mut log = ResultLog::default();
     log.add(result("a"));
     log.add(result("b"));
-    let mine = log.start_write().unwrap();
-    // Another daemon, which ran the job meanwhile, has written this number first.
-    log.commit(mine.number, vec![Rc::new(result("b")), Rc::new(result("c"))]);
+    let own = log.start_write().unwrap();
+    // Another owner has written this chunk number first.
+    log.commit(own.number, vec![Rc::new(result("b")), Rc::new(result("c"))]);
     assert_eq!(items(&log), ["b", "c"]);
     let next = log.start_write().unwrap();
     assert_eq!(next.number, 1);
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_chunk_after_a_gap_is_not_taken_in() {
+fn chunk_after_a_gap_is_ignored() {
     let mut log = ResultLog::default();
     assert!(!log.commit(1, vec![Rc::new(result("a"))]));
     assert!(log.is_empty());
 }
 
 #[test]
-fn an_item_with_a_result_gets_no_second_one() {
+fn second_result_of_an_item_is_ignored() {
     let mut log = ResultLog::default();
     log.commit(0, vec![Rc::new(result("a"))]);
     log.add(result("a"));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_reader_that_has_some_results_gets_the_others_once() {
+fn extending_a_partial_log_adds_each_result_once() {
     let mut owner = ResultLog::default();
     for (number, name) in ["a", "b", "c"].iter().enumerate() {
         owner.commit(number as u32, vec![Rc::new(result(name))]);
@@ -79,7 +79,7 @@
     let mut reader = ResultLog::default();
     reader.commit(0, vec![Rc::new(result("a"))]);
     reader.extend(owner.page(1), owner.chunks());
-    // A late answer to an earlier question changes nothing.
+    // A delayed response to an earlier request has no effect.
     reader.extend(owner.page(0)[..2].to_vec(), 2);
     assert_eq!(items(&reader), ["a", "b", "c"]);
     assert_eq!(reader.chunks(), 3);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_page_is_bounded_and_never_empty_when_a_result_exists() {
+fn page_is_size_limited_but_not_empty() {
     let mut log = ResultLog::default();
     let mut large = result("large");
     large.text = "x".repeat(2_000_000);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn events_cut_anywhere_make_one_text_with_its_versions() {
+fn stream_split_at_any_byte_yields_the_same_text() {
     let stream = b"id: 1\ndata: one\n\nweights: 8\nid: 2\ndata: two\n\nid: 3\ndata: three\n\n";
     for cut in 0..stream.len() {
         let mut text = ItemText::default();
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn a_continuation_has_to_begin_with_the_next_event() {
+fn continuation_must_start_with_the_next_event() {
     let mut text = ItemText::default();
     let mut first = EventReader::new("weights", Some(7));
     first.read(b"id: 1\ndata: one\n\nid: 2\nda", &mut text).unwrap();
     assert!(!first.is_between_events());
     assert_eq!(text.last_event(), 1);
-    for wrong in ["id: 1\ndata: one\n\n", "id: 3\ndata: three\n\n", "data: two\n\n"] {
+    for stream in ["id: 1\ndata: one\n\n", "id: 3\ndata: three\n\n", "data: two\n\n"] {
         let mut second = EventReader::new("weights", Some(7));
-        assert_eq!(second.read(wrong.as_bytes(), &mut text), Err(StreamError::OutOfOrder));
+        assert_eq!(second.read(stream.as_bytes(), &mut text), Err(StreamError::OutOfOrder));
     }
     let mut second = EventReader::new("weights", Some(7));
     assert_eq!(second.read(b"id: 2\ndata: two\n\n", &mut text), Ok(1));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_events_are_refused() {
+fn malformed_events_are_rejected() {
     let mut text = ItemText::default();
     let mut reader = EventReader::new("weights", Some(7));
     assert_eq!(reader.read(b"id: x\ndata: 1\n\n", &mut text), Err(StreamError::Malformed));
@@ -137,13 +137,13 @@
 }
 
 #[test]
-fn the_longest_items_are_begun_first() {
+fn longest_items_start_first() {
     let items = [item("short", Some(10)), item("unknown", None), item("long", Some(900))];
     assert_eq!(start_order(&items), [2, 1, 0]);
 }
 
 #[test]
-fn all_daemons_agree_on_a_successor_and_jobs_are_spread() {
+fn successor_is_independent_of_order_and_varies_by_job() {
     let nodes = [node("a"), node("b"), node("c")];
     let mut reversed = nodes.clone();
     reversed.reverse();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_answer_that_adds_nothing_needs_no_version_and_an_event_does() {
+fn version_is_required_only_for_events() {
     let mut text = ItemText::default();
     let mut reader = EventReader::new("weights", None);
     assert_eq!(reader.read(b"", &mut text), Ok(0));
@@ -168,12 +168,12 @@
 }
 
 #[test]
-fn daemons_stand_in_line_for_a_job_with_its_successor_first() {
+fn takeover_positions_are_distinct_and_start_with_the_successor() {
     let alive: Vec<_> = ["a", "b", "c", "d"].map(node).to_vec();
-    let mut places: Vec<usize> =
-        alive.iter().map(|me| takeover_position("j", me, &alive)).collect();
+    let mut positions: Vec<usize> =
+        alive.iter().map(|node_id| takeover_position("j", node_id, &alive)).collect();
     let first = successor("j", alive.iter()).unwrap();
     assert_eq!(takeover_position("j", first, &alive), 0);
-    places.sort_unstable();
-    assert_eq!(places, [0, 1, 2, 3]);
+    positions.sort_unstable();
+    assert_eq!(positions, [0, 1, 2, 3]);
 }
--- a/crates/heronbend-gateway/tests/checkpoint.rs
+++ b/crates/heronbend-gateway/tests/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Texts that are saved while they are under way.
+//! Saving and restoring texts in progress.
 
 mod support;
 
@@ -10,8 +10,13 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-/// Adds events to a text, as a server under `version` would send them.
-fn make(texts: &JobTexts, item: usize, events: std::ops::RangeInclusive<u64>, version: u64) {
+/// Appends events to a text as a server with weight version `version` would send them.
+fn append_events(
+    texts: &JobTexts,
+    item: usize,
+    events: std::ops::RangeInclusive<u64>,
+    version: u64,
+) {
     let text = texts.get(item);
     let mut reader = EventReader::new("weights", Some(version));
     for number in events {
@@ -27,13 +32,13 @@
 }
 
 #[test]
-fn a_long_text_is_saved_once_and_goes_on_with_its_versions() {
+fn text_is_saved_incrementally_with_its_versions() {
     let mut texts = JobTexts::new(2);
-    make(&texts, 1, 1..=20, 3);
+    append_events(&texts, 1, 1..=20, 3);
     let first = texts.unsaved(|_| false);
     texts.mark_saved(&first);
     assert!(texts.unsaved(|_| false).is_empty());
-    make(&texts, 1, 21..=25, 4);
+    append_events(&texts, 1, 21..=25, 4);
     let second = texts.unsaved(|_| false);
     assert_eq!((second[0].after, second[0].events.len()), (20, 5));
     let new_owner = restored(2, &[first[0].clone(), second[0].clone()]);
@@ -43,17 +48,17 @@
 }
 
 #[test]
-fn short_texts_and_listed_ones_are_not_saved() {
+fn short_and_committed_texts_are_not_saved() {
     let texts = JobTexts::new(2);
-    make(&texts, 0, 1..=3, 1);
-    make(&texts, 1, 1..=30, 1);
+    append_events(&texts, 0, 1..=3, 1);
+    append_events(&texts, 1, 1..=30, 1);
     assert!(texts.unsaved(|item| item == 1).is_empty());
 }
 
 #[test]
-fn segments_of_two_writers_make_one_text_without_gap_or_repetition() {
+fn overlapping_segments_of_two_writers_are_joined() {
     let texts = JobTexts::new(1);
-    make(&texts, 0, 1..=40, 1);
+    append_events(&texts, 0, 1..=40, 1);
     let text = texts.get(0);
     let segment = |after, to: usize| {
         let mut segment = text.borrow().segment(0, after);
@@ -61,34 +66,34 @@
         segment.versions.truncate(to);
         segment
     };
-    // The second writer knew nothing of the first one's events; one of its segments is missing.
+    // The second writer did not know the first one's events, and one of its segments is missing.
     let segments = [segment(0, 30), segment(0, 20), segment(20, 20), segment(50, 10)];
     let restored = restored(1, &segments);
     assert_eq!(*restored.get(0).borrow(), *text.borrow());
 }
 
 #[test]
-fn a_segment_after_a_gap_adds_nothing() {
+fn segment_after_a_gap_is_ignored() {
     let texts = JobTexts::new(1);
-    make(&texts, 0, 1..=40, 1);
+    append_events(&texts, 0, 1..=40, 1);
     let late = texts.get(0).borrow().segment(0, 20);
     let restored = restored(1, &[late]);
     assert_eq!(restored.get(0).borrow().last_event(), 0);
 }
 
 #[test]
-fn a_text_that_was_begun_anew_is_saved_from_its_start() {
+fn restarted_text_is_saved_from_its_start() {
     let mut texts = JobTexts::new(1);
-    make(&texts, 0, 1..=40, 1);
+    append_events(&texts, 0, 1..=40, 1);
     let saved = texts.unsaved(|_| false);
     texts.mark_saved(&saved);
     texts.get(0).take();
-    make(&texts, 0, 1..=20, 2);
+    append_events(&texts, 0, 1..=20, 2);
     assert_eq!(texts.unsaved(|_| false)[0].after, 0);
 }
 
 #[test]
-fn no_checkpoint_is_larger_than_an_object_and_the_rest_goes_into_the_next() {
+fn checkpoints_respect_the_object_size_limit() {
     let mut texts = JobTexts::new(400);
     for item in 0..400 {
         let text = texts.get(item);
@@ -112,30 +117,31 @@
 }
 
 #[test]
-fn the_longest_texts_are_saved_first() {
+fn longest_texts_are_saved_first() {
     let texts = JobTexts::new(3);
     for (item, events) in [(0, 20), (1, 60), (2, 40)] {
-        make(&texts, item, 1..=events, 1);
+        append_events(&texts, item, 1..=events, 1);
     }
     let order: Vec<usize> = texts.unsaved(|_| false).iter().map(|segment| segment.item).collect();
     assert_eq!(order, [1, 2, 0]);
 }
 
 #[test]
-fn a_text_fits_where_each_event_was_made_under_a_version_that_does() {
+fn version_constraints_apply_to_every_event() {
     let texts = JobTexts::new(1);
     let text = texts.get(0);
     assert!(text.borrow().satisfies_versions(9, true));
-    make(&texts, 0, 1..=3, 4);
+    append_events(&texts, 0, 1..=3, 4);
     assert!(text.borrow().satisfies_versions(4, true));
     assert!(!text.borrow().satisfies_versions(5, false));
-    make(&texts, 0, 4..=5, 5);
+    append_events(&texts, 0, 4..=5, 5);
     assert!(text.borrow().satisfies_versions(4, false));
     assert!(!text.borrow().satisfies_versions(4, true));
 }
 
-/// Adds events of one run at a server to a text, after `after` of the events that it has.
-fn make_by(run: &str, text: &mut ItemText, count: u64) {
+/// Appends `count` events of an attempt. Each event names the run, the event after which the
+/// attempt was asked to continue, and its own number.
+fn append_run(run: &str, text: &mut ItemText, count: u64) {
     let mut reader = EventReader::new("weights", Some(1));
     let after = text.last_event();
     for number in after + 1..=after + count {
@@ -144,23 +150,23 @@
     }
 }
 
-/// What is wrong with a text whose events name their run, what that was asked to follow, and their
-/// number; a run follows the event that it was asked to follow.
-fn fault(text: &ItemText) -> Option<String> {
+/// Checks the numbers of events made by [`append_run`], and that each run starts after the event
+/// that it was asked to continue. Returns a description of the first violation.
+fn find_inconsistency(text: &ItemText) -> Option<String> {
     let text = text.text();
     let events: Vec<Vec<&str>> = text.lines().map(|event| event.split(':').collect()).collect();
     for (index, event) in events.iter().enumerate() {
-        let is_next = event[2] == (index + 1).to_string();
-        let begins = index == 0 || events[index - 1][0] != event[0];
-        let was_asked = !begins || event[1] == index.to_string();
-        if !is_next || !was_asked {
+        let has_next_number = event[2] == (index + 1).to_string();
+        let starts_run = index == 0 || events[index - 1][0] != event[0];
+        let follows_requested_event = !starts_run || event[1] == index.to_string();
+        if !has_next_number || !follows_requested_event {
             return Some(format!("event {} is {event:?}", index + 1));
         }
     }
     None
 }
 
-/// Saves what is unsaved of the texts.
+/// Saves all unsaved events and returns the segments.
 fn save(texts: &mut JobTexts) -> Vec<Segment> {
     let segments = texts.unsaved(|_| false);
     texts.mark_saved(&segments);
@@ -168,97 +174,97 @@
 }
 
 #[test]
-fn texts_of_two_owners_that_went_on_from_one_event_are_not_joined() {
+fn diverging_texts_of_two_owners_are_not_joined() {
     let mut first = JobTexts::new(1);
-    make_by("a", &mut first.get(0).borrow_mut(), 40);
+    append_run("a", &mut first.get(0).borrow_mut(), 40);
     let mut segments = save(&mut first);
     let mut second = restored(1, &segments);
-    make_by("b", &mut first.get(0).borrow_mut(), 10);
-    make_by("c", &mut second.get(0).borrow_mut(), 30);
-    // The former owner's last checkpoint is there before the new owner's first.
+    append_run("b", &mut first.get(0).borrow_mut(), 10);
+    append_run("c", &mut second.get(0).borrow_mut(), 30);
+    // The former owner's last checkpoint is written before the new owner's first.
     segments.extend(save(&mut first));
     segments.extend(save(&mut second));
     let third = restored(1, &segments);
-    assert_eq!(fault(&third.get(0).borrow()), None);
-    assert_eq!(third.get(0).borrow().last_event(), 70, "the longer one goes on");
+    assert_eq!(find_inconsistency(&third.get(0).borrow()), None);
+    assert_eq!(third.get(0).borrow().last_event(), 70, "the longer text is kept");
 }
 
 #[test]
-fn a_late_checkpoint_of_a_former_owner_is_not_joined() {
+fn late_checkpoint_of_a_former_owner_is_not_joined() {
     let mut first = JobTexts::new(1);
-    make_by("a", &mut first.get(0).borrow_mut(), 20);
+    append_run("a", &mut first.get(0).borrow_mut(), 20);
     let mut segments = save(&mut first);
     let mut second = restored(1, &segments);
-    make_by("b", &mut first.get(0).borrow_mut(), 10);
+    append_run("b", &mut first.get(0).borrow_mut(), 10);
     let late = save(&mut first);
-    make_by("c", &mut second.get(0).borrow_mut(), 5);
+    append_run("c", &mut second.get(0).borrow_mut(), 5);
     segments.extend(save(&mut second));
     segments.extend(late);
-    make_by("c", &mut second.get(0).borrow_mut(), 1);
+    append_run("c", &mut second.get(0).borrow_mut(), 1);
     segments.extend(save(&mut second));
-    assert_eq!(fault(&restored(1, &segments).get(0).borrow()), None);
+    assert_eq!(find_inconsistency(&restored(1, &segments).get(0).borrow()), None);
 }
 
 #[test]
-fn a_text_that_was_begun_anew_and_outgrew_the_saved_one_is_saved_from_its_start() {
+fn restarted_text_longer_than_the_saved_one_is_saved_from_its_start() {
     let mut texts = JobTexts::new(1);
-    make_by("a", &mut texts.get(0).borrow_mut(), 20);
+    append_run("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = save(&mut texts);
     texts.get(0).take();
-    make_by("b", &mut texts.get(0).borrow_mut(), 45);
+    append_run("b", &mut texts.get(0).borrow_mut(), 45);
     segments.extend(save(&mut texts));
-    make_by("b", &mut texts.get(0).borrow_mut(), 5);
+    append_run("b", &mut texts.get(0).borrow_mut(), 5);
     segments.extend(save(&mut texts));
     let next = restored(1, &segments);
-    assert_eq!(fault(&next.get(0).borrow()), None);
+    assert_eq!(find_inconsistency(&next.get(0).borrow()), None);
     assert_eq!(next.get(0).borrow().last_event(), 50);
 }
 
 #[test]
-fn a_text_that_was_begun_anew_while_its_checkpoint_was_written_is_saved_from_its_start() {
+fn text_restarted_during_a_checkpoint_is_saved_from_its_start() {
     let mut texts = JobTexts::new(1);
-    make_by("a", &mut texts.get(0).borrow_mut(), 20);
+    append_run("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = texts.unsaved(|_| false);
     texts.get(0).take();
-    make_by("b", &mut texts.get(0).borrow_mut(), 25);
+    append_run("b", &mut texts.get(0).borrow_mut(), 25);
     texts.mark_saved(&segments);
     segments.extend(save(&mut texts));
-    assert_eq!(fault(&restored(1, &segments).get(0).borrow()), None);
+    assert_eq!(find_inconsistency(&restored(1, &segments).get(0).borrow()), None);
 }
 
 #[test]
-fn a_text_that_was_moved_between_servers_goes_on_whole() {
+fn migrated_text_is_restored_completely() {
     let mut texts = JobTexts::new(1);
-    make_by("a", &mut texts.get(0).borrow_mut(), 20);
+    append_run("a", &mut texts.get(0).borrow_mut(), 20);
     let mut segments = save(&mut texts);
-    make_by("b", &mut texts.get(0).borrow_mut(), 7);
+    append_run("b", &mut texts.get(0).borrow_mut(), 7);
     segments.extend(save(&mut texts));
-    make_by("c", &mut texts.get(0).borrow_mut(), 7);
+    append_run("c", &mut texts.get(0).borrow_mut(), 7);
     segments.extend(save(&mut texts));
     let next = restored(1, &segments);
     assert_eq!(*next.get(0).borrow(), *texts.get(0).borrow());
 }
 
 #[test]
-fn checkpoints_that_are_read_in_another_order_make_the_same_text() {
+fn checkpoint_order_does_not_matter() {
     let mut texts = JobTexts::new(1);
     let mut segments = Vec::new();
     for _ in 0..3 {
-        make_by("a", &mut texts.get(0).borrow_mut(), 20);
+        append_run("a", &mut texts.get(0).borrow_mut(), 20);
         segments.extend(save(&mut texts));
     }
     segments.reverse();
     assert_eq!(restored(1, &segments).get(0).borrow().last_event(), 60);
 }
 
-/// Some owners of one job that may all be at work at once, and what they have saved.
+/// Several concurrent owners of one job and the checkpoints that they have written.
 struct Owners {
     random: SmallRng,
     owners: Vec<JobTexts>,
-    /// What the store holds.
+    /// Segments in the store.
     stored: Vec<Segment>,
-    /// Writes that may be done later, or never.
-    under_way: Vec<Vec<Segment>>,
+    /// Writes that may take effect later or never.
+    in_flight_writes: Vec<Vec<Segment>>,
     runs: u32,
 }
 
@@ -271,7 +277,7 @@
             random: SmallRng::seed_from_u64(seed),
             owners: (0..OWNERS).map(|_| JobTexts::new(ITEMS)).collect(),
             stored: Vec::new(),
-            under_way: Vec::new(),
+            in_flight_writes: Vec::new(),
             runs: 0,
         }
     }
@@ -284,7 +290,7 @@
             0..=4 => {
                 self.runs += 1;
                 let count = self.random.random_range(1..25);
-                make_by(&format!("r{}", self.runs), &mut text.borrow_mut(), count);
+                append_run(&format!("r{}", self.runs), &mut text.borrow_mut(), count);
             }
             5 => {
                 text.take();
@@ -293,10 +299,10 @@
                 let segments = save(&mut self.owners[owner]);
                 self.stored.extend(segments);
             }
-            // Without an answer: the same events are saved again.
-            7 => self.under_way.push(self.owners[owner].unsaved(|_| false)),
+            // A write without a response: the same events are saved again.
+            7 => self.in_flight_writes.push(self.owners[owner].unsaved(|_| false)),
             8 => {
-                if let Some(late) = self.under_way.pop() {
+                if let Some(late) = self.in_flight_writes.pop() {
                     self.stored.extend(late);
                 }
             }
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn whatever_is_restored_is_one_text_whoever_wrote_and_lost_what() {
+fn restored_texts_are_consistent_for_random_interleavings() {
     let seed: u64 = rand::random();
     println!("first seed {seed}");
     for seed in (0..2000).map(|number| seed.wrapping_add(number)) {
@@ -316,7 +322,7 @@
             let restored = restored(ITEMS, &owners.stored);
             for item in 0..ITEMS {
                 let text = restored.get(item);
-                assert_eq!(fault(&text.borrow()), None, "item {item}, seed {seed}");
+                assert_eq!(find_inconsistency(&text.borrow()), None, "item {item}, seed {seed}");
             }
         }
     }
--- a/crates/heronbend-gateway/tests/owner_selection.rs
+++ b/crates/heronbend-gateway/tests/owner_selection.rs
@@ -1,4 +1,4 @@
-//! Which daemon runs a job.
+//! Selection of the daemon that runs a job.
 
 mod support;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn large_daemons_come_first_and_small_ones_when_none_is_left() {
+fn large_daemons_precede_small_ones() {
     let order = takeover_order("job", &fleet());
     assert_eq!(order.len(), 24);
     assert!(order[..4].iter().all(|node| node.name.0.starts_with("large")));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn daemons_that_do_not_say_what_they_have_are_alike() {
+fn daemons_without_reported_cpu_are_treated_alike() {
     let fleet: Vec<_> = (0..5).map(|number| candidate(&format!("d{number}"), 0)).collect();
     let mut first: Vec<_> =
         (0..40).map(|job| takeover_order(&format!("j{job}"), &fleet)[0].clone()).collect();
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn a_models_jobs_stay_with_their_daemon() {
+fn jobs_of_a_model_keep_their_owner() {
     let owners = [model_owner("m0", "large-2"), model_owner("m1", "large-0")];
     assert_eq!(select_owner("m0", &fleet(), &owners), Some(node("large-2")));
     assert_eq!(select_owner("m1", &fleet(), &owners), Some(node("large-0")));
 }
 
 #[test]
-fn models_that_share_a_daemon_part_and_small_owners_hand_over() {
+fn shared_and_small_owners_are_replaced() {
     let owners =
         [model_owner("m0", "large-1"), model_owner("m1", "large-1"), model_owner("m2", "small-3")];
     assert_eq!(select_owner("m0", &fleet(), &owners), Some(node("large-1")));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn more_models_than_large_daemons_stay_where_they_are() {
+fn models_stay_if_no_large_daemon_is_free() {
     let two = [candidate("a", 500), candidate("b", 500), candidate("c", 100)];
     let owners = [model_owner("m0", "a"), model_owner("m1", "b"), model_owner("m2", "a")];
     assert_eq!(select_owner("m2", &two, &owners), Some(node("a")));
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -432,7 +432,7 @@
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             store.put(OWNERSHIPS, "j", json!(ownership));
             // Only the list is read; the sweep for lost daemons' jobs, which waits, does not run.
-            executor.spawn(ownership_manager::follow(gateway.clone())).detach();
+            executor.spawn(ownership_manager::refresh_ownerships(gateway.clone())).detach();
             let is_mine = || {
                 let job = gateway.jobs.get("j");
                 job.is_some_and(|job| job.owner() == gateway.identity.node && job.running.get())
