--- a/crates/heronbend-gateway/src/batch/job_texts.rs
+++ b/crates/heronbend-gateway/src/batch/job_texts.rs
@@ -23,7 +23,7 @@
 }
 
 impl SavedPrefix {
-    /// The prefix that covers a whole text.
+    /// The prefix that covers an entire text.
     pub fn all_of(text: &ItemText) -> Self {
         let events = text.last_event();
         Self { events, digest: text.digest_at(events).unwrap_or_default() }
