--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Writer {
     /// This run of this daemon.
-    Here,
+    Own,
     /// Another daemon, or an earlier run of this one, that owns the job or owned it at that time.
-    Another,
+    Other,
 }
 
 /// Appends results while this daemon runs the job.
@@ -34,7 +34,7 @@
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     let mut failures = 0;
     loop {
-        if job.owner_in_doubt.get() {
+        if job.owner_unconfirmed.get() {
             confirm_owner(&gateway, &job).await;
             continue;
         }
@@ -81,7 +81,7 @@
         read.as_ref().map_or_else(ToString::to_string, |_| "read".to_owned())
     );
     if is_owner {
-        job.owner_in_doubt.set(false);
+        job.owner_unconfirmed.set(false);
     } else {
         Timer::after(OWNERSHIP_RETRY_DELAY).await;
     }
@@ -92,14 +92,14 @@
 /// that a former owner has committed.
 pub async fn seal(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     loop {
-        if job.owner_in_doubt.get() {
+        if job.owner_unconfirmed.get() {
             // A chunk found by the write may belong to a newer owner.
             confirm_owner(gateway, job).await;
             continue;
         }
         let number = job.log.borrow().chunks();
         let chunk = Chunk { number, results: Vec::new() };
-        if write(gateway, job, &chunk).await? == Writer::Here {
+        if write(gateway, job, &chunk).await? == Writer::Own {
             log::info!("event=log_sealed job={} chunk={number}", job.id);
             return Ok(());
         }
@@ -168,7 +168,7 @@
     match gateway.store.create(&kind, &name, content).await {
         Ok(_) => {
             commit(gateway, job, chunk.number, chunk.results.clone());
-            Ok(Writer::Here)
+            Ok(Writer::Own)
         }
         // The chunk exists: an earlier attempt succeeded, or another daemon runs the job.
         Err(StoreError::Conflict(Some(object))) => commit_object(gateway, job, &object),
@@ -184,9 +184,9 @@
     let (number, results) = parse_chunk(object)?;
     commit(gateway, job, number, results);
     let writer = writer_of(gateway, object);
-    if writer == Writer::Another {
+    if writer == Writer::Other {
         // Cleared once the store has confirmed the owner.
-        job.owner_in_doubt.set(true);
+        job.owner_unconfirmed.set(true);
     }
     Ok(writer)
 }
@@ -194,9 +194,9 @@
 fn writer_of(gateway: &Gateway, chunk: &Object) -> Writer {
     let writer = chunk.content.get("writer").and_then(Value::as_str);
     if writer == Some(gateway.identity.node.to_string().as_str()) {
-        Writer::Here
+        Writer::Own
     } else {
-        Writer::Another
+        Writer::Other
     }
 }
 
@@ -242,8 +242,8 @@
         for object in &page.objects {
             let (number, results) = parse_chunk(object)?;
             let is_new = number >= job.log.borrow().chunks();
-            if is_new && writer_of(gateway, object) == Writer::Another {
-                job.owner_in_doubt.set(true);
+            if is_new && writer_of(gateway, object) == Writer::Other {
+                job.owner_unconfirmed.set(true);
             }
             job.log.borrow_mut().commit(number, results);
         }
--- a/crates/heronbend-gateway/src/batch/event_stream.rs
+++ b/crates/heronbend-gateway/src/batch/event_stream.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// An event has no number or not the next one.
-    #[error("an event is missing or out of order")]
+    #[error("an event is missing or out of turn")]
     OutOfOrder,
     /// An event cannot be parsed or has no known weight version.
     #[error("an event is malformed")]
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -149,7 +149,7 @@
             let Some(pass) = self.admit(&route).await else {
                 continue;
             };
-            self.keep_apart(pass, &route);
+            self.restrict_servers(pass, &route);
             let history = self.history.clone();
             let placed =
                 places::text(self.gateway, &self.item.id, requirements, urgency, history).await;
@@ -217,7 +217,7 @@
         None
     }
 
-    fn keep_apart(&mut self, pass: Pass, route: &Route) {
+    fn restrict_servers(&mut self, pass: Pass, route: &Route) {
         let mut history = std::mem::take(&mut self.history);
         quarantine::keep_apart(self.gateway, pass, || self.fingerprint(route), &mut history);
         self.history = history;
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -75,7 +75,7 @@
     pub ownership_confirmed_at: Cell<Option<Moment>>,
     /// Whether a chunk by another writer was found, which may be a newer owner. Nothing is appended
     /// until the store has confirmed the owner.
-    pub owner_in_doubt: Cell<bool>,
+    pub owner_unconfirmed: Cell<bool>,
     /// Whether the job was just submitted, so that the store has no results for it.
     pub is_new: Cell<bool>,
     /// Until when the owner waits for the handoff from the daemon that accepted the job.
@@ -107,7 +107,7 @@
             stopping: Event::new(),
             running: Cell::new(false),
             ownership_confirmed_at: Cell::new(None),
-            owner_in_doubt: Cell::new(false),
+            owner_unconfirmed: Cell::new(false),
             is_new: Cell::new(false),
             handoff_deadline: Cell::new(None),
             first_seen: now,
@@ -128,7 +128,7 @@
     /// Whether this daemon is the confirmed owner and its log holds every result that any reader
     /// may have seen. The confirmation expires, since a paused daemon may have lost the job to
     /// another one.
-    pub fn is_authority(&self, now: Moment) -> bool {
+    pub fn is_authoritative(&self, now: Moment) -> bool {
         let confirmed_at = self.ownership_confirmed_at.get();
         let knows_all = !self.log.borrow().is_in_doubt();
         self.running.get()
--- a/crates/heronbend-gateway/src/batch/results_reader.rs
+++ b/crates/heronbend-gateway/src/batch/results_reader.rs
@@ -53,7 +53,7 @@
         }
         let now = gateway.now();
         let remaining = wait_until.saturating_sub(now);
-        if job.is_authority(now) {
+        if job.is_authoritative(now) {
             if remaining.is_zero() || job.ended.get() {
                 return local_page(&job, from);
             }
@@ -119,7 +119,7 @@
     let continues = job.log.borrow().len() == from && from + results.len() == settled;
     if continues && !results.is_empty() {
         job.log.borrow_mut().extend(results.clone(), chunks);
-        job.owner_in_doubt.set(true);
+        job.owner_unconfirmed.set(true);
         job.log_changed.notify(usize::MAX);
     }
     Some(Ok(ResultsPage { total: job.total, from, results }))
@@ -141,7 +141,8 @@
     limit: Duration,
 ) -> PeerReply {
     let job = gateway.jobs.get(id).filter(|job| job.owner() == gateway.identity.node);
-    let Some(job) = job.filter(|job| job.is_authority(gateway.now()) || job.is_complete()) else {
+    let Some(job) = job.filter(|job| job.is_authoritative(gateway.now()) || job.is_complete())
+    else {
         return PeerReply::NotOwner;
     };
     let until = gateway.now() + limit;
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -260,7 +260,7 @@
     let object = store.object(OWNERSHIPS, "j").unwrap();
     let job = gateway.jobs.upsert_object(&object).unwrap();
     ownership_manager::adopt(gateway, &job, AdoptionReason::Silent).await;
-    wait_until("the new owner answers", || job.is_authority(gateway.now())).await;
+    wait_until("the new owner answers", || job.is_authoritative(gateway.now())).await;
     job
 }
 
@@ -311,17 +311,17 @@
             let (mine, task) = appending(&store, &owner, &executor);
             mine.running.set(true);
             mine.ownership_confirmed_at.set(Some(owner.now()));
-            assert!(mine.is_authority(owner.now()));
+            assert!(mine.is_authoritative(owner.now()));
             store.fail_writes(&[WriteFault::AnswerLost]);
             store.fail_writes(&[WriteFault::Refused; 40]);
             add(&mine, "item-0");
             let is_written = || store.object(&results_kind("j"), &chunk_name(0)).is_some();
             wait_until("the chunk is written", is_written).await;
-            wait_until("the owner is in doubt", || !mine.is_authority(owner.now())).await;
+            wait_until("the owner is in doubt", || !mine.is_authoritative(owner.now())).await;
             drop(task);
             appender::catch_up(&owner, &mine).await.unwrap();
             mine.ownership_confirmed_at.set(Some(owner.now()));
-            assert!(mine.is_authority(owner.now()));
+            assert!(mine.is_authoritative(owner.now()));
             assert_eq!(mine.log.borrow().len(), 1);
         })
     });
