--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use heronbend::placement::AttemptEnd;
-use heronbend::placement::Fitness;
-use heronbend::placement::History;
-use heronbend::placement::Need;
+use heronbend::placement::AttemptHistory;
+use heronbend::placement::AttemptOutcome;
+use heronbend::placement::Requirements;
 use heronbend::placement::Urgency;
+use heronbend::placement::VersionStatus;
 use heronbend::quarantine::Fingerprint;
 use heronbend::Moment;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
@@ -88,7 +88,7 @@
     /// The service selected by the route's weights.
     service: Option<String>,
     /// The last server, which the next attempt avoids, and all servers that failed the item.
-    history: History,
+    history: AttemptHistory,
     /// Computed on first use.
     fingerprint: OnceCell<Fingerprint>,
     /// Whether the current quarantine of the item has been logged.
@@ -114,7 +114,7 @@
         attempts_without_progress: 0,
         route_missing_since: None,
         service: None,
-        history: History::default(),
+        history: AttemptHistory::default(),
         fingerprint: OnceCell::new(),
         hold_logged: false,
     };
@@ -210,10 +210,10 @@
                 self.job.id,
                 self.item.id,
                 self.fingerprint(route),
-                refused.come_back.as_millis()
+                refused.retry_after.as_millis()
             );
         }
-        Timer::after(refused.come_back.min(MAX_QUARANTINE_WAIT)).await;
+        Timer::after(refused.retry_after.min(MAX_QUARANTINE_WAIT)).await;
         None
     }
 
@@ -231,7 +231,7 @@
     /// Identifies repeated submissions of the same request.
     fn fingerprint(&self, route: &Route) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let outgoing = self.outgoing(Fitness::Listed, route);
+            let outgoing = self.outgoing(VersionStatus::Registered, route);
             // A request that cannot be built is never sent, so any fingerprint will do.
             let names = self.gateway.dialect.headers();
             outgoing.map_or_else(Fingerprint::default, |outgoing| outgoing.fingerprint(names))
@@ -293,7 +293,12 @@
     }
 
     /// Placement requirements of the item.
-    fn requirements(&self, configuration: &Configuration, route: &Route, service: &str) -> Need {
+    fn requirements(
+        &self,
+        configuration: &Configuration,
+        route: &Route,
+        service: &str,
+    ) -> Requirements {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
         let allowed_regions = homes::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
@@ -308,8 +313,8 @@
             self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
-            due: self.job.first_seen + route.result_deadline.unwrap_or_default(),
-            expected: Reverse(u64::from(remaining)),
+            deadline: self.job.first_seen + route.result_deadline.unwrap_or_default(),
+            remaining_tokens: Reverse(u64::from(remaining)),
         }
     }
 
@@ -320,16 +325,16 @@
     async fn attempt(
         &mut self,
         placed: Placed,
-        requirements: Need,
+        requirements: Requirements,
         route: &Route,
     ) -> AttemptResult {
-        let Placed { server, fitness, counted, .. } = placed;
+        let Placed { server, version_status, counted, .. } = placed;
         let server = &server;
-        let Some(outgoing) = self.outgoing(fitness, route) else {
+        let Some(outgoing) = self.outgoing(version_status, route) else {
             return AttemptResult::Unsendable;
         };
-        let is_alone = self.history.is_alone;
-        let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
+        let is_isolated = self.history.is_isolated;
+        let isolated = passage::isolate(self.gateway, server, &outgoing, is_isolated).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
             return AttemptResult::Retry;
@@ -359,7 +364,7 @@
             // Record failures: a server that fails every request is always idle and would attract
             // more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
-            let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Abandoned };
+            let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
             counted.end(end);
             return match status {
                 StatusCode::UNPROCESSABLE_ENTITY => AttemptResult::Unsendable,
@@ -376,13 +381,13 @@
         match outcome {
             Ok(()) => {
                 let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
-                counted.end(AttemptEnd::Answered(per_event));
+                counted.end(AttemptOutcome::Succeeded(per_event));
                 quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
                 AttemptResult::Complete
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
-                counted.end(AttemptEnd::Abandoned);
+                counted.end(AttemptOutcome::Abandoned);
                 AttemptResult::Retry
             }
             Err(reason) => {
@@ -406,7 +411,7 @@
         );
     }
 
-    fn outgoing(&self, fitness: Fitness, route: &Route) -> Option<Outgoing> {
+    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<Outgoing> {
         let names = self.gateway.dialect.headers();
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -425,7 +430,7 @@
         if self.last_event() > 0 {
             headers.insert(names.last_event.clone(), HeaderValue::from(self.last_event()));
         }
-        if let Fitness::Expected(version) = fitness {
+        if let VersionStatus::Expected(version) = version_status {
             headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
         Some(Outgoing {
@@ -445,7 +450,7 @@
         &mut self,
         server: &Rc<Server>,
         exchange: Exchange,
-        (requirements, route): (Need, &Route),
+        (requirements, route): (Requirements, &Route),
         sent_at: Moment,
         isolation: Option<Isolation>,
     ) -> Result<(), &'static str> {
@@ -520,7 +525,7 @@
         server: &Server,
         throughput: &mut ThroughputMeter,
         events: usize,
-        (requirements, route): (Need, &Route),
+        (requirements, route): (Requirements, &Route),
     ) -> bool {
         let now = self.gateway.now();
         let Some(per_event) = throughput.record(now, events as u64) else {
@@ -528,7 +533,7 @@
         };
         {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.note(now, &server.id, AttemptEnd::Answered(per_event));
+            placer.record_outcome(now, &server.id, AttemptOutcome::Succeeded(per_event));
         }
         let estimator = self.gateway.length_estimator.borrow();
         let remaining = estimator.expected_remaining(self.item, self.last_event());
@@ -538,16 +543,16 @@
         }
         let gain = {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.gain(now, &requirements, &server.id, per_event, remaining)
+            placer.migration_gain(now, &requirements, &server.id, per_event, remaining)
         };
         gain.is_some_and(|gain| self.gateway.migration_cost.borrow().is_exceeded_by(gain))
     }
 
     /// Whether the server's zone is evacuated and another server can continue the text.
-    fn must_leave_zone(&self, server: &Server, requirements: &Need) -> bool {
+    fn must_leave_zone(&self, server: &Server, requirements: &Requirements) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
-        placer.is_to_be_left(&server.id)
-            && placer.text(self.gateway.now(), requirements, &self.history).is_some()
+        placer.is_in_evacuated_zone(&server.id)
+            && placer.place_batch_item(self.gateway.now(), requirements, &self.history).is_some()
     }
 
     fn satisfies_versions(&self, route: &Route) -> bool {
--- a/crates/heronbend-gateway/src/batch/registry.rs
+++ b/crates/heronbend-gateway/src/batch/registry.rs
@@ -122,7 +122,7 @@
 
     /// Whether a caller may see the job.
     pub fn is_visible_to(&self, caller: &Caller) -> bool {
-        caller.may_see(self.ownership.borrow().0.tenant.as_deref())
+        caller.can_access(self.ownership.borrow().0.tenant.as_deref())
     }
 
     /// Whether this daemon is the confirmed owner and its log holds every result that any reader
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -81,7 +81,7 @@
 fn retry_delay(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
     match answer {
         Err(ForwardError::Quarantined(refused)) => {
-            refused.come_back.clamp(RETRY_DELAY, MAX_RETRY_DELAY)
+            refused.retry_after.clamp(RETRY_DELAY, MAX_RETRY_DELAY)
         }
         _ => RETRY_DELAY,
     }
--- a/crates/heronbend-gateway/src/batch/reward_limit.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -43,7 +43,7 @@
 /// total among all owners of running jobs.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
     let requirements = places::need(gateway, service, None, None);
-    let slots = gateway.directory.borrow().placer.slots(gateway.now(), &requirements);
+    let slots = gateway.directory.borrow().placer.total_slots(gateway.now(), &requirements);
     let jobs = gateway.jobs.all();
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
     let owners: BTreeSet<_> = open.map(|job| job.owner()).collect();
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -367,7 +367,7 @@
     };
     let specification: JobSpecification = serde_json::from_value(object.content)
         .map_err(|error| StoreError::Malformed(error.to_string()))?;
-    if !caller.may_see(specification.tenant.as_deref()) {
+    if !caller.can_access(specification.tenant.as_deref()) {
         return Ok(false);
     }
     let allowed_regions = allowed_regions(gateway, &specification);
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -184,7 +184,10 @@
             let gateway = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             let patience = gateway.now() + PATIENCE;
-            assert_eq!(submission::end(&gateway, "j", &Caller::Anyone, patience).await, Ok(()));
+            assert_eq!(
+                submission::end(&gateway, "j", &Caller::AuthDisabled, patience).await,
+                Ok(())
+            );
             assert_eq!(submission::submit(&gateway, job("j", 2), patience).await, Ok(()));
             assert!(gateway.jobs.get("j").unwrap().ended.get());
             assert_eq!(store.object(OWNERSHIPS, "j").unwrap().content["ended"], json!(true));
@@ -356,16 +359,19 @@
             submission::submit(&owner, job("j", 3), patience).await.unwrap();
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            let page = results_reader::results(&reader, "j", &Caller::Anyone, 0, reader.now())
-                .await
-                .unwrap();
+            let page =
+                results_reader::results(&reader, "j", &Caller::AuthDisabled, 0, reader.now())
+                    .await
+                    .unwrap();
             assert_eq!((page.total, page.results.len()), (3, 1));
             let missing =
-                results_reader::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+                results_reader::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now())
+                    .await;
             assert_eq!(missing.unwrap_err(), results_reader::ReadError::NotFound);
             store.set_down(true);
             let unsure =
-                results_reader::results(&reader, "unknown", &Caller::Anyone, 0, reader.now()).await;
+                results_reader::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now())
+                    .await;
             assert_eq!(unsure.unwrap_err(), results_reader::ReadError::Unavailable);
         })
     });
@@ -406,9 +412,10 @@
             job.ownership_confirmed_at.set(None);
             let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert_eq!(reply, PeerReply::NotOwner);
-            let page = results_reader::results(&gateway, "j", &Caller::Anyone, 0, gateway.now())
-                .await
-                .unwrap();
+            let page =
+                results_reader::results(&gateway, "j", &Caller::AuthDisabled, 0, gateway.now())
+                    .await
+                    .unwrap();
             assert_eq!(page.results.len(), 1);
             job.ownership_confirmed_at.set(Some(gateway.now()));
             let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
--- a/crates/heronbend/src/placement/decisions.rs
+++ b/crates/heronbend/src/placement/decisions.rs
@@ -1,243 +1,275 @@
-//! Where requests go: the decisions of the [`Placer`], over what it is fed with.
+//! Placement decisions of the [`Placer`].
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::eligible;
-use super::eligible::Circumstances;
-use super::eligible::Exclusion;
-use super::eligible::Fitness;
-use super::eligible::History;
-use super::eligible::Need;
-use super::keys::HomesKey;
+use super::eligibility;
+use super::eligibility::AttemptHistory;
+use super::eligibility::EligibilityContext;
+use super::eligibility::Exclusion;
+use super::eligibility::Requirements;
+use super::eligibility::VersionStatus;
+use super::exclusion_counts::ExclusionCounts;
+use super::health::ServerHealth;
+use super::keys::RegionSetKey;
 use super::keys::ServerKey;
 use super::keys::ServiceKey;
 use super::keys::ZoneKey;
-use super::load::Load;
-use super::patience;
-use super::patience::Answer;
-use super::patience::Waited;
 use super::placer::Choice;
-use super::placer::Open;
+use super::placer::EligibleServers;
 use super::placer::Placer;
 use super::queue::TicketKey;
 use super::queue::Urgency;
 use super::rank;
+use super::rank::CostParameters;
 use super::rank::Profile;
-use super::rank::Weights;
 use super::server::Server;
-use super::tally::Tally;
+use super::wait_policy;
+use super::wait_policy::Decision;
+use super::wait_policy::WaitState;
 use crate::Moment;
 
-/// How long what bars servers from a need is believed without looking again, while nothing is told of
-/// any server: only the mere passing of time changes it then.
-const OPEN_BELIEVED: Duration = Duration::from_millis(50);
-/// Of more servers than this a text is offered a subset, always the same one of a daemon while it has
-/// places: a fleet of thousands costs no more than one of a hundred, and each daemon keeps to servers
-/// that it is connected to and whose pace it knows. Drawn anew for each text, nearly every text of a fleet
-/// of 7,777 servers would open a connection. So many places hold two steps of some hundred texts.
-const SUBSET: usize = 128;
-/// A subset with fewer free servers than this is no choice, and a larger one is looked at.
-const MIN_CHOICE: usize = 8;
-/// How much larger the next subset is.
+/// Lifetime of a cached set of eligible servers while no server changes. Eligibility still depends
+/// on time, for example on the end of a grace period.
+const ELIGIBLE_CACHE_TTL: Duration = Duration::from_millis(50);
+/// Batch items are offered a subset of at most this many servers, which bounds the cost of a
+/// decision in a large fleet. The subset is stable per daemon, so that its connections and latency
+/// estimates are reused.
+const SUBSET_SIZE: usize = 128;
+/// A subset with fewer available servers than this is widened.
+const MIN_SUBSET_CANDIDATES: usize = 8;
+/// Factor by which a subset grows each time it is widened.
 const SUBSET_GROWTH: usize = 4;
-/// Texts of a lane that a free server is offered to: the first one takes it unless all free servers
-/// failed at it.
+/// Maximum number of tickets of a lane that are tried if servers are available but not suitable for
+/// the first ticket.
 const LOOK_AHEAD: usize = 16;
-/// Another server counts as faster from this ratio on; paces vary by a few parts in a hundred.
-const FASTER: f64 = 1.15;
+/// Ratio of latencies above which another server counts as faster; smaller differences are noise.
+const MIN_SPEEDUP: f64 = 1.15;
 
 impl Placer {
-    fn circumstances(
+    fn eligibility_context(
         &self,
         now: Moment,
         server: &Server,
-        need: &Need,
-        has_listed: bool,
-    ) -> Circumstances {
-        let terms = self.terms.get(&need.service).copied().unwrap_or_default();
-        Circumstances {
+        requirements: &Requirements,
+        has_ready_server: bool,
+    ) -> EligibilityContext {
+        let state = self.service_states.get(&requirements.service).copied().unwrap_or_default();
+        EligibilityContext {
             now,
-            has_listed,
-            is_evacuated: self.evacuated.contains(&server.listing.zone),
-            is_home: self.is_home(server.listing.zone, need.homes),
-            share: terms.share.unwrap_or(u32::MAX),
-            needs_permit: terms.cold.is_some(),
+            has_ready_server,
+            is_evacuated: self.evacuated.contains(&server.registration.zone),
+            is_region_allowed: self
+                .is_region_allowed(server.registration.zone, requirements.allowed_regions),
+            max_in_flight: state.max_in_flight.unwrap_or(u32::MAX),
+            needs_permit: state.cold_start.is_some(),
         }
     }
 
-    fn is_home(&self, zone: ZoneKey, homes: Option<HomesKey>) -> bool {
-        let Some(homes) = homes else {
+    fn is_region_allowed(&self, zone: ZoneKey, allowed_regions: Option<RegionSetKey>) -> bool {
+        let Some(allowed_regions) = allowed_regions else {
             return true;
         };
-        let index: u32 = homes.into();
-        let homes = self.homes.get(index as usize);
+        let index: u32 = allowed_regions.into();
+        let allowed_regions = self.region_sets.get(index as usize);
         let region = self.region_of.get(&zone);
-        homes.zip(region).is_some_and(|(homes, region)| homes.contains(region))
+        allowed_regions
+            .zip(region)
+            .is_some_and(|(allowed_regions, region)| allowed_regions.contains(region))
     }
 
-    fn has_listed(&self, now: Moment, service: ServiceKey) -> bool {
-        let is_listed = |server: &Server| server.is_ready() && !server.load.has_ended(now);
-        self.of_service(service).any(|(_, server)| is_listed(server))
+    fn has_ready_server(&self, now: Moment, service: ServiceKey) -> bool {
+        let is_running = |server: &Server| server.is_ready() && !server.health.has_exited(now);
+        self.servers_of(service).any(|(_, server)| is_running(server))
     }
 
-    /// Servers that nothing bars from a need, with what bars the others, as of a moment ago.
-    fn open_lately(&mut self, now: Moment, need: &Need) -> (Rc<[ServerKey]>, Tally) {
-        let changes = self.changes;
-        let is_current = |open: &Open| open.changes == changes && now < open.at + OPEN_BELIEVED;
-        self.known_open.retain(is_current);
-        if let Some(open) = self.known_open.iter().find(|open| open.need == *need) {
-            return (open.servers.clone(), open.tally.clone());
+    /// Like [`Self::find_eligible`], but reuses a recent result for the same requirements.
+    fn cached_eligible(
+        &mut self,
+        now: Moment,
+        requirements: &Requirements,
+    ) -> (Rc<[ServerKey]>, ExclusionCounts) {
+        let change_count = self.change_count;
+        let is_current = |eligible: &EligibleServers| {
+            eligible.change_count == change_count && now < eligible.computed_at + ELIGIBLE_CACHE_TTL
+        };
+        self.eligible_cache.retain(is_current);
+        if let Some(eligible) =
+            self.eligible_cache.iter().find(|eligible| eligible.requirements == *requirements)
+        {
+            return (eligible.servers.clone(), eligible.exclusions.clone());
         }
-        let (servers, tally) = self.open(now, need);
+        let (servers, exclusions) = self.find_eligible(now, requirements);
         let servers: Rc<[ServerKey]> = servers.into();
-        let open = Open { need: *need, changes, at: now, servers, tally };
-        let found = (open.servers.clone(), open.tally.clone());
-        self.known_open.push(open);
+        let eligible = EligibleServers {
+            requirements: *requirements,
+            change_count,
+            computed_at: now,
+            servers,
+            exclusions,
+        };
+        let found = (eligible.servers.clone(), eligible.exclusions.clone());
+        self.eligible_cache.push(eligible);
         found
     }
 
-    /// Servers that nothing bars from a need, with what bars the others.
-    fn open(&self, now: Moment, need: &Need) -> (Vec<ServerKey>, Tally) {
-        let has_listed = self.has_listed(now, need.service);
-        let mut tally = Tally::default();
-        let mut open = Vec::new();
-        for (key, server) in self.of_service(need.service) {
-            let at = self.circumstances(now, server, need, has_listed);
-            match eligible::barred(server, need, &at) {
-                _ if self.awaits_evacuations => tally.add(Exclusion::Gone),
-                Some(exclusion) => tally.add(exclusion),
-                None => open.push(key),
+    /// Returns the servers that are eligible for `requirements`, in key order, and counts why the
+    /// others are excluded.
+    fn find_eligible(
+        &self,
+        now: Moment,
+        requirements: &Requirements,
+    ) -> (Vec<ServerKey>, ExclusionCounts) {
+        let has_ready_server = self.has_ready_server(now, requirements.service);
+        let mut exclusions = ExclusionCounts::default();
+        let mut eligible = Vec::new();
+        for (key, server) in self.servers_of(requirements.service) {
+            let context = self.eligibility_context(now, server, requirements, has_ready_server);
+            match eligibility::check_eligibility(server, requirements, &context) {
+                _ if self.awaits_evacuations => exclusions.add(Exclusion::NotReady),
+                Some(exclusion) => exclusions.add(exclusion),
+                None => eligible.push(key),
             }
         }
-        (open, tally)
+        (eligible, exclusions)
     }
 
-    /// Servers that may be sent requests of a need.
-    pub fn usable(&self, now: Moment, need: &Need) -> Vec<ServerKey> {
-        self.open(now, need).0
+    /// Returns the servers that are eligible for `requirements`, whatever their load.
+    pub fn eligible_servers(&self, now: Moment, requirements: &Requirements) -> Vec<ServerKey> {
+        self.find_eligible(now, requirements).0
     }
 
-    /// Places of the servers that may be sent requests of a need.
-    pub fn slots(&self, now: Moment, need: &Need) -> u32 {
-        let usable = self.usable(now, need);
-        usable.into_iter().filter_map(|key| Some(self.get(key)?.listing.slots)).sum()
+    /// Returns the total number of slots of the eligible servers.
+    pub fn total_slots(&self, now: Moment, requirements: &Requirements) -> u32 {
+        let eligible_servers = self.eligible_servers(now, requirements);
+        eligible_servers.into_iter().filter_map(|key| Some(self.get(key)?.registration.slots)).sum()
     }
 
-    /// What becomes of a call. Servers that are not connected cost a little more; a server whose
-    /// places are all taken is used if no other is better, one that is avoided only if all are.
-    pub fn call(
+    /// Chooses a server for a call.
+    ///
+    /// Servers without an open connection are slightly more expensive. A server without a free slot
+    /// is used if no better one exists, and one in backoff only if all are.
+    pub fn place_call(
         &mut self,
         now: Moment,
-        need: &Need,
-        history: &History,
-        waited: &Waited,
+        requirements: &Requirements,
+        history: &AttemptHistory,
+        wait: &WaitState,
         is_connected: impl Fn(ServerKey) -> bool,
-    ) -> Answer {
-        let (mut open, mut tally) = self.open(now, need);
-        skip_tried(&mut open, history, &mut tally);
-        let free = self.free_for_call(now, need, &open, &mut tally);
-        let free = self.apart(free, history.is_alone);
-        if history.spares_last && self.is_last(now, need.service, &free) {
-            return patience::unplaced(now, waited, Some(Exclusion::Last));
+    ) -> Decision {
+        let (mut eligible, mut exclusions) = self.find_eligible(now, requirements);
+        exclude_tried(&mut eligible, history, &mut exclusions);
+        let available = self.available_for_call(now, requirements, &eligible, &mut exclusions);
+        let available = self.separate_suspects(available, history.is_isolated);
+        if history.spares_last_healthy
+            && self.includes_last_healthy(now, requirements.service, &available)
+        {
+            return wait_policy::wait_or_reject(now, wait, Some(Exclusion::LastHealthy));
         }
-        if free.is_empty() {
-            self.note_shortage(now, need, &open, 1);
-            return patience::unplaced(now, waited, tally.reason());
+        if available.is_empty() {
+            self.record_permit_demand(now, requirements, &eligible, 1);
+            return wait_policy::wait_or_reject(now, wait, exclusions.dominant());
         }
-        let best = self.cheapest(now, &free, rank::CALL, is_connected);
-        match best.and_then(|key| self.choice(now, need, key)) {
-            Some(choice) => Answer::Place(choice),
-            None => patience::unplaced(now, waited, tally.reason()),
+        let best = self.cheapest(now, &available, rank::CALL, is_connected);
+        match best.and_then(|key| self.choice(now, requirements, key)) {
+            Some(choice) => Decision::Place(choice),
+            None => wait_policy::wait_or_reject(now, wait, exclusions.dominant()),
         }
     }
 
-    /// What becomes of a stream: of the servers with free places one with the newest weights, or the
-    /// best of all if none has a free place.
-    pub fn stream(
+    /// Chooses a server for a stream: among the servers with a free slot, one with the newest
+    /// weights, or the best of all servers if none has a free slot.
+    pub fn place_stream(
         &mut self,
         now: Moment,
-        need: &Need,
-        history: &History,
-        waited: &Waited,
-    ) -> Answer {
-        let (mut open, mut tally) = self.open(now, need);
-        skip_tried(&mut open, history, &mut tally);
-        let free = self.unengaged(now, need, &open, false, &mut tally);
-        let free = self.apart(free, history.is_alone);
-        if history.spares_last && self.is_last(now, need.service, &free) {
-            return patience::unplaced(now, waited, Some(Exclusion::Last));
+        requirements: &Requirements,
+        history: &AttemptHistory,
+        wait: &WaitState,
+    ) -> Decision {
+        let (mut eligible, mut exclusions) = self.find_eligible(now, requirements);
+        exclude_tried(&mut eligible, history, &mut exclusions);
+        let available = self.filter_available(now, requirements, &eligible, false, &mut exclusions);
+        let available = self.separate_suspects(available, history.is_isolated);
+        if history.spares_last_healthy
+            && self.includes_last_healthy(now, requirements.service, &available)
+        {
+            return wait_policy::wait_or_reject(now, wait, Some(Exclusion::LastHealthy));
         }
-        let has_place =
+        let has_free_slot =
             |key: &ServerKey| self.get(*key).is_some_and(|server| server.free_slots() > 0);
-        let idle: Vec<ServerKey> = free.iter().copied().filter(has_place).collect();
-        let newest = idle.iter().map(|key| self.version_at(now, need, *key)).max();
-        let best: Vec<ServerKey> = idle
+        let with_free_slot: Vec<ServerKey> =
+            available.iter().copied().filter(has_free_slot).collect();
+        let newest =
+            with_free_slot.iter().map(|key| self.version_at(now, requirements, *key)).max();
+        let best: Vec<ServerKey> = with_free_slot
             .into_iter()
-            .filter(|key| Some(self.version_at(now, need, *key)) == newest)
+            .filter(|key| Some(self.version_at(now, requirements, *key)) == newest)
             .collect();
         let chosen = self
             .cheapest(now, &best, rank::CALL, |_| true)
-            .or_else(|| self.cheapest(now, &free, rank::CALL, |_| true));
-        match chosen.and_then(|key| self.choice(now, need, key)) {
-            Some(choice) => Answer::Place(choice),
+            .or_else(|| self.cheapest(now, &available, rank::CALL, |_| true));
+        match chosen.and_then(|key| self.choice(now, requirements, key)) {
+            Some(choice) => Decision::Place(choice),
             None => {
-                self.note_shortage(now, need, &open, 1);
-                patience::unplaced(now, waited, tally.reason())
+                self.record_permit_demand(now, requirements, &eligible, 1);
+                wait_policy::wait_or_reject(now, wait, exclusions.dominant())
             }
         }
     }
 
-    /// Whether a stream that runs at a server could go on at another one.
-    pub fn has_other(&self, now: Moment, need: &Need, id: &str) -> bool {
-        let here = self.key(id);
-        self.usable(now, need).into_iter().any(|key| Some(key) != here)
+    /// Whether a stream that runs on server `id` could continue on another server.
+    pub fn has_alternative(&self, now: Moment, requirements: &Requirements, id: &str) -> bool {
+        let current = self.key(id);
+        self.eligible_servers(now, requirements).into_iter().any(|key| Some(key) != current)
     }
 
-    /// Has a text wait for a place.
-    pub fn wait(
+    /// Adds a batch item to the queue.
+    pub fn enqueue(
         &mut self,
         now: Moment,
-        need: Need,
+        requirements: Requirements,
         urgency: Urgency,
-        history: History,
+        history: AttemptHistory,
     ) -> TicketKey {
-        self.queue.add(now, need, urgency, history)
+        self.queue.add(now, requirements, urgency, history)
     }
 
-    /// Takes back a text that waited.
-    pub fn withdraw(&mut self, ticket: TicketKey) {
+    /// Removes a batch item from the queue.
+    pub fn cancel(&mut self, ticket: TicketKey) {
         self.queue.remove(ticket);
     }
 
-    /// Texts that wait.
-    pub fn waiting(&self) -> usize {
+    /// Number of queued batch items.
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// What keeps most servers from texts of a need now.
-    pub fn obstacle(&self, now: Moment, need: &Need) -> Option<Exclusion> {
-        let (open, mut tally) = self.open(now, need);
-        self.unengaged(now, need, &open, true, &mut tally);
-        tally.reason()
+    /// Returns the most frequent reason why servers cannot take a batch item now.
+    pub fn main_exclusion(&self, now: Moment, requirements: &Requirements) -> Option<Exclusion> {
+        let (eligible, mut exclusions) = self.find_eligible(now, requirements);
+        self.filter_available(now, requirements, &eligible, true, &mut exclusions);
+        exclusions.dominant()
     }
 
-    /// Texts of the same need that are placed before this one.
-    pub fn place_in_line(&self, ticket: TicketKey) -> Option<usize> {
-        self.queue.place_in_line(ticket)
+    /// Number of queued items with the same requirements ahead of this one.
+    pub fn queue_position(&self, ticket: TicketKey) -> Option<usize> {
+        self.queue.queue_position(ticket)
     }
 
-    /// The most urgent text that a place is free for, with the place. Whoever drives the machine notes
-    /// that it began before it asks for the next one. Servers that are not connected cost a little more.
-    pub fn next_placed(
+    /// Places the most urgent batch item that an available server can run, and removes it from the
+    /// queue.
+    ///
+    /// The caller must report the item with [`Self::request_started`] before it asks for the next
+    /// one. Servers without an open connection are slightly more expensive.
+    pub fn place_next(
         &mut self,
         now: Moment,
         is_connected: impl Fn(ServerKey) -> bool,
     ) -> Option<(TicketKey, Choice)> {
-        for need in self.queue.needs() {
-            if let Some(placed) = self.place_first(now, &need, &is_connected) {
+        for requirements in self.queue.lanes_by_urgency() {
+            if let Some(placed) = self.place_first_in_lane(now, &requirements, &is_connected) {
                 self.queue.remove(placed.0);
                 return Some(placed);
             }
@@ -245,73 +277,81 @@
         None
     }
 
-    /// The first text of a lane that some free server fits.
-    fn place_first(
+    /// Places the first item of a lane that an available server can run.
+    fn place_first_in_lane(
         &mut self,
         now: Moment,
-        need: &Need,
+        requirements: &Requirements,
         is_connected: &dyn Fn(ServerKey) -> bool,
     ) -> Option<(TicketKey, Choice)> {
-        let (open, mut tally) = self.open_lately(now, need);
-        let free = self.free_for_text(now, need, &open, &mut tally);
-        let waiting = u32::try_from(self.queue.waiting(need)).unwrap_or(u32::MAX);
-        if free.is_empty() {
-            self.note_shortage(now, need, &open, waiting);
+        let (eligible, mut exclusions) = self.cached_eligible(now, requirements);
+        let available =
+            self.available_for_batch_item(now, requirements, &eligible, &mut exclusions);
+        let waiting = u32::try_from(self.queue.lane_len(requirements)).unwrap_or(u32::MAX);
+        if available.is_empty() {
+            self.record_permit_demand(now, requirements, &eligible, waiting);
             return None;
         }
-        for ticket in self.queue.first(need, LOOK_AHEAD) {
+        for ticket in self.queue.most_urgent(requirements, LOOK_AHEAD) {
             let history = self.queue.history(ticket).cloned().unwrap_or_default();
-            if let Some(key) = self.text_place(now, (&open, &free), &history, is_connected) {
-                let choice = self.choice(now, need, key)?;
+            if let Some(key) =
+                self.select_for_batch_item(now, (&eligible, &available), &history, is_connected)
+            {
+                let choice = self.choice(now, requirements, key)?;
                 return Some((ticket, choice));
             }
         }
         None
     }
 
-    /// The place of a text among `free` servers: not one that failed at it while another one of `open`
-    /// has not, and not the one whose attempt ended last while another one is free.
-    fn text_place(
+    /// Selects one of the `available` servers for a batch item. Skips servers that failed for the
+    /// item while another eligible one has not, and the server of the last attempt while another
+    /// one is available.
+    fn select_for_batch_item(
         &mut self,
         now: Moment,
-        (open, free): (&[ServerKey], &[ServerKey]),
-        history: &History,
+        (eligible, available): (&[ServerKey], &[ServerKey]),
+        history: &AttemptHistory,
         is_connected: &dyn Fn(ServerKey) -> bool,
     ) -> Option<ServerKey> {
         let has_failed = |key: &ServerKey| history.failed.contains(key);
-        let has_sound = open.iter().any(|key| !has_failed(key));
-        let mut fit: Vec<ServerKey> = free.to_vec();
-        if has_sound {
-            fit.retain(|key| !has_failed(key));
+        let has_other = eligible.iter().any(|key| !has_failed(key));
+        let mut candidates: Vec<ServerKey> = available.to_vec();
+        if has_other {
+            candidates.retain(|key| !has_failed(key));
         }
-        let fit = self.apart(fit, history.is_alone);
-        let service = fit.first().and_then(|key| Some(self.get(*key)?.listing.service));
-        if history.spares_last && service.is_some_and(|service| self.is_last(now, service, &fit)) {
+        let candidates = self.separate_suspects(candidates, history.is_isolated);
+        let service = candidates.first().and_then(|key| Some(self.get(*key)?.registration.service));
+        if history.spares_last_healthy
+            && service.is_some_and(|service| self.includes_last_healthy(now, service, &candidates))
+        {
             return None;
         }
         let other: Vec<ServerKey> =
-            fit.iter().copied().filter(|key| Some(*key) != history.last).collect();
-        self.cheapest(now, &other, rank::TEXT, is_connected)
-            .or_else(|| self.cheapest(now, &fit, rank::TEXT, is_connected))
+            candidates.iter().copied().filter(|key| Some(*key) != history.last).collect();
+        self.cheapest(now, &other, rank::BATCH_ITEM, is_connected)
+            .or_else(|| self.cheapest(now, &candidates, rank::BATCH_ITEM, is_connected))
     }
 
-    /// Those of some servers where requests that may end theirs are kept apart from all others. Two of
-    /// them never meet: if their server ended, nothing would tell which of them it was. One goes to a
-    /// server without any other request of this daemon if there is one, and any other request to a
-    /// server without such a one.
-    fn apart(&self, servers: Vec<ServerKey>, is_alone: bool) -> Vec<ServerKey> {
-        if !is_alone && self.suspects == 0 {
+    /// Keeps suspects, requests that may crash their server, away from other requests.
+    ///
+    /// Two suspects never share a server, since a crash could not be attributed to either of them.
+    /// A suspect goes to an idle server if possible, and other requests avoid servers that run a
+    /// suspect if possible.
+    fn separate_suspects(&self, servers: Vec<ServerKey>, is_isolated: bool) -> Vec<ServerKey> {
+        if !is_isolated && self.suspects == 0 {
             return servers;
         }
-        let with = |is_wanted: fn(&Load) -> bool| -> Vec<ServerKey> {
-            let wanted = |key: &ServerKey| self.get(*key).is_some_and(|it| is_wanted(&it.load));
+        let with = |is_wanted: fn(&ServerHealth) -> bool| -> Vec<ServerKey> {
+            let wanted =
+                |key: &ServerKey| self.get(*key).is_some_and(|server| is_wanted(&server.health));
             servers.iter().copied().filter(wanted).collect()
         };
-        let without_suspects = with(|load| load.suspects == 0);
-        if !is_alone {
+        let without_suspects = with(|health| health.suspects == 0);
+        if !is_isolated {
             return if without_suspects.is_empty() { servers } else { without_suspects };
         }
-        let idle = with(|load| load.in_flight == 0);
+        let idle = with(|health| health.in_flight == 0);
         if idle.is_empty() {
             without_suspects
         } else {
@@ -319,47 +359,60 @@
         }
     }
 
-    /// Whether some servers, which could be chosen, hold the last sound one of a service that lists
-    /// several.
-    fn is_last(&self, now: Moment, service: ServiceKey, servers: &[ServerKey]) -> bool {
-        let listed = || self.of_service(service).filter(|(_, server)| server.is_ready());
-        let is_sound = |server: &Server| !server.load.is_avoided(now);
-        let sound: Vec<ServerKey> =
-            listed().filter(|(_, server)| is_sound(server)).map(|(key, _)| key).collect();
-        let is_risked = sound.first().is_some_and(|last| servers.contains(last));
-        sound.len() == 1 && listed().count() > 1 && is_risked
+    /// Whether `servers` contains the only healthy server of a service that has several ready ones.
+    fn includes_last_healthy(
+        &self,
+        now: Moment,
+        service: ServiceKey,
+        servers: &[ServerKey],
+    ) -> bool {
+        let ready = || self.servers_of(service).filter(|(_, server)| server.is_ready());
+        let is_healthy = |server: &Server| !server.health.is_in_backoff(now);
+        let healthy: Vec<ServerKey> =
+            ready().filter(|(_, server)| is_healthy(server)).map(|(key, _)| key).collect();
+        let is_included = healthy.first().is_some_and(|last| servers.contains(last));
+        healthy.len() == 1 && ready().count() > 1 && is_included
     }
 
-    /// A place for a text now, without waiting.
-    pub fn text(&mut self, now: Moment, need: &Need, history: &History) -> Option<Choice> {
-        let (open, mut tally) = self.open_lately(now, need);
-        let free = self.free_for_text(now, need, &open, &mut tally);
-        let key = self.text_place(now, (&open, &free), history, &|_| true)?;
-        self.choice(now, need, key)
+    /// Chooses a server for a batch item now, without queueing it.
+    pub fn place_batch_item(
+        &mut self,
+        now: Moment,
+        requirements: &Requirements,
+        history: &AttemptHistory,
+    ) -> Option<Choice> {
+        let (eligible, mut exclusions) = self.cached_eligible(now, requirements);
+        let available =
+            self.available_for_batch_item(now, requirements, &eligible, &mut exclusions);
+        let key = self.select_for_batch_item(now, (&eligible, &available), history, &|_| true)?;
+        self.choice(now, requirements, key)
     }
 
-    /// Time that a text with `remaining` events would win at the best other server with a free place,
-    /// where an event takes `per_event` at its own.
-    pub fn gain(
+    /// Returns the time that a batch item with `remaining` events would save by migrating from
+    /// server `id`, where each event takes `per_event`, to the best other server with a free slot.
+    ///
+    /// Returns `None` if no other server is noticeably faster.
+    pub fn migration_gain(
         &mut self,
         now: Moment,
-        need: &Need,
+        requirements: &Requirements,
         id: &str,
         per_event: Duration,
         remaining: u32,
     ) -> Option<Duration> {
-        let here = self.key(id);
-        let (open, mut tally) = self.open_lately(now, need);
-        let mut free = self.free_for_text(now, need, &open, &mut tally);
-        free.retain(|key| Some(*key) != here);
-        let other = self.cheapest(now, &free, rank::TEXT, |_| true)?;
-        let there = self.expected_latency(now, other, need.service)?;
-        let is_faster = per_event.as_secs_f64() > there.as_secs_f64() * FASTER;
-        is_faster.then(|| (per_event - there) * remaining)
+        let current = self.key(id);
+        let (eligible, mut exclusions) = self.cached_eligible(now, requirements);
+        let mut available =
+            self.available_for_batch_item(now, requirements, &eligible, &mut exclusions);
+        available.retain(|key| Some(*key) != current);
+        let other = self.cheapest(now, &available, rank::BATCH_ITEM, |_| true)?;
+        let other_latency = self.expected_latency(now, other, requirements.service)?;
+        let is_faster = per_event.as_secs_f64() > other_latency.as_secs_f64() * MIN_SPEEDUP;
+        is_faster.then(|| (per_event - other_latency) * remaining)
     }
 
-    /// Expected latency of a server's answers, or of the events of its texts; nothing where no latency
-    /// of any server of its service is known.
+    /// Expected latency of a response of the server, or of an event of a batch item. `None` if no
+    /// latency of any server of the service is known.
     fn expected_latency(
         &self,
         now: Moment,
@@ -367,81 +420,94 @@
         service: ServiceKey,
     ) -> Option<Duration> {
         let peers = || {
-            let servers = self.of_service(service).map(|(_, server)| server);
+            let servers = self.servers_of(service).map(|(_, server)| server);
             servers.filter(|server| server.is_ready())
         };
-        let is_known = peers().any(|peer| peer.load.mean_millis.is_some());
-        let best = rank::best_millis(peers(), None, rank::TEXT);
-        let millis = self.get(key)?.load.faded_millis(now, best);
+        let is_known = peers().any(|peer| peer.health.mean_millis.is_some());
+        let best = rank::best_millis(peers(), None, rank::BATCH_ITEM);
+        let millis = self.get(key)?.health.decayed_mean_millis(now, best);
         is_known.then(|| Duration::from_secs_f64(millis / 1e3))
     }
 
-    /// Those of `open` servers that have a place for a text: of many only some, where that is enough.
-    fn free_for_text(
+    /// Returns the `eligible` servers that have a slot for a batch item. In a large fleet only a
+    /// subset is examined, which is widened until it has enough candidates.
+    fn available_for_batch_item(
         &self,
         now: Moment,
-        need: &Need,
-        open: &[ServerKey],
-        tally: &mut Tally,
+        requirements: &Requirements,
+        eligible: &[ServerKey],
+        exclusions: &mut ExclusionCounts,
     ) -> Vec<ServerKey> {
-        let mut size = SUBSET;
-        while size < open.len() {
-            let some = self.subset(open, size);
-            let mut free = self.unengaged(now, need, &some, true, &mut Tally::default());
-            free.retain(|key| self.get(*key).is_some_and(|server| !server.is_cold(now)));
-            if free.len() >= MIN_CHOICE {
-                return free;
+        let mut size = SUBSET_SIZE;
+        while size < eligible.len() {
+            let subset = self.subset(eligible, size);
+            let mut available = self.filter_available(
+                now,
+                requirements,
+                &subset,
+                true,
+                &mut ExclusionCounts::default(),
+            );
+            available.retain(|key| self.get(*key).is_some_and(|server| !server.is_cold(now)));
+            if available.len() >= MIN_SUBSET_CANDIDATES {
+                return available;
             }
             size *= SUBSET_GROWTH;
         }
-        self.unengaged(now, need, open, true, tally)
+        self.filter_available(now, requirements, eligible, true, exclusions)
     }
 
-    /// Those of `open` servers that can be sent a call: of many only some, where enough of these have
-    /// free places.
-    fn free_for_call(
+    /// Returns the `eligible` servers that can be sent a call. In a large fleet only a subset is
+    /// examined if it has enough servers with a free slot.
+    fn available_for_call(
         &self,
         now: Moment,
-        need: &Need,
-        open: &[ServerKey],
-        tally: &mut Tally,
+        requirements: &Requirements,
+        eligible: &[ServerKey],
+        exclusions: &mut ExclusionCounts,
     ) -> Vec<ServerKey> {
-        if open.len() > SUBSET {
-            let some = self.subset(open, SUBSET);
-            let free = self.unengaged(now, need, &some, true, &mut Tally::default());
-            if free.len() >= MIN_CHOICE {
-                return free;
+        if eligible.len() > SUBSET_SIZE {
+            let subset = self.subset(eligible, SUBSET_SIZE);
+            let available = self.filter_available(
+                now,
+                requirements,
+                &subset,
+                true,
+                &mut ExclusionCounts::default(),
+            );
+            if available.len() >= MIN_SUBSET_CANDIDATES {
+                return available;
             }
         }
-        self.unengaged(now, need, open, false, tally)
+        self.filter_available(now, requirements, eligible, false, exclusions)
     }
 
-    /// So many of some servers, which are in the order of their keys: those that follow a place of this
-    /// daemon's own in that order. Servers that come and go move it by as many.
+    /// Returns the `size` servers that follow this daemon's offset in key order, wrapping around.
+    /// Each server that joins or leaves shifts the subset by at most one position.
     fn subset(&self, servers: &[ServerKey], size: usize) -> Vec<ServerKey> {
-        let own = self.own_place * self.places.len() as f64;
-        let first = servers.partition_point(|key| f64::from(key.index) < own);
+        let offset = self.subset_offset * self.arena.len() as f64;
+        let first = servers.partition_point(|key| f64::from(key.index) < offset);
         let (before, from) = servers.split_at(first);
         from.iter().chain(before).take(size).copied().collect()
     }
 
-    /// Those of `open` servers that can be sent a request now. Warm ones come alone where there are
-    /// any: a cold server's rate is kept for when nothing else is free.
-    fn unengaged(
+    /// Returns the `eligible` servers that can be sent a request now. Cold servers are returned
+    /// only if no warm one is available, which saves their permits.
+    fn filter_available(
         &self,
         now: Moment,
-        need: &Need,
-        open: &[ServerKey],
+        requirements: &Requirements,
+        eligible: &[ServerKey],
         needs_slot: bool,
-        tally: &mut Tally,
+        exclusions: &mut ExclusionCounts,
     ) -> Vec<ServerKey> {
         let mut warm = Vec::new();
         let mut cold = Vec::new();
-        for (key, server) in open.iter().filter_map(|key| Some((*key, self.get(*key)?))) {
-            let at = self.circumstances(now, server, need, true);
-            match eligible::engaged(server, &at, needs_slot) {
-                Some(exclusion) => tally.add(exclusion),
-                None if at.needs_permit && server.is_cold(now) => cold.push(key),
+        for (key, server) in eligible.iter().filter_map(|key| Some((*key, self.get(*key)?))) {
+            let context = self.eligibility_context(now, server, requirements, true);
+            match eligibility::check_availability(server, &context, needs_slot) {
+                Some(exclusion) => exclusions.add(exclusion),
+                None if context.needs_permit && server.is_cold(now) => cold.push(key),
                 None => warm.push(key),
             }
         }
@@ -452,27 +518,37 @@
         }
     }
 
-    /// Notes which cold servers `waiting` requests would use, as far as they have places.
-    fn note_shortage(&mut self, now: Moment, need: &Need, open: &[ServerKey], waiting: u32) {
-        let is_bounded = self.terms.get(&need.service).is_some_and(|terms| terms.cold.is_some());
+    /// Records the permits that `waiting` requests could use on cold servers, up to their free
+    /// slots.
+    fn record_permit_demand(
+        &mut self,
+        now: Moment,
+        requirements: &Requirements,
+        eligible: &[ServerKey],
+        waiting: u32,
+    ) {
+        let is_bounded = self
+            .service_states
+            .get(&requirements.service)
+            .is_some_and(|state| state.cold_start.is_some());
         if !is_bounded {
             return;
         }
         let mut left = waiting;
-        for key in open {
+        for key in eligible {
             let Some(server) = self.get(*key).filter(|server| server.is_cold(now)) else {
                 continue;
             };
             let permits = server.free_slots().min(left);
-            if permits > 0 && !server.load.is_avoided(now) {
+            if permits > 0 && !server.health.is_in_backoff(now) {
                 left -= permits;
-                let noted = self.shortages.entry(*key).or_default();
-                *noted = (*noted).max(permits);
+                let demand = self.permit_demand.entry(*key).or_default();
+                *demand = (*demand).max(permits);
             }
         }
     }
 
-    /// The cheapest of some servers; one that is avoided only if all are.
+    /// Returns the server with the lowest cost; one in backoff only if all are.
     fn cheapest(
         &mut self,
         now: Moment,
@@ -480,24 +556,25 @@
         profile: Profile,
         is_connected: impl Fn(ServerKey) -> bool,
     ) -> Option<ServerKey> {
-        let found = || keys.iter().filter_map(|key| self.get(*key));
-        let service = found().next().map(|server| server.listing.service);
-        let usual = service.and_then(|service| self.terms.get(&service)?.usual_millis);
-        let best_millis = rank::best_millis(found(), usual, profile);
-        let weights = Weights::new(now, best_millis, profile);
-        let explores = self.random.random_range(0..rank::EXPLORE_EVERY) == 0;
+        let servers = || keys.iter().filter_map(|key| self.get(*key));
+        let service = servers().next().map(|server| server.registration.service);
+        let baseline =
+            service.and_then(|service| self.service_states.get(&service)?.baseline_millis);
+        let best_millis = rank::best_millis(servers(), baseline, profile);
+        let parameters = CostParameters::new(now, best_millis, profile);
+        let ignores_connections = self.random.random_range(0..rank::EXPLORE_EVERY) == 0;
         let mut best: Option<(bool, f64, ServerKey)> = None;
         for key in keys {
             let jitter = self.random.random::<f64>();
             let Some(server) = self.get(*key) else {
                 continue;
             };
-            let distance = self.distance(server.listing.zone).as_secs_f64() * 1e3;
-            let is_connected = explores || is_connected(*key);
-            let cost = rank::cost(server, &weights, distance, is_connected) + jitter;
-            let candidate = (server.load.is_avoided(now), cost, *key);
-            let is_better = best.is_none_or(|(avoided, known, _)| {
-                candidate.0.cmp(&avoided).then(candidate.1.total_cmp(&known)).is_lt()
+            let latency_millis = self.zone_latency(server.registration.zone).as_secs_f64() * 1e3;
+            let is_connected = ignores_connections || is_connected(*key);
+            let cost = rank::cost(server, &parameters, latency_millis, is_connected) + jitter;
+            let candidate = (server.health.is_in_backoff(now), cost, *key);
+            let is_better = best.is_none_or(|(in_backoff, known, _)| {
+                candidate.0.cmp(&in_backoff).then(candidate.1.total_cmp(&known)).is_lt()
             });
             if is_better {
                 best = Some(candidate);
@@ -506,29 +583,36 @@
         best.map(|(_, _, key)| key)
     }
 
-    fn choice(&self, now: Moment, need: &Need, key: ServerKey) -> Option<Choice> {
-        let fitness = eligible::fitness(self.get(key)?, need, now);
-        Some(Choice { server: key, fitness })
+    fn choice(&self, now: Moment, requirements: &Requirements, key: ServerKey) -> Option<Choice> {
+        let version_status = eligibility::version_status(self.get(key)?, requirements, now);
+        Some(Choice { server: key, version_status })
     }
 
-    /// The version of the weights that a server has for a need.
-    fn version_at(&self, now: Moment, need: &Need, key: ServerKey) -> u64 {
+    /// Version of the required model that a server has or is expected to have; 0 if there is none.
+    fn version_at(&self, now: Moment, requirements: &Requirements, key: ServerKey) -> u64 {
         let Some(server) = self.get(key) else {
             return 0;
         };
-        match eligible::fitness(server, need, now) {
-            Fitness::Expected(version) => version,
-            _ => need.model.and_then(|(model, _)| server.listed_version(model)).unwrap_or(0),
+        match eligibility::version_status(server, requirements, now) {
+            VersionStatus::Expected(version) => version,
+            _ => requirements
+                .model
+                .and_then(|(model, _)| server.registered_version(model))
+                .unwrap_or(0),
         }
     }
 }
 
-/// Leaves out servers that may not be sent a request again.
-fn skip_tried(open: &mut Vec<ServerKey>, history: &History, tally: &mut Tally) {
-    open.retain(|key| {
+/// Removes servers that must not be sent the request again.
+fn exclude_tried(
+    eligible: &mut Vec<ServerKey>,
+    history: &AttemptHistory,
+    exclusions: &mut ExclusionCounts,
+) {
+    eligible.retain(|key| {
         let is_tried = history.tried.contains(key);
         if is_tried {
-            tally.add(Exclusion::Tried);
+            exclusions.add(Exclusion::AlreadyTried);
         }
         !is_tried
     });
--- a/crates/heronbend/src/placement/queue.rs
+++ b/crates/heronbend/src/placement/queue.rs
@@ -1,52 +1,51 @@
-//! Texts that wait for a place, in order of urgency.
+//! Queue of batch items, in order of urgency.
 //!
-//! All tickets of one need wait for the same servers. So they stand in one lane, and a lane whose
-//! first ticket finds no place is left alone: a server that becomes free is offered to the most
-//! urgent ticket that it fits, and nobody else is woken.
+//! Tickets with the same requirements wait for the same servers and share a lane. If the first
+//! ticket of a lane cannot be placed, the rest of the lane is skipped.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use super::eligible::History;
-use super::eligible::Need;
+use super::eligibility::AttemptHistory;
+use super::eligibility::Requirements;
 use crate::Moment;
 
-/// A text that waits.
+/// Key of a queued batch item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketKey(u64);
 
-/// How urgent a text is; the least comes first.
+/// Urgency of a batch item; the lowest value comes first.
 ///
-/// The rank of its tenant or route goes first, then the step that is due first, which holds up all
-/// later ones of its trainer. Within a step the longest goes first: the last text that ends decides
-/// when the step is whole (Graham, "Bounds on multiprocessing timing anomalies", 1969).
+/// Items are ordered by priority, then by the deadline of their step, then longest first: the last
+/// item to finish decides when the step is complete (Graham, "Bounds on multiprocessing timing
+/// anomalies", 1969).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Rank; 0 is the highest.
+    /// Priority of the tenant or route; 0 is the highest.
     pub priority: u8,
-    /// When its step is due.
-    pub due: Moment,
-    /// Tokens that are expected to come out yet.
-    pub expected: Reverse<u64>,
+    /// Deadline of the step.
+    pub deadline: Moment,
+    /// Expected number of remaining tokens.
+    pub remaining_tokens: Reverse<u64>,
 }
 
 #[derive(Debug, Clone)]
 struct Ticket {
-    need: Need,
+    requirements: Requirements,
     urgency: Urgency,
-    history: History,
+    history: AttemptHistory,
     since: Moment,
 }
 
 type Lane = BTreeMap<(Urgency, TicketKey), ()>;
 
-/// Tickets by need, each lane in order of urgency.
+/// Queued tickets in lanes by requirements, each in order of urgency.
 #[derive(Debug, Default)]
 pub struct Queue {
-    next: u64,
+    next_ticket: u64,
     tickets: HashMap<TicketKey, Ticket>,
-    lanes: BTreeMap<Need, Lane>,
+    lanes: BTreeMap<Requirements, Lane>,
 }
 
 impl Queue {
@@ -54,73 +53,73 @@
     pub fn add(
         &mut self,
         now: Moment,
-        need: Need,
+        requirements: Requirements,
         urgency: Urgency,
-        history: History,
+        history: AttemptHistory,
     ) -> TicketKey {
-        let key = TicketKey(self.next);
-        self.next += 1;
-        self.lanes.entry(need).or_default().insert((urgency, key), ());
-        self.tickets.insert(key, Ticket { need, urgency, history, since: now });
+        let key = TicketKey(self.next_ticket);
+        self.next_ticket += 1;
+        self.lanes.entry(requirements).or_default().insert((urgency, key), ());
+        self.tickets.insert(key, Ticket { requirements, urgency, history, since: now });
         key
     }
 
-    /// Takes a ticket out; since when it has waited, if it was there.
+    /// Removes a ticket. Returns when it was added, or `None` if it is not queued.
     pub fn remove(&mut self, key: TicketKey) -> Option<Moment> {
         let ticket = self.tickets.remove(&key)?;
-        if let Some(lane) = self.lanes.get_mut(&ticket.need) {
+        if let Some(lane) = self.lanes.get_mut(&ticket.requirements) {
             lane.remove(&(ticket.urgency, key));
             if lane.is_empty() {
-                self.lanes.remove(&ticket.need);
+                self.lanes.remove(&ticket.requirements);
             }
         }
         Some(ticket.since)
     }
 
-    /// Tickets that wait.
+    /// Number of tickets.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether there are no tickets.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Tickets of a need.
-    pub fn waiting(&self, need: &Need) -> usize {
-        self.lanes.get(need).map_or(0, Lane::len)
+    /// Number of tickets in a lane.
+    pub fn lane_len(&self, requirements: &Requirements) -> usize {
+        self.lanes.get(requirements).map_or(0, Lane::len)
     }
 
-    /// The needs that somebody waits with, the most urgent first.
-    pub fn needs(&self) -> Vec<Need> {
-        let mut needs: Vec<(Urgency, TicketKey, Need)> = self
+    /// Returns the requirements of all lanes, the most urgent first.
+    pub fn lanes_by_urgency(&self) -> Vec<Requirements> {
+        let mut lanes: Vec<(Urgency, TicketKey, Requirements)> = self
             .lanes
             .iter()
-            .filter_map(|(need, lane)| {
+            .filter_map(|(requirements, lane)| {
                 let ((urgency, key), ()) = lane.first_key_value()?;
-                Some((*urgency, *key, *need))
+                Some((*urgency, *key, *requirements))
             })
             .collect();
-        needs.sort_unstable();
-        needs.into_iter().map(|(_, _, need)| need).collect()
+        lanes.sort_unstable();
+        lanes.into_iter().map(|(_, _, requirements)| requirements).collect()
     }
 
-    /// The most urgent tickets of a need, in order.
-    pub fn first(&self, need: &Need, count: usize) -> Vec<TicketKey> {
-        let lane = self.lanes.get(need).into_iter().flatten();
+    /// Returns the `count` most urgent tickets of a lane, in order.
+    pub fn most_urgent(&self, requirements: &Requirements, count: usize) -> Vec<TicketKey> {
+        let lane = self.lanes.get(requirements).into_iter().flatten();
         lane.map(|((_, key), ())| *key).take(count).collect()
     }
 
-    /// Tickets that are served before this one among those with the same need.
-    pub fn place_in_line(&self, key: TicketKey) -> Option<usize> {
+    /// Number of tickets ahead of this one in its lane.
+    pub fn queue_position(&self, key: TicketKey) -> Option<usize> {
         let ticket = self.tickets.get(&key)?;
-        let lane = self.lanes.get(&ticket.need)?;
+        let lane = self.lanes.get(&ticket.requirements)?;
         Some(lane.range(..(ticket.urgency, key)).count())
     }
 
-    /// What became of a ticket's text so far.
-    pub fn history(&self, key: TicketKey) -> Option<&History> {
+    /// Previous attempts of a ticket's item.
+    pub fn history(&self, key: TicketKey) -> Option<&AttemptHistory> {
         self.tickets.get(&key).map(|ticket| &ticket.history)
     }
 }
