--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -13,7 +13,7 @@
 use heronbend::lifecycle::{Backend, BackendName, Phase, Signal, SignalSource, StatedPhase};
 use heronbend::quarantine::fingerprint::Traits;
 use heronbend::quarantine::Fingerprint;
-use heronbend::routing::{Query, RouteRefusal, Router, Verdict};
+use heronbend::routing::{Query, RequestOutcome, RouteError, Router};
 use heronbend::settings::policy::PoolPolicy;
 use heronbend_http::http_types::{Method, Request, StatusCode, Url};
 use heronbend_http::{Client, ClientError, ErrorBody, HeadError, Outcome, Reply, OUTCOME_HEADER};
@@ -130,18 +130,18 @@
     random: RefCell<SmallRng>,
 }
 
-/// A chosen back end; dropping it without a verdict counts as abandoned.
+/// A chosen back end; dropping it without an outcome counts as cancelled.
 pub struct Chosen {
     dispatcher: Dispatcher,
     /// The back end.
     pub backend: Backend,
-    verdict: Verdict,
+    outcome: RequestOutcome,
 }
 
 impl Chosen {
     /// Notes how the attempt ended.
-    pub fn conclude(mut self, verdict: Verdict) {
-        self.verdict = verdict;
+    pub fn conclude(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
@@ -149,7 +149,7 @@
     fn drop(&mut self) {
         let inner = &self.dispatcher.inner;
         let mut router = inner.router.borrow_mut();
-        router.finished(inner.shared.now(), &self.backend, self.verdict);
+        router.finished(inner.shared.now(), &self.backend, self.outcome);
     }
 }
 
@@ -177,7 +177,7 @@
     }
 
     /// Places left in a pool for this thread, at engines that have `min_version`.
-    pub fn free_places(&self, pool: &PoolPolicy, min_version: Option<u64>) -> usize {
+    pub fn free_slots(&self, pool: &PoolPolicy, min_version: Option<u64>) -> usize {
         self.refresh();
         let query = Query {
             pool: &pool.name,
@@ -186,7 +186,7 @@
             min_version,
             exclude: &[],
         };
-        let places = self.inner.router.borrow().free_places(self.inner.shared.now(), &query);
+        let places = self.inner.router.borrow().free_slots(self.inner.shared.now(), &query);
         if places == 0 && min_version.is_some() {
             self.inner.shared.want_reports();
         }
@@ -217,11 +217,11 @@
                     return Ok(Chosen {
                         dispatcher: self.clone(),
                         backend,
-                        verdict: Verdict::Abandoned,
+                        outcome: RequestOutcome::Cancelled,
                     });
                 }
-                Err(RouteRefusal::NoBackend) => DispatchError::NoBackend(pool.name.clone()),
-                Err(RouteRefusal::Full) => DispatchError::Full(pool.name.clone()),
+                Err(RouteError::NoBackend) => DispatchError::NoBackend(pool.name.clone()),
+                Err(RouteError::Full) => DispatchError::Full(pool.name.clone()),
             };
             if Instant::now() >= window_end {
                 return Err(refusal);
@@ -333,16 +333,20 @@
                     if !failed {
                         self.note_answer(|| request.fingerprint());
                     }
-                    chosen.conclude(if failed { Verdict::Failed } else { Verdict::Answered });
+                    chosen.conclude(if failed {
+                        RequestOutcome::Failed
+                    } else {
+                        RequestOutcome::Answered
+                    });
                     return Ok(answer);
                 }
                 Err(AttemptFailure::NotRun(message)) => {
-                    chosen.conclude(Verdict::Failed);
+                    chosen.conclude(RequestOutcome::Failed);
                     last = last.or(Some(DispatchError::NotRun(message)));
                 }
                 Err(failure @ (AttemptFailure::BrokenOff(_) | AttemptFailure::Unknown(_))) => {
                     let backend = chosen.backend.clone();
-                    chosen.conclude(Verdict::Failed);
+                    chosen.conclude(RequestOutcome::Failed);
                     let message = self.note_failure(failure, request.fingerprint(), &backend).await;
                     last = Some(DispatchError::Unknown(message));
                     if !request.repeatable {
--- a/crates/heronbend-daemon/src/duties/rollout/drawing.rs
+++ b/crates/heronbend-daemon/src/duties/rollout/drawing.rs
@@ -63,7 +63,7 @@
             return;
         };
         let floor = step.state.borrow().floor;
-        let places = self.dispatcher.free_places(pool, Some(floor));
+        let places = self.dispatcher.free_slots(pool, Some(floor));
         if places == 0 {
             return;
         }
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -15,7 +15,7 @@
 use heronbend::quarantine::Fingerprint;
 use heronbend::rollout::sample::append_segment;
 use heronbend::rollout::{FinishReason, Segment};
-use heronbend::routing::Verdict;
+use heronbend::routing::RequestOutcome;
 use heronbend::settings::policy::PoolPolicy;
 use heronbend_http::http_types::{Method, Request, Url};
 use heronbend_http::Reply;
@@ -173,13 +173,13 @@
         let (reply, attempt) = match attempt {
             Ok(begun) => begun,
             Err(AttemptFailure::NotRun(message)) => {
-                chosen.conclude(Verdict::Failed);
+                chosen.conclude(RequestOutcome::Failed);
                 failure = Some(failure.unwrap_or(DispatchError::NotRun(message)));
                 continue;
             }
             Err(broken @ (AttemptFailure::BrokenOff(_) | AttemptFailure::Unknown(_))) => {
                 let backend = chosen.backend.clone();
-                chosen.conclude(Verdict::Failed);
+                chosen.conclude(RequestOutcome::Failed);
                 let request = request.fingerprint();
                 let message = dispatcher.note_failure(broken, request, &backend).await;
                 failure = Some(DispatchError::Unknown(message));
@@ -193,7 +193,7 @@
         match end {
             StreamEnd::Finished(finish_reason) => {
                 dispatcher.note_answer(|| request.fingerprint());
-                chosen.conclude(Verdict::Answered);
+                chosen.conclude(RequestOutcome::Answered);
                 return Ok(Generated {
                     text: progress.text,
                     segments: progress.segments,
@@ -202,7 +202,7 @@
             }
             StreamEnd::Broken(message) => {
                 let backend = chosen.backend.clone();
-                chosen.conclude(Verdict::Failed);
+                chosen.conclude(RequestOutcome::Failed);
                 if progress.segments.is_empty() {
                     let broken = AttemptFailure::BrokenOff(message.clone());
                     dispatcher.note_failure(broken, request.fingerprint(), &backend).await;
--- a/crates/heronbend-emulator/src/experiment/rollout.rs
+++ b/crates/heronbend-emulator/src/experiment/rollout.rs
@@ -17,7 +17,7 @@
     Composition, DrawId, DrawOrder, Effect, FinishReason, Sample, Segment, SlotIndex, SlotSet,
     StepCoordinator, StepPlan,
 };
-use heronbend::routing::{Query, Router, Verdict};
+use heronbend::routing::{Query, RequestOutcome, Router};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -471,7 +471,7 @@
         let Some((_, ended)) = self.engines[engine].next_end() else {
             return;
         };
-        self.take_off(engine, &ended, Verdict::Answered);
+        self.take_off(engine, &ended, RequestOutcome::Answered);
         let sample = self.sample(engine, &ended);
         let Some(step) = self.steps.get_mut(&ended.step) else {
             return;
@@ -487,11 +487,11 @@
         self.reschedule(engine);
     }
 
-    fn take_off(&mut self, engine: usize, running: &Running, verdict: Verdict) {
+    fn take_off(&mut self, engine: usize, running: &Running, outcome: RequestOutcome) {
         let moment = self.moment();
         let state = &mut self.engines[engine];
         state.running.remove(&(running.step, running.draw));
-        self.router.finished(moment, &state.backend, verdict);
+        self.router.finished(moment, &state.backend, outcome);
     }
 
     fn sample(&self, engine: usize, ended: &Running) -> Sample {
@@ -540,7 +540,7 @@
             self.engines[engine].advance(self.now);
             let running = self.engines[engine].running[&(step, *draw)];
             self.waste(engine, &running);
-            self.take_off(engine, &running, Verdict::Abandoned);
+            self.take_off(engine, &running, RequestOutcome::Cancelled);
             self.reschedule(engine);
         }
     }
@@ -555,7 +555,7 @@
         self.engines[engine].advance(self.now);
         let lost: Vec<Running> = self.engines[engine].running.values().copied().collect();
         for running in lost {
-            self.take_off(engine, &running, Verdict::Abandoned);
+            self.take_off(engine, &running, RequestOutcome::Cancelled);
             if self.policy.resumes && self.resume_elsewhere(engine, &running) {
                 continue;
             }
@@ -588,7 +588,7 @@
         let numbers: Vec<u64> = self.steps.keys().copied().collect();
         let mut touched = Vec::new();
         for number in numbers {
-            let places = self.free_places(POOL) + self.free_places(RESERVED);
+            let places = self.free_slots(POOL) + self.free_slots(RESERVED);
             let moment = self.moment();
             let Some(step) = self.steps.get_mut(&number) else {
                 continue;
@@ -614,10 +614,10 @@
         }
     }
 
-    fn free_places(&self, pool: &str) -> usize {
+    fn free_slots(&self, pool: &str) -> usize {
         let max_in_flight = self.max_batch(pool);
         let query = Query { pool, max_in_flight, prefix: None, min_version: None, exclude: &[] };
-        self.router.free_places(self.moment(), &query)
+        self.router.free_slots(self.moment(), &query)
     }
 
     fn choose(&mut self, pool: &'static str) -> Option<usize> {
@@ -639,7 +639,7 @@
             return;
         };
         let mut touched = Vec::new();
-        while self.free_places(RESERVED) > 0 {
+        while self.free_slots(RESERVED) > 0 {
             let Some((from, running, done)) = self.longest_grown(reserve.after_tokens) else {
                 break;
             };
@@ -647,7 +647,7 @@
                 break;
             };
             self.engines[to].advance(self.now);
-            self.take_off(from, &running, Verdict::Abandoned);
+            self.take_off(from, &running, RequestOutcome::Cancelled);
             let left = f64::from(running.tokens) - done;
             let ends_at = self.engines[to].iterations + left;
             let moved = Running { ends_at, ..running };
@@ -694,7 +694,7 @@
     /// At the tail, moves samples from engines on which a token takes long, whether for a large batch
     /// or for a fault, to the engine on which it takes least.
     fn migrate_to_faster(&mut self) {
-        if self.free_places(POOL) < MAX_BATCH {
+        if self.free_slots(POOL) < MAX_BATCH {
             return;
         }
         for _ in 0..MOVES_AT_ONCE {
--- a/crates/heronbend-emulator/src/experiment/routing.rs
+++ b/crates/heronbend-emulator/src/experiment/routing.rs
@@ -9,7 +9,7 @@
 
 use heronbend::identity::Incarnation;
 use heronbend::lifecycle::{Backend, BackendName, Phase};
-use heronbend::routing::{LoadReport, Query, Router, Verdict};
+use heronbend::routing::{LoadReport, Query, RequestOutcome, Router};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -142,8 +142,9 @@
                 latency.saturating_record(now - arrived);
                 failed_requests += u64::from(failed);
                 if choice == Choice::Router {
-                    let verdict = if failed { Verdict::Failed } else { Verdict::Answered };
-                    routers[router].finished(moment, &backends[server], verdict);
+                    let outcome =
+                        if failed { RequestOutcome::Failed } else { RequestOutcome::Answered };
+                    routers[router].finished(moment, &backends[server], outcome);
                 }
                 start(&mut servers, server, now, &service, &mut random, &mut queue);
             }
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -25,7 +25,7 @@
     Ballot, Progress, Proposal, Replica, ReplicaRequest, ShardConfig, ShardId,
 };
 use heronbend::request::{ClaimChange, StoredAnswer};
-use heronbend::routing::{choose_subset, Query, Router, Verdict};
+use heronbend::routing::{choose_subset, Query, RequestOutcome, Router};
 use heronbend::Moment;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -680,7 +680,7 @@
         let now = Duration::from_micros(u64::from(number));
         let query = Query { prefix: Some(u64::from(number)), ..query };
         let chosen = router.choose(now, &query).expect("there is room");
-        router.finished(now, &chosen, Verdict::Answered);
+        router.finished(now, &chosen, RequestOutcome::Answered);
     }
     start.elapsed().as_secs_f64() * 1e6 / f64::from(CHOICES)
 }
--- a/crates/heronbend/src/routing/breaker.rs
+++ b/crates/heronbend/src/routing/breaker.rs
@@ -11,13 +11,13 @@
 
 /// How an attempt ended, as far as the back end's health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// The back end answered; errors of the request itself count as answers.
     Answered,
     /// The back end could not be reached, broke off or failed by itself.
     Failed,
     /// The attempt was given up for reasons of its own, such as a client that went away.
-    Abandoned,
+    Cancelled,
 }
 
 /// Stops sending to a back end that fails, and probes it with one request at a time.
@@ -44,12 +44,12 @@
     }
 
     /// Notes how a request ended.
-    pub fn finished(&mut self, now: Moment, verdict: Verdict) {
+    pub fn finished(&mut self, now: Moment, outcome: RequestOutcome) {
         self.probing = false;
-        match verdict {
-            Verdict::Answered => *self = Self::default(),
-            Verdict::Abandoned => {}
-            Verdict::Failed => {
+        match outcome {
+            RequestOutcome::Answered => *self = Self::default(),
+            RequestOutcome::Cancelled => {}
+            RequestOutcome::Failed => {
                 self.failures += 1;
                 if self.failures >= FAILURES_TO_OPEN {
                     self.open_for = (self.open_for * 2).clamp(FIRST_OPEN, LONGEST_OPEN);
--- a/crates/heronbend/src/routing/mod.rs
+++ b/crates/heronbend/src/routing/mod.rs
@@ -13,6 +13,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use breaker::{Breaker, Verdict};
-pub use router::{LoadReport, Query, RouteRefusal, Router};
+pub use breaker::{Breaker, RequestOutcome};
+pub use router::{LoadReport, Query, RouteError, Router};
 pub use subset::{choose_subset, rendezvous_score};
--- a/crates/heronbend/src/routing/router.rs
+++ b/crates/heronbend/src/routing/router.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::breaker::{Breaker, Verdict};
+use super::breaker::{Breaker, RequestOutcome};
 use super::subset::rendezvous_score;
 use crate::lifecycle::{Backend, BackendName, Phase};
 use crate::Moment;
@@ -47,7 +47,7 @@
 
 /// Why no back end was chosen; nothing was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum RouteRefusal {
+pub enum RouteError {
     /// No live back end is known.
     #[error("no back end of the pool is live")]
     NoBackend,
@@ -132,21 +132,21 @@
     }
 
     /// Chooses a back end and counts the request as under way there.
-    pub fn choose(&mut self, now: Moment, query: &Query<'_>) -> Result<Backend, RouteRefusal> {
+    pub fn choose(&mut self, now: Moment, query: &Query<'_>) -> Result<Backend, RouteError> {
         let live: Vec<&Candidate> = self
             .candidates
             .values()
             .filter(|candidate| is_eligible(candidate, now, query))
             .collect();
         if live.is_empty() {
-            return Err(RouteRefusal::NoBackend);
+            return Err(RouteError::NoBackend);
         }
         let open: Vec<&Candidate> = live
             .into_iter()
             .filter(|candidate| (candidate.in_flight as usize) < query.max_in_flight)
             .collect();
         if open.is_empty() {
-            return Err(RouteRefusal::Full);
+            return Err(RouteError::Full);
         }
         let preferred =
             query.prefix.and_then(|prefix| preferred_by_prefix(&open, prefix, &self.zone));
@@ -162,17 +162,17 @@
     }
 
     /// Notes that a request chosen by [`Router::choose`] has ended.
-    pub fn finished(&mut self, now: Moment, backend: &Backend, verdict: Verdict) {
+    pub fn finished(&mut self, now: Moment, backend: &Backend, outcome: RequestOutcome) {
         if let Some(candidate) = self.candidates.get_mut(&backend.name) {
             if candidate.backend.incarnation == backend.incarnation {
                 candidate.in_flight = candidate.in_flight.saturating_sub(1);
-                candidate.breaker.finished(now, verdict);
+                candidate.breaker.finished(now, outcome);
             }
         }
     }
 
     /// Places that are left for requests like this one.
-    pub fn free_places(&self, now: Moment, query: &Query<'_>) -> usize {
+    pub fn free_slots(&self, now: Moment, query: &Query<'_>) -> usize {
         self.candidates
             .values()
             .filter(|candidate| is_eligible(candidate, now, query))
--- a/crates/heronbend/src/routing/tests.rs
+++ b/crates/heronbend/src/routing/tests.rs
@@ -34,9 +34,9 @@
     for _ in 0..2 * LIMIT {
         router.choose(Moment::ZERO, &query()).expect("a place is free");
     }
-    assert_eq!(router.choose(Moment::ZERO, &query()), Err(RouteRefusal::Full));
+    assert_eq!(router.choose(Moment::ZERO, &query()), Err(RouteError::Full));
     let other = Query { pool: "other", ..query() };
-    assert_eq!(router.choose(Moment::ZERO, &other), Err(RouteRefusal::NoBackend));
+    assert_eq!(router.choose(Moment::ZERO, &other), Err(RouteError::NoBackend));
 }
 
 #[test]
@@ -64,7 +64,7 @@
 fn only_engines_that_vouch_for_a_version_draw_for_a_floor() {
     let mut router = router(2);
     let floor = Query { min_version: Some(3), ..query() };
-    assert_eq!(router.choose(Moment::ZERO, &floor), Err(RouteRefusal::NoBackend));
+    assert_eq!(router.choose(Moment::ZERO, &floor), Err(RouteError::NoBackend));
     let report = LoadReport { version: Some(3), ..LoadReport::default() };
     router.report(&BackendName("engine-1".into()), report);
     assert_eq!(router.choose(Moment::ZERO, &floor).unwrap().name.0, "engine-1");
@@ -88,13 +88,13 @@
     let now = Moment::ZERO;
     for _ in 0..5 {
         let chosen = router.choose(now, &query()).unwrap();
-        router.finished(now, &chosen, Verdict::Failed);
+        router.finished(now, &chosen, RequestOutcome::Failed);
     }
-    assert_eq!(router.choose(now, &query()), Err(RouteRefusal::NoBackend));
+    assert_eq!(router.choose(now, &query()), Err(RouteError::NoBackend));
     let later = now + Duration::from_secs(1);
     let probe = router.choose(later, &query()).unwrap();
-    assert_eq!(router.choose(later, &query()), Err(RouteRefusal::NoBackend));
-    router.finished(later, &probe, Verdict::Answered);
+    assert_eq!(router.choose(later, &query()), Err(RouteError::NoBackend));
+    router.finished(later, &probe, RequestOutcome::Answered);
     assert!(router.choose(later, &query()).is_ok());
 }
 
