--- a/crates/heronbend-daemon/src/duties/register.rs
+++ b/crates/heronbend-daemon/src/duties/register.rs
@@ -233,7 +233,7 @@
                     outcome.response = Some(response);
                     return outcome;
                 }
-                Progress::Interrupted { above } => {
+                Progress::Preempted { above } => {
                     outcome.above = above;
                     return outcome;
                 }
@@ -386,7 +386,7 @@
             Timer::after(COLLECT_INTERVAL).await;
             let now = epoch_seconds();
             for replica in self.replicas.borrow_mut().values_mut() {
-                replica.collect(|_, record| record.is_past_use(now));
+                replica.remove_expired(|_, record| record.is_past_use(now));
             }
         }
     }
--- a/crates/heronbend-daemon/src/duties/shards.rs
+++ b/crates/heronbend-daemon/src/duties/shards.rs
@@ -11,7 +11,7 @@
 use heronbend::identity::NodeId;
 use heronbend::membership::Liveness;
 use heronbend::record::Record;
-use heronbend::register::shard_map::{choose_members, REPLICAS};
+use heronbend::register::shard_map::{choose_members, REPLICATION_FACTOR};
 use heronbend::register::{
     ReplicaRequest, ShardConfig, ShardId, ShardMap, Transition, TransitionStep,
 };
@@ -77,7 +77,7 @@
             }
         }
         None if places && duty.shared.settings.load().is_some() => {
-            let first = ShardMap::first(SHARDS, &candidates(&duty.shared));
+            let first = ShardMap::initial(SHARDS, &candidates(&duty.shared));
             platform.write(SHARD_MAP_OBJECT, 0, &first).await?;
             log::info!("event=shard_map_created shards={SHARDS}");
         }
@@ -180,7 +180,7 @@
 
 /// Seals the old set and stages its state at the new one; the replica set to commit.
 ///
-/// With `survivors`, their state is enough, see [`Transition::start_with_loss`].
+/// With `survivors`, their state is enough, see [`Transition::start_forced_recovery`].
 async fn prepare(
     duty: &RegisterDuty,
     shard: ShardId,
@@ -203,7 +203,7 @@
     let identifier = duty.shared.unique_number();
     let (mut transition, request) = match survivors {
         None => Transition::<Record>::start(old, members, identifier),
-        Some(survivors) => Transition::start_with_loss(old, survivors, members, identifier),
+        Some(survivors) => Transition::start_forced_recovery(old, survivors, members, identifier),
     };
     let (sender, replies) = bounded(old_members.len() + new_members.len());
     let first_asked = if old_members.is_empty() { &new_members } else { &old_members };
@@ -249,14 +249,14 @@
     let is_alive = |node: &NodeId| candidates.iter().any(|(alive, _)| alive == node);
     let kept: BTreeSet<NodeId> =
         config.members.iter().filter(|node| is_alive(node)).cloned().collect();
-    if kept.len() >= REPLICAS {
+    if kept.len() >= REPLICATION_FACTOR {
         return None;
     }
     let free: Vec<_> =
         candidates.iter().filter(|(node, _)| !kept.contains(node)).cloned().collect();
     let mut members = kept.clone();
     for node in choose_members(shard, &free) {
-        if members.len() < REPLICAS {
+        if members.len() < REPLICATION_FACTOR {
             members.insert(node);
         }
     }
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -618,7 +618,7 @@
                     match proposal.on_reply(node, reply) {
                         Progress::Waiting => {}
                         Progress::Broadcast(accept) => next = Some(accept),
-                        Progress::Done(_) | Progress::Interrupted { .. } => break 'rounds,
+                        Progress::Done(_) | Progress::Preempted { .. } => break 'rounds,
                     }
                 }
                 match next {
--- a/crates/heronbend/src/record.rs
+++ b/crates/heronbend/src/record.rs
@@ -4,7 +4,7 @@
 
 use musli::{Decode, Encode};
 
-use crate::register::{Applied, Cell, Key};
+use crate::register::{Applied, Key, RegisterValue};
 use crate::request::{Claim, ClaimChange, ClaimResponse};
 use crate::rollout::{StepChange, StepRecord, StepResponse};
 use crate::weights::{Fence, FenceChange};
@@ -44,7 +44,7 @@
     WrongKind,
 }
 
-impl Cell for Record {
+impl RegisterValue for Record {
     type Change = RecordChange;
     type Response = RecordResponse;
 
--- a/crates/heronbend/src/register/cell.rs
+++ b/crates/heronbend/src/register/change.rs
@@ -15,7 +15,7 @@
 ///
 /// `apply` must be deterministic, and idempotent for one and the same change: a proposer whose round
 /// was interrupted tries again, and may find that its own change has already been made.
-pub trait Cell: Clone + Debug + PartialEq {
+pub trait RegisterValue: Clone + Debug + PartialEq {
     /// A change of the value, with the identity of its author.
     type Change: Clone + Debug;
     /// What the author learns.
--- a/crates/heronbend/src/register/mod.rs
+++ b/crates/heronbend/src/register/mod.rs
@@ -11,13 +11,13 @@
 //! [`NodeId`](crate::identity::NodeId) and no member: it joins only by an epoch change, which seals
 //! the old set at a majority, copies the state and then activates the new set.
 //!
-//! - [`cell`]: what a register's value must offer.
+//! - [`change`]: what a register's value must offer.
 //! - [`replica`]: a member of a shard's replica set.
 //! - [`proposal`]: one change of one register.
 //! - [`transition`]: one epoch change of one shard.
 //! - [`shard_map`]: the object that names the replica sets.
 
-pub mod cell;
+pub mod change;
 pub mod messages;
 pub mod proposal;
 pub mod replica;
@@ -27,7 +27,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use cell::{Applied, Cell};
+pub use change::{Applied, RegisterValue};
 pub use messages::{Ballot, Key, Rejection, ReplicaReply, ReplicaRequest, Slot};
 pub use proposal::{Progress, Proposal};
 pub use replica::Replica;
--- a/crates/heronbend/src/register/proposal.rs
+++ b/crates/heronbend/src/register/proposal.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::cell::Cell;
+use super::change::RegisterValue;
 use super::messages::{Ballot, Key, Rejection, ReplicaReply, ReplicaRequest};
 use super::shard_map::ShardConfig;
 use crate::identity::NodeId;
@@ -19,7 +19,7 @@
     /// A higher ballot or another epoch is in the way: start anew above this round.
     ///
     /// The change may have been made, or be made yet, if a value had been sent out.
-    Interrupted {
+    Preempted {
         /// Highest round that was seen.
         above: u64,
     },
@@ -34,7 +34,7 @@
 
 /// A proposal: two rounds of messages to the members of a replica set.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Proposal<V: Cell> {
+pub struct Proposal<V: RegisterValue> {
     key: Key,
     change: V::Change,
     config: ShardConfig,
@@ -44,7 +44,7 @@
     highest_seen: u64,
 }
 
-impl<V: Cell> Proposal<V> {
+impl<V: RegisterValue> Proposal<V> {
     /// Starts a proposal; the request is to be sent to every member of `config`.
     ///
     /// `ballot` must never have been used before, by anybody.
@@ -146,6 +146,6 @@
             return Progress::Waiting;
         }
         self.stage = Stage::Ended;
-        Progress::Interrupted { above: self.highest_seen }
+        Progress::Preempted { above: self.highest_seen }
     }
 }
--- a/crates/heronbend/src/register/replica.rs
+++ b/crates/heronbend/src/register/replica.rs
@@ -84,7 +84,7 @@
     ///
     /// Only for values that no author will ask for again and whose messages have all died out: a
     /// register dropped here counts as never written.
-    pub fn collect(&mut self, is_past_use: impl Fn(&Key, &V) -> bool) {
+    pub fn remove_expired(&mut self, is_past_use: impl Fn(&Key, &V) -> bool) {
         self.slots.retain(|key, slot| match &slot.accepted {
             Some((_, value)) => !is_past_use(key, value),
             None => true,
--- a/crates/heronbend/src/register/shard_map.rs
+++ b/crates/heronbend/src/register/shard_map.rs
@@ -10,7 +10,7 @@
 use crate::identity::NodeId;
 
 /// Members of a replica set, where enough daemons are alive.
-pub const REPLICAS: usize = 3;
+pub const REPLICATION_FACTOR: usize = 3;
 
 /// Number of a shard.
 #[derive(
@@ -49,7 +49,7 @@
 
 impl ShardMap {
     /// The first map: every shard on the given candidates, spread by rendezvous hashing over zones.
-    pub fn first(shards: u32, candidates: &[(NodeId, String)]) -> Self {
+    pub fn initial(shards: u32, candidates: &[(NodeId, String)]) -> Self {
         let shards = (0..shards)
             .map(|shard| ShardConfig {
                 epoch: 1,
@@ -106,12 +106,12 @@
     let mut members = BTreeSet::new();
     let mut zones = BTreeSet::new();
     for (_, node, zone) in &scored {
-        if members.len() < REPLICAS && zones.insert(*zone) {
+        if members.len() < REPLICATION_FACTOR && zones.insert(*zone) {
             members.insert((*node).clone());
         }
     }
     for (_, node, _) in &scored {
-        if members.len() < REPLICAS {
+        if members.len() < REPLICATION_FACTOR {
             members.insert((*node).clone());
         }
     }
--- a/crates/heronbend/src/register/tests.rs
+++ b/crates/heronbend/src/register/tests.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Authors(BTreeSet<u64>);
 
-impl Cell for Authors {
+impl RegisterValue for Authors {
     type Change = u64;
     type Response = usize;
 
@@ -123,7 +123,7 @@
     let mut cluster = Cluster::new();
     let all = [node(0), node(1), node(2)];
     assert_eq!(cluster.propose(1, 7, &all), Progress::Done(1));
-    assert_eq!(cluster.propose(2, 3, &all), Progress::Interrupted { above: 7 });
+    assert_eq!(cluster.propose(2, 3, &all), Progress::Preempted { above: 7 });
 }
 
 #[test]
@@ -133,7 +133,7 @@
     assert_eq!(cluster.propose(1, 1, &old_members), Progress::Done(1));
     let new_members = [node(2), node(3), node(4)];
     let config = cluster.transition(&new_members, 99, &[node(1), node(2)]).unwrap();
-    assert_matches!(cluster.propose(2, 2, &old_members), Progress::Interrupted { .. });
+    assert_matches!(cluster.propose(2, 2, &old_members), Progress::Preempted { .. });
     cluster.configure(config);
     assert_eq!(cluster.propose(2, 3, &[node(3), node(4)]), Progress::Done(2));
 }
@@ -166,7 +166,8 @@
     let members: BTreeSet<_> = [node(2), node(3), node(4)].into();
     let survivors = BTreeSet::from([node(2)]);
     let old = cluster.config.clone();
-    let (mut transition, seal) = Transition::<Authors>::start_with_loss(old, survivors, members, 9);
+    let (mut transition, seal) =
+        Transition::<Authors>::start_forced_recovery(old, survivors, members, 9);
     let reply = cluster.replicas.get_mut(&node(2)).unwrap().handle(seal);
     let step = transition.on_reply(&node(2), reply);
     assert_matches!(step, TransitionStep::Stage(ReplicaRequest::Stage { slots, .. }) if slots.len() == 1);
@@ -178,7 +179,7 @@
     let members: BTreeSet<_> = [node(2), node(3), node(4)].into();
     let old = cluster.config.clone();
     let (mut transition, stage) =
-        Transition::<Authors>::start_with_loss(old, BTreeSet::new(), members.clone(), 9);
+        Transition::<Authors>::start_forced_recovery(old, BTreeSet::new(), members.clone(), 9);
     let mut committed = None;
     for member in &members {
         let reply = cluster.replicas.get_mut(member).unwrap().handle(stage.clone());
--- a/crates/heronbend/src/register/transition.rs
+++ b/crates/heronbend/src/register/transition.rs
@@ -58,7 +58,7 @@
     ///
     /// Values that were chosen may be lost by it. The request is to be sent to the survivors, or to
     /// every new member when there are none.
-    pub fn start_with_loss(
+    pub fn start_forced_recovery(
         old: ShardConfig,
         survivors: BTreeSet<NodeId>,
         members: BTreeSet<NodeId>,
--- a/crates/heronbend/src/request/claim.rs
+++ b/crates/heronbend/src/request/claim.rs
@@ -3,7 +3,7 @@
 use musli::{Decode, Encode};
 
 use crate::identity::NodeId;
-use crate::register::{Applied, Cell};
+use crate::register::{Applied, RegisterValue};
 
 /// The answer to a not-repeatable request, kept so that a retry gets the same.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -99,7 +99,7 @@
     NotHolder,
 }
 
-impl Cell for Claim {
+impl RegisterValue for Claim {
     type Change = ClaimChange;
     type Response = ClaimResponse;
 
--- a/crates/heronbend/src/request/tests.rs
+++ b/crates/heronbend/src/request/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::identity::NodeId;
-use crate::register::Cell;
+use crate::register::RegisterValue;
 
 fn acquire(attempt: u64, request_digest: u64) -> ClaimChange {
     ClaimChange::Acquire { attempt, holder: NodeId::new("daemon", 1), request_digest }
--- a/crates/heronbend/src/rollout/step_record.rs
+++ b/crates/heronbend/src/rollout/step_record.rs
@@ -11,7 +11,7 @@
 use super::sample::Sample;
 use super::slots::SlotSet;
 use crate::identity::NodeId;
-use crate::register::{Applied, Cell};
+use crate::register::{Applied, RegisterValue};
 
 /// A batch whose composition is settled.
 #[derive(
@@ -151,7 +151,7 @@
     Refused(StepRefusal),
 }
 
-impl Cell for StepRecord {
+impl RegisterValue for StepRecord {
     type Change = StepChange;
     type Response = StepResponse;
 
--- a/crates/heronbend/src/rollout/tests.rs
+++ b/crates/heronbend/src/rollout/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::identity::{Incarnation, NodeId};
 use crate::lifecycle::BackendName;
-use crate::register::Cell;
+use crate::register::RegisterValue;
 use crate::Moment;
 
 fn segment(version: u64, start: u32, end: u32) -> Segment {
--- a/crates/heronbend/src/weights/fence.rs
+++ b/crates/heronbend/src/weights/fence.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::NodeId;
-use crate::register::{Applied, Cell};
+use crate::register::{Applied, RegisterValue};
 
 /// The latest fencing token and its holder.
 #[derive(
@@ -28,7 +28,7 @@
     pub above: u64,
 }
 
-impl Cell for Fence {
+impl RegisterValue for Fence {
     type Change = FenceChange;
     type Response = Self;
 
--- a/crates/heronbend/src/weights/tests.rs
+++ b/crates/heronbend/src/weights/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::identity::{Incarnation, NodeId};
 use crate::lifecycle::BackendName;
-use crate::register::Cell;
+use crate::register::RegisterValue;
 use crate::Moment;
 
 fn name(index: usize) -> BackendName {
--- a/spec/src/model.rs
+++ b/spec/src/model.rs
@@ -433,7 +433,7 @@
                     return;
                 }
                 Progress::Done(response) => return self.finish(author, &known, &response),
-                Progress::Interrupted { .. } => return,
+                Progress::Preempted { .. } => return,
             }
         }
     }
--- a/spec/src/scenario.rs
+++ b/spec/src/scenario.rs
@@ -5,7 +5,7 @@
 use std::hash::Hash;
 
 use heronbend::identity::NodeId;
-use heronbend::register::Cell;
+use heronbend::register::RegisterValue;
 use heronbend::request::{Claim, ClaimChange, ClaimResponse, StoredAnswer};
 use heronbend::rollout::step_record::OpenStep;
 use heronbend::rollout::{
@@ -16,14 +16,14 @@
 /// How an author goes on after a response: its next change, and what the world has seen by then.
 pub type Continuation<S> = (Option<Change<S>>, <S as Scenario>::Witness);
 /// The change type of a scenario.
-pub type Change<S> = <<S as Scenario>::Value as Cell>::Change;
+pub type Change<S> = <<S as Scenario>::Value as RegisterValue>::Change;
 /// The response type of a scenario.
-pub type Response<S> = <<S as Scenario>::Value as Cell>::Response;
+pub type Response<S> = <<S as Scenario>::Value as RegisterValue>::Response;
 
 /// A use of one register by several authors.
 pub trait Scenario {
     /// The register's value.
-    type Value: Cell<Change: Eq + Hash + Ord, Response: Eq + Hash + Ord> + Eq + Hash + Ord;
+    type Value: RegisterValue<Change: Eq + Hash + Ord, Response: Eq + Hash + Ord> + Eq + Hash + Ord;
     /// What the outside world has seen.
     type Witness: Clone + Debug + Default + Eq + Hash;
 
