--- a/crates/heronbend-daemon/src/duties/membership.rs
+++ b/crates/heronbend-daemon/src/duties/membership.rs
@@ -6,7 +6,9 @@
 
 use futures_lite::FutureExt;
 use heronbend::lifecycle::{Signal, SignalSource};
-use heronbend::membership::{Detector, DetectorConfig, Effect, Gossip, Head, Liveness};
+use heronbend::membership::{
+    ControlVersions, Detector, DetectorConfig, Effect, GossipMessage, Liveness,
+};
 use smol::net::UdpSocket;
 use smol::Timer;
 
@@ -18,7 +20,7 @@
 
 enum Event {
     Tick,
-    Datagram(SocketAddr, Gossip),
+    Datagram(SocketAddr, GossipMessage),
     Input(MembershipInput),
     Nothing,
 }
@@ -30,7 +32,7 @@
     let mut detector = Detector::new(DetectorConfig::default(), me, seed);
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next_tick = Timer::interval(TICK);
-    let mut head = Head::default();
+    let mut head = ControlVersions::default();
     loop {
         let event = {
             let tick = async {
@@ -62,9 +64,9 @@
                 Vec::new()
             }
             Event::Datagram(source, gossip) => detector.receive(now, source, gossip),
-            Event::Input(MembershipInput::Learn(member)) => detector.learn(now, member),
+            Event::Input(MembershipInput::Learn(member)) => detector.merge_member(now, member),
             Event::Input(MembershipInput::SpreadBackend(stated)) => {
-                detector.spread_backend(stated);
+                detector.gossip_backend(stated);
                 detector.announce()
             }
             Event::Input(MembershipInput::Leave) => detector.leave(),
@@ -75,13 +77,17 @@
 }
 
 /// Newer control data is made known at once, so that it is in force everywhere within seconds.
-fn announce_new_head(shared: &Shared, detector: &mut Detector, known: &mut Head) -> Vec<Effect> {
+fn announce_new_head(
+    shared: &Shared,
+    detector: &mut Detector,
+    known: &mut ControlVersions,
+) -> Vec<Effect> {
     let head = shared.head();
     if head == *known {
         return Vec::new();
     }
     *known = head;
-    detector.set_head(head);
+    detector.set_control_versions(head);
     detector.announce()
 }
 
@@ -129,7 +135,7 @@
     }
 }
 
-async fn send(shared: &Shared, socket: &UdpSocket, to: SocketAddr, gossip: &Gossip) {
+async fn send(shared: &Shared, socket: &UdpSocket, to: SocketAddr, gossip: &GossipMessage) {
     let members = shared.members.load();
     let peer = members.iter().find(|member| member.address == to);
     if peer.is_some_and(|peer| shared.failpoints.drops_to(&peer.id.name)) {
--- a/crates/heronbend-daemon/src/shared.rs
+++ b/crates/heronbend-daemon/src/shared.rs
@@ -11,7 +11,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use heronbend::identity::{epoch_millis, NodeId, NodeName};
 use heronbend::lifecycle::{Backend, Phase, Signal, StatedPhase};
-use heronbend::membership::{may_be_alive, Head, Liveness, Member};
+use heronbend::membership::{may_be_alive, ControlVersions, Liveness, Member};
 use heronbend::register::ShardMap;
 use heronbend::routing::LoadReport;
 use heronbend::settings::{Policy, SettingsObject};
@@ -267,9 +267,9 @@
     }
 
     /// Newest control data that this daemon holds.
-    pub fn head(&self) -> Head {
+    pub fn head(&self) -> ControlVersions {
         let settings = self.settings.load();
-        Head {
+        ControlVersions {
             settings_revision: settings.as_ref().map_or(0, |settings| settings.object.revision),
             shard_epochs: shard_epochs(&self.shard_map.load()),
         }
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -18,7 +18,9 @@
 use heronbend::lifecycle::{
     Backend, BackendName, Lifecycle, Phase, Signal, SignalSource, StatedPhase,
 };
-use heronbend::membership::{Detector, DetectorConfig, Effect, Gossip, Head, Liveness, Member};
+use heronbend::membership::{
+    ControlVersions, Detector, DetectorConfig, Effect, GossipMessage, Liveness, Member,
+};
 use heronbend::record::{claim_key, Record, RecordChange};
 use heronbend::register::messages::ShardRequest;
 use heronbend::register::{
@@ -289,7 +291,7 @@
         let mut detector = Detector::new(DetectorConfig::default(), me, seed);
         for other in (0..daemons).filter(|other| *other != daemon) {
             let incarnation = self.daemons.get(other).map_or(1, |known| known.incarnation);
-            detector.learn(self.now, member(other, incarnation));
+            detector.merge_member(self.now, member(other, incarnation));
         }
         let mut lifecycle = Lifecycle::default();
         for server in 0..servers {
@@ -301,7 +303,8 @@
             lifecycle.observe(self.now, Signal { source: SignalSource::MachineList, stated });
         }
         let revision = self.known_revision(daemon);
-        detector.set_head(Head { settings_revision: revision, shard_epochs: 0 });
+        detector
+            .set_control_versions(ControlVersions { settings_revision: revision, shard_epochs: 0 });
         HollowDaemon { detector, lifecycle, revision, fetching: false, up: true, incarnation }
     }
 
@@ -374,7 +377,7 @@
                 if !self.daemons[to].up || self.is_cut(from, to) {
                     return;
                 }
-                let gossip: Gossip = musli::wire::from_slice(&bytes).expect("just encoded");
+                let gossip: GossipMessage = musli::wire::from_slice(&bytes).expect("just encoded");
                 let now = self.now;
                 let effects = self.daemons[to].detector.receive(now, address_of(from), gossip);
                 self.apply(to, effects);
@@ -482,7 +485,9 @@
             return;
         }
         hollow.revision = revision;
-        hollow.detector.set_head(Head { settings_revision: revision, shard_epochs: 0 });
+        hollow
+            .detector
+            .set_control_versions(ControlVersions { settings_revision: revision, shard_epochs: 0 });
         let effects = hollow.detector.announce();
         self.apply(daemon, effects);
         if revision == self.revision && self.waiting_for_edit.remove(&daemon) {
@@ -566,7 +571,7 @@
         if hollow.lifecycle.observe(now, signal).is_none() {
             return;
         }
-        hollow.detector.spread_backend(stated);
+        hollow.detector.gossip_backend(stated);
         let effects = hollow.detector.announce();
         self.apply(daemon, effects);
         let Some(unknown) = self.leaving_unknown_to.get_mut(&server) else {
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_lite::{FutureExt, StreamExt};
 use heronbend::identity::NodeId;
-use heronbend::membership::{Detector, DetectorConfig, Effect, Head, Liveness, Member};
+use heronbend::membership::{ControlVersions, Detector, DetectorConfig, Effect, Liveness, Member};
 use heronbend::Moment;
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -47,13 +47,13 @@
 
 /// Time constants: a daemon that is lost is known to be dead after about two seconds.
 const DETECTOR: DetectorConfig = DetectorConfig {
-    period: Duration::from_millis(400),
+    probe_period: Duration::from_millis(400),
     direct_timeout: Duration::from_millis(150),
-    suspicion: Duration::from_millis(1200),
-    helpers: 2,
+    suspicion_timeout: Duration::from_millis(1200),
+    indirect_probes: 2,
     forget_after: Duration::from_secs(600),
-    fanout_in_region: 3,
-    fanout_elsewhere: 2,
+    local_region_fanout: 3,
+    remote_region_fanout: 2,
 };
 
 enum Event {
@@ -70,7 +70,7 @@
     // The first tick greets the seeds at once.
     let mut ticks = Timer::interval_at(steady_now(), TICK);
     let mut tick_number = 0_u32;
-    let mut head = Head::default();
+    let mut head = ControlVersions::default();
     let mut view_log = ViewLog::default();
     let mut unpublished = Unpublished::default();
     let mut suspension = SuspensionWatch::new(gateway.clock());
@@ -89,13 +89,13 @@
                     !detector.members().any(|member| member.liveness <= Liveness::Suspect);
                 if is_alone && tick_number.is_multiple_of(GREETING_TICKS) {
                     let seeds = gateway.seeds.borrow();
-                    effects.extend(seeds.iter().map(|seed| detector.greet(*seed)));
+                    effects.extend(seeds.iter().map(|seed| detector.ping_address(*seed)));
                 }
                 tick_number = tick_number.wrapping_add(1);
                 let version = gateway.configuration_version();
                 if version > head.settings_revision {
                     head.settings_revision = version;
-                    detector.set_head(head);
+                    detector.set_control_versions(head);
                     effects.extend(detector.announce());
                 }
                 effects
@@ -116,7 +116,7 @@
                 Vec::new()
             }
             Event::Asked(Command::Learn(members)) => {
-                members.into_iter().flat_map(|member| detector.learn(now, member)).collect()
+                members.into_iter().flat_map(|member| detector.merge_member(now, member)).collect()
             }
             Event::Asked(Command::Leave(sent)) => {
                 let effects = detector.leave();
@@ -270,7 +270,7 @@
 }
 
 /// A peer has a newer configuration. The own watch tells of it in a moment, unless it is deaf.
-fn check_behind(gateway: &Rc<Gateway>, head: Head) {
+fn check_behind(gateway: &Rc<Gateway>, head: ControlVersions) {
     if gateway.behind.get() >= head.settings_revision {
         return;
     }
--- a/crates/heronbend-gateway/src/peers/messages.rs
+++ b/crates/heronbend-gateway/src/peers/messages.rs
@@ -3,7 +3,7 @@
 use heronbend::identity::Incarnation;
 use heronbend::identity::NodeId;
 use heronbend::identity::NodeName;
-use heronbend::membership::Gossip;
+use heronbend::membership::GossipMessage;
 use heronbend::membership::Member;
 use heronbend::quarantine::Report;
 use heronbend::usage::Window;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Datagram {
     /// Of the failure detector.
-    Gossip(Gossip),
+    Gossip(GossipMessage),
     /// Something worth knowing early; it may be lost.
     Hint(Hint),
 }
--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -8,11 +8,11 @@
 
 use heronbend::identity::Incarnation;
 use heronbend::identity::NodeName;
-use heronbend::membership::Gossip;
-use heronbend::membership::Head;
+use heronbend::membership::ControlVersions;
+use heronbend::membership::GossipMessage;
+use heronbend::membership::GossipUpdate;
 use heronbend::membership::Liveness;
 use heronbend::membership::Probe;
-use heronbend::membership::Rumour;
 use heronbend::usage::Window;
 use heronbend_gateway::batch::ownership::Ownership;
 use heronbend_gateway::batch::segment::Segment;
@@ -71,11 +71,11 @@
 }
 
 fn datagrams() -> Vec<(&'static str, Datagram)> {
-    let gossip = Gossip {
+    let gossip = GossipMessage {
         from: member(node("front-1"), Liveness::Alive),
         probe: Probe::PingRequest { sequence: 5, target: NodeName("front-3".to_owned()) },
-        head: Head { settings_revision: 11, shard_epochs: 0 },
-        rumours: vec![Rumour::Member(member(node("front-2"), Liveness::Suspect))],
+        head: ControlVersions { settings_revision: 11, shard_epochs: 0 },
+        rumours: vec![GossipUpdate::Member(member(node("front-2"), Liveness::Suspect))],
     };
     let order = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
--- a/crates/heronbend/src/membership/detector.rs
+++ b/crates/heronbend/src/membership/detector.rs
@@ -8,7 +8,7 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-use super::messages::{Gossip, Head, Liveness, Member, Probe, Rumour};
+use super::messages::{ControlVersions, GossipMessage, GossipUpdate, Liveness, Member, Probe};
 use super::rumours::RumourQueue;
 use crate::identity::{Incarnation, NodeName};
 use crate::lifecycle::StatedPhase;
@@ -26,31 +26,31 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DetectorConfig {
     /// Time between two probes.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Time a direct probe may take before helpers are asked.
     pub direct_timeout: Duration,
     /// Time a suspect has to refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Helpers asked to probe in this daemon's place.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Time after which a dead member is forgotten.
     pub forget_after: Duration,
     /// Members of the own region that are told at once of what cannot wait for the next probe.
-    pub fanout_in_region: usize,
+    pub local_region_fanout: usize,
     /// Members of other regions that are told at once.
-    pub fanout_elsewhere: usize,
+    pub remote_region_fanout: usize,
 }
 
 impl Default for DetectorConfig {
     fn default() -> Self {
         Self {
-            period: Duration::from_millis(1000),
+            probe_period: Duration::from_millis(1000),
             direct_timeout: Duration::from_millis(300),
-            suspicion: Duration::from_millis(4000),
-            helpers: 3,
+            suspicion_timeout: Duration::from_millis(4000),
+            indirect_probes: 3,
             forget_after: Duration::from_secs(600),
-            fanout_in_region: 3,
-            fanout_elsewhere: 2,
+            local_region_fanout: 3,
+            remote_region_fanout: 2,
         }
     }
 }
@@ -63,7 +63,7 @@
         /// Where to.
         to: SocketAddr,
         /// The datagram.
-        gossip: Box<Gossip>,
+        gossip: Box<GossipMessage>,
     },
     /// A member's state has changed.
     Changed(MemberChange),
@@ -76,7 +76,7 @@
         /// The peer.
         peer: SocketAddr,
         /// What it holds.
-        head: Head,
+        head: ControlVersions,
     },
 }
 
@@ -116,7 +116,7 @@
 pub struct Detector {
     config: DetectorConfig,
     me: Member,
-    head: Head,
+    head: ControlVersions,
     members: BTreeMap<NodeName, Known>,
     order: Vec<NodeName>,
     probe: Option<OpenProbe>,
@@ -131,11 +131,11 @@
     /// A detector for `me`, which knows nobody yet.
     pub fn new(config: DetectorConfig, me: Member, seed: u64) -> Self {
         let mut rumours = RumourQueue::default();
-        rumours.push(Rumour::Member(me.clone()));
+        rumours.push(GossipUpdate::Member(me.clone()));
         Self {
             config,
             me,
-            head: Head::default(),
+            head: ControlVersions::default(),
             members: BTreeMap::new(),
             order: Vec::new(),
             probe: None,
@@ -148,7 +148,7 @@
     }
 
     /// This daemon as it makes itself known.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -158,13 +158,13 @@
     }
 
     /// Sets the control data that is made known to peers.
-    pub fn set_head(&mut self, head: Head) {
+    pub fn set_control_versions(&mut self, head: ControlVersions) {
         self.head = head;
     }
 
     /// Spreads a back end's phase.
-    pub fn spread_backend(&mut self, stated: StatedPhase) {
-        self.rumours.push(Rumour::Backend(stated));
+    pub fn gossip_backend(&mut self, stated: StatedPhase) {
+        self.rumours.push(GossipUpdate::Backend(stated));
     }
 
     /// Sends the newest rumours and control data to some members at once.
@@ -180,19 +180,19 @@
             .partition(|target| self.members[target].member.region == self.me.region);
         near.shuffle(&mut self.random);
         far.shuffle(&mut self.random);
-        near.truncate(self.config.fanout_in_region);
-        far.truncate(self.config.fanout_elsewhere);
+        near.truncate(self.config.local_region_fanout);
+        far.truncate(self.config.remote_region_fanout);
         near.into_iter().chain(far).map(|target| self.ping(&target)).collect()
     }
 
     /// Pings an address of which nothing is known yet, so that whoever is there becomes a member.
-    pub fn greet(&mut self, address: SocketAddr) -> Effect {
+    pub fn ping_address(&mut self, address: SocketAddr) -> Effect {
         let sequence = self.take_sequence();
         self.send(address, Probe::Ping { sequence })
     }
 
     /// Takes in a member from another source, such as the platform's list.
-    pub fn learn(&mut self, now: Moment, member: Member) -> Vec<Effect> {
+    pub fn merge_member(&mut self, now: Moment, member: Member) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.merge(now, member, &mut effects);
         effects
@@ -201,7 +201,7 @@
     /// Announces that this daemon stops.
     pub fn leave(&mut self) -> Vec<Effect> {
         self.me.liveness = Liveness::Left;
-        self.rumours.push(Rumour::Member(self.me.clone()));
+        self.rumours.push(GossipUpdate::Member(self.me.clone()));
         self.announce()
     }
 
@@ -213,19 +213,24 @@
             self.close_probe(now, &mut effects);
             self.open_probe(now, &mut effects);
             effects.extend(self.ping_a_dead_member());
-            self.next_probe = now + self.config.period;
+            self.next_probe = now + self.config.probe_period;
         }
         self.ask_suspects(now, &mut effects);
         self.declare_dead(now, &mut effects);
-        let expired = self.config.period * 2;
+        let expired = self.config.probe_period * 2;
         self.relays.retain(|_, relay| now < relay.sent + expired);
         effects
     }
 
     /// Takes in a datagram that came from `source`.
-    pub fn receive(&mut self, now: Moment, source: SocketAddr, gossip: Gossip) -> Vec<Effect> {
+    pub fn receive(
+        &mut self,
+        now: Moment,
+        source: SocketAddr,
+        gossip: GossipMessage,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Gossip { from, probe, head, rumours } = gossip;
+        let GossipMessage { from, probe, head, rumours } = gossip;
         if from.id.name == self.me.id.name {
             return effects;
         }
@@ -241,8 +246,8 @@
         self.tell_what_is_said_of(&from);
         for rumour in rumours {
             match rumour {
-                Rumour::Member(member) => self.merge(now, member, &mut effects),
-                Rumour::Backend(stated) => effects.push(Effect::Backend(stated)),
+                GossipUpdate::Member(member) => self.merge(now, member, &mut effects),
+                GossipUpdate::Backend(stated) => effects.push(Effect::Backend(stated)),
             }
         }
         if self.is_behind(head) {
@@ -273,19 +278,19 @@
         known.shuffle(&mut self.random);
         known.truncate(MAX_INTRODUCED);
         let datagrams = known.chunks(INTRODUCED_A_DATAGRAM).map(|members| {
-            let gossip = Gossip {
+            let gossip = GossipMessage {
                 from: self.me.clone(),
                 // Acknowledges no probe: numbers begin at 1.
                 probe: Probe::Ack { sequence: 0 },
                 head: self.head,
-                rumours: members.iter().cloned().map(Rumour::Member).collect(),
+                rumours: members.iter().cloned().map(GossipUpdate::Member).collect(),
             };
             Effect::Send { to: newcomer.address, gossip: Box::new(gossip) }
         });
         datagrams.collect()
     }
 
-    fn is_behind(&self, head: Head) -> bool {
+    fn is_behind(&self, head: ControlVersions) -> bool {
         head.settings_revision > self.head.settings_revision
             || head.shard_epochs > self.head.shard_epochs
     }
@@ -333,7 +338,7 @@
         } else if member.liveness >= Liveness::Left {
             return;
         }
-        self.rumours.push(Rumour::Member(member.clone()));
+        self.rumours.push(GossipUpdate::Member(member.clone()));
         let known = Known { member: member.clone(), since: now, asked_again: false };
         self.members.insert(member.id.name.clone(), known);
         effects.push(Effect::Changed(MemberChange { member }));
@@ -343,7 +348,7 @@
     fn tell_what_is_said_of(&mut self, sender: &Member) {
         if let Some(known) = self.members.get(&sender.id.name) {
             if known.member.liveness > sender.liveness {
-                self.rumours.push(Rumour::Member(known.member.clone()));
+                self.rumours.push(GossipUpdate::Member(known.member.clone()));
             }
         }
     }
@@ -353,14 +358,14 @@
         if said.id.incarnation > self.me.id.incarnation {
             // An earlier run whose clock was ahead: this run is the later one all the same.
             self.me.id.incarnation = Incarnation(said.id.incarnation.0 + 1);
-            self.rumours.push(Rumour::Member(self.me.clone()));
+            self.rumours.push(GossipUpdate::Member(self.me.clone()));
             return true;
         }
         let is_worse = said.id == self.me.id && said.liveness > self.me.liveness;
         let is_wrong = is_worse && said.refutation >= self.me.refutation;
         if is_wrong {
             self.me.refutation = said.refutation + 1;
-            self.rumours.push(Rumour::Member(self.me.clone()));
+            self.rumours.push(GossipUpdate::Member(self.me.clone()));
         }
         is_wrong
     }
@@ -411,7 +416,7 @@
             .collect();
         let member = (*dead.choose(&mut self.random)?).clone();
         let target = member.id.name.clone();
-        self.rumours.push(Rumour::Member(member));
+        self.rumours.push(GossipUpdate::Member(member));
         Some(self.ping(&target))
     }
 
@@ -432,7 +437,7 @@
             .map(|known| known.member.address)
             .collect();
         helpers.shuffle(&mut self.random);
-        helpers.truncate(self.config.helpers);
+        helpers.truncate(self.config.indirect_probes);
         for helper in helpers {
             let request = Probe::PingRequest { sequence, target: target.clone() };
             effects.push(self.send(helper, request));
@@ -460,7 +465,7 @@
     /// they hear of its refutation, and would declare a daemon dead that was silent for a moment. The
     /// datagram says what is believed of the suspect, so that its answer refutes it.
     fn ask_suspects(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        let last_ask = self.config.suspicion.saturating_sub(self.config.direct_timeout * 2);
+        let last_ask = self.config.suspicion_timeout.saturating_sub(self.config.direct_timeout * 2);
         let is_due = |known: &&mut Known| {
             let is_suspect = known.member.liveness == Liveness::Suspect;
             is_suspect && !known.asked_again && now >= known.since + last_ask
@@ -472,7 +477,7 @@
         }
         for suspect in due {
             let name = suspect.id.name.clone();
-            self.rumours.push(Rumour::Member(suspect));
+            self.rumours.push(GossipUpdate::Member(suspect));
             effects.push(self.ping(&name));
         }
     }
@@ -482,7 +487,7 @@
             .members
             .values()
             .filter(|known| known.member.liveness == Liveness::Suspect)
-            .filter(|known| now >= known.since + self.config.suspicion)
+            .filter(|known| now >= known.since + self.config.suspicion_timeout)
             .map(|known| known.member.clone())
             .collect();
         for mut member in overdue {
@@ -508,7 +513,7 @@
 
     fn send(&mut self, to: SocketAddr, probe: Probe) -> Effect {
         let rumours = self.rumours.take(self.members.len() + 1);
-        let gossip = Gossip { from: self.me.clone(), probe, head: self.head, rumours };
+        let gossip = GossipMessage { from: self.me.clone(), probe, head: self.head, rumours };
         Effect::Send { to, gossip: Box::new(gossip) }
     }
 }
--- a/crates/heronbend/src/membership/messages.rs
+++ b/crates/heronbend/src/membership/messages.rs
@@ -88,7 +88,7 @@
 
 /// Newest control data that a daemon holds; a peer that lags fetches it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
-pub struct Head {
+pub struct ControlVersions {
     /// Revision of the settings.
     pub settings_revision: u64,
     /// Sum of the shards' epochs; grows with each change of the shard map.
@@ -97,7 +97,7 @@
 
 /// Something to spread.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
-pub enum Rumour {
+pub enum GossipUpdate {
     /// A daemon's state.
     Member(Member),
     /// A back end's phase.
@@ -128,14 +128,14 @@
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Gossip {
+pub struct GossipMessage {
     /// The sender.
     pub from: Member,
     /// Its purpose.
     pub probe: Probe,
     /// The sender's control data.
-    pub head: Head,
+    pub head: ControlVersions,
     /// Rumours that ride along.
     #[musli(default)]
-    pub rumours: Vec<Rumour>,
+    pub rumours: Vec<GossipUpdate>,
 }
--- a/crates/heronbend/src/membership/mod.rs
+++ b/crates/heronbend/src/membership/mod.rs
@@ -17,4 +17,6 @@
 mod tests;
 
 pub use detector::{Detector, DetectorConfig, Effect, MemberChange};
-pub use messages::{may_be_alive, Candidate, Gossip, Head, Liveness, Member, Probe, Rumour};
+pub use messages::{
+    may_be_alive, Candidate, ControlVersions, GossipMessage, GossipUpdate, Liveness, Member, Probe,
+};
--- a/crates/heronbend/src/membership/rumours.rs
+++ b/crates/heronbend/src/membership/rumours.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use super::messages::Rumour;
+use super::messages::GossipUpdate;
 
 /// Bytes of rumours in one datagram, so that it stays within one packet.
 const MAX_RUMOUR_BYTES: usize = 1000;
@@ -20,7 +20,7 @@
 
 #[derive(Debug, Clone)]
 struct Pending {
-    rumour: Rumour,
+    rumour: GossipUpdate,
     bytes: usize,
     sent: u32,
 }
@@ -51,10 +51,10 @@
 
 impl RumourQueue {
     /// Queues a rumour, replacing one about the same subject.
-    pub(super) fn push(&mut self, rumour: Rumour) {
+    pub(super) fn push(&mut self, rumour: GossipUpdate) {
         let subject = match &rumour {
-            Rumour::Member(member) => Subject::Member(member.id.name.0.clone()),
-            Rumour::Backend(stated) => Subject::Backend(stated.name.0.clone()),
+            GossipUpdate::Member(member) => Subject::Member(member.id.name.0.clone()),
+            GossipUpdate::Backend(stated) => Subject::Backend(stated.name.0.clone()),
         };
         let bytes = musli::wire::to_vec(&rumour).map_or(MAX_RUMOUR_BYTES, |bytes| bytes.len());
         self.turns.insert(Turn::new(&subject, 0));
@@ -67,7 +67,7 @@
     }
 
     /// Rumours for the next datagram, among `members` daemons.
-    pub(super) fn take(&mut self, members: usize) -> Vec<Rumour> {
+    pub(super) fn take(&mut self, members: usize) -> Vec<GossipUpdate> {
         let doublings = usize::BITS - members.leading_zeros() + 1;
         let max_sends = SENDS_PER_DOUBLING * doublings;
         let mut taken = Vec::new();
--- a/crates/heronbend/src/membership/tests.rs
+++ b/crates/heronbend/src/membership/tests.rs
@@ -49,7 +49,7 @@
         let mut detectors: Vec<_> =
             (0..count).map(|index| Detector::new(config, member(index, 1), index as u64)).collect();
         for detector in &mut detectors {
-            detector.learn(Moment::ZERO, member(0, 1));
+            detector.merge_member(Moment::ZERO, member(0, 1));
         }
         Self {
             now: Moment::ZERO,
@@ -102,7 +102,7 @@
                 if !self.backends[index].insert(stated.name.0.clone()) {
                     return Vec::new();
                 }
-                self.detectors[index].spread_backend(stated);
+                self.detectors[index].gossip_backend(stated);
                 if !self.passes_on_at_once {
                     return Vec::new();
                 }
@@ -157,13 +157,13 @@
 
 /// Short times, as where the loss of a daemon is to be known within two seconds.
 const HASTY: DetectorConfig = DetectorConfig {
-    period: Duration::from_millis(400),
+    probe_period: Duration::from_millis(400),
     direct_timeout: Duration::from_millis(150),
-    suspicion: Duration::from_millis(1200),
-    helpers: 2,
+    suspicion_timeout: Duration::from_millis(1200),
+    indirect_probes: 2,
     forget_after: Duration::from_secs(600),
-    fanout_in_region: 3,
-    fanout_elsewhere: 2,
+    local_region_fanout: 3,
+    remote_region_fanout: 2,
 };
 
 #[test]
@@ -171,7 +171,7 @@
     let mut network = Network::with_config(250, HASTY);
     for detector in &mut network.detectors {
         for index in 0..250 {
-            detector.learn(Moment::ZERO, member(index, 1));
+            detector.merge_member(Moment::ZERO, member(index, 1));
         }
     }
     network.run(Duration::from_secs(2));
@@ -203,8 +203,8 @@
 #[test]
 fn a_new_run_supersedes_the_old_and_the_old_is_dead() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 1);
-    detector.learn(Moment::ZERO, member(1, 5));
-    detector.learn(Moment::ZERO, member(1, 4));
+    detector.merge_member(Moment::ZERO, member(1, 5));
+    detector.merge_member(Moment::ZERO, member(1, 4));
     let known: Vec<_> = detector.members().map(|member| member.id.incarnation).collect();
     assert_eq!(known, [Incarnation(5)]);
     let members: Vec<_> = detector.members().cloned().collect();
@@ -229,9 +229,9 @@
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
     };
-    network.detectors[7].spread_backend(stated);
-    let head = Head { settings_revision: 4, shard_epochs: 0 };
-    network.detectors[7].set_head(head);
+    network.detectors[7].gossip_backend(stated);
+    let head = ControlVersions { settings_revision: 4, shard_epochs: 0 };
+    network.detectors[7].set_control_versions(head);
     network.run(Duration::from_secs(30));
     let reached = network.backends.iter().filter(|known| !known.is_empty()).count();
     assert!(reached >= 19, "{reached} of 20");
@@ -258,7 +258,7 @@
 fn a_datagram_stays_within_one_packet() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 1);
     for index in 1..200 {
-        detector.learn(Moment::ZERO, member(index, 1));
+        detector.merge_member(Moment::ZERO, member(index, 1));
     }
     let largest = (1..100)
         .flat_map(|second| detector.tick(Duration::from_secs(second)))
@@ -270,8 +270,13 @@
     assert!(largest.is_some_and(|bytes| bytes < 1400), "{largest:?}");
 }
 
-fn ping_from(from: Member) -> Gossip {
-    Gossip { from, probe: Probe::Ping { sequence: 1 }, head: Head::default(), rumours: Vec::new() }
+fn ping_from(from: Member) -> GossipMessage {
+    GossipMessage {
+        from,
+        probe: Probe::Ping { sequence: 1 },
+        head: ControlVersions::default(),
+        rumours: Vec::new(),
+    }
 }
 
 /// Members that a daemon is told of at once, by the datagrams sent to it.
@@ -283,8 +288,8 @@
     let rumours = datagrams.flat_map(|gossip| gossip.rumours.iter());
     rumours
         .filter_map(|rumour| match rumour {
-            Rumour::Member(member) => Some(member.id.name.0.clone()),
-            Rumour::Backend(_) => None,
+            GossipUpdate::Member(member) => Some(member.id.name.0.clone()),
+            GossipUpdate::Backend(_) => None,
         })
         .collect()
 }
@@ -293,7 +298,7 @@
 fn a_newcomer_is_told_at_once_of_all_members_that_are_alive() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 7);
     for index in 1..20 {
-        detector.learn(Moment::ZERO, member(index, 1));
+        detector.merge_member(Moment::ZERO, member(index, 1));
     }
     let newcomer = member(30, 1);
     let effects = detector.receive(TICK, newcomer.address, ping_from(newcomer.clone()));
@@ -314,7 +319,7 @@
         Detector::new(DetectorConfig::default(), member(0, 1), 1),
         Detector::new(DetectorConfig::default(), member(1, 1), 2),
     ];
-    let Effect::Send { to, gossip } = detectors[0].greet(address(1)) else {
+    let Effect::Send { to, gossip } = detectors[0].ping_address(address(1)) else {
         panic!("a greeting is a datagram");
     };
     assert_eq!(to, address(1));
@@ -328,8 +333,8 @@
     let mut earlier = member(0, 5_000);
     earlier.liveness = Liveness::Dead;
     let mut gossip = ping_from(member(1, 1));
-    gossip.rumours.push(Rumour::Member(earlier.clone()));
+    gossip.rumours.push(GossipUpdate::Member(earlier.clone()));
     restarted.receive(TICK, address(1), gossip);
-    assert_eq!(restarted.me().id.incarnation, Incarnation(5_001));
-    assert!(restarted.me().supersedes(&earlier));
+    assert_eq!(restarted.local_member().id.incarnation, Incarnation(5_001));
+    assert!(restarted.local_member().supersedes(&earlier));
 }
