--- a/crates/heronbend/src/request/claim.rs
+++ b/crates/heronbend/src/request/claim.rs
@@ -1,101 +1,101 @@
-//! The claim register of one request.
+//! The claim on a request key, as stored in a register.
 
 use musli::{Decode, Encode};
 
 use crate::identity::NodeId;
 use crate::register::{Applied, RegisterValue};
 
-/// The answer to a not-repeatable request, kept so that a retry gets the same.
+/// Stored outcome of a non-idempotent request, returned to retries.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum StoredAnswer {
-    /// The back end answered.
+    /// The backend responded.
     Answer {
-        /// HTTP status of the answer.
+        /// HTTP status code of the response.
         status: u16,
-        /// Content type of the answer.
+        /// Content type of the response.
         content_type: String,
-        /// Body of the answer.
+        /// Body of the response.
         body: Vec<u8>,
     },
-    /// The request was handed over and no whole answer came back.
+    /// The request was sent, but no complete response was received.
     Unknown,
 }
 
-/// State of a request's key.
+/// State of a request key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Claim {
-    /// This attempt may dispatch.
+    /// The attempt may dispatch the request.
     Held {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
-        /// The daemon that makes it.
+        /// Daemon that runs the attempt.
         holder: NodeId,
-        /// Digest of the request, so that a key is not used for two different requests.
+        /// Digest of the request, which detects reuse of the key for a different request.
         request_digest: u64,
     },
-    /// The attempt ended and will not be repeated.
+    /// The attempt has ended, and the request is not dispatched again.
     Settled {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
         /// Digest of the request.
         request_digest: u64,
-        /// What came of it.
+        /// Outcome of the request.
         answer: StoredAnswer,
-        /// Wall-clock seconds since the Unix epoch after which the register may be collected.
+        /// Wall-clock time, in seconds since the Unix epoch, after which the register may be removed.
         expires: u64,
     },
-    /// The attempt was certainly not run; another may claim the key.
+    /// The request was certainly not run; another attempt may claim the key.
     Released {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
     },
 }
 
-/// A change of a claim.
+/// Change of a [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ClaimChange {
-    /// Asks to be the one attempt that dispatches.
+    /// Claims the key for an attempt.
     Acquire {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
-        /// The daemon that makes it.
+        /// Daemon that runs the attempt.
         holder: NodeId,
         /// Digest of the request.
         request_digest: u64,
     },
-    /// States how the held attempt ended.
+    /// Stores the outcome of the attempt that holds the claim.
     Settle {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
-        /// What came of it.
+        /// Outcome of the request.
         answer: StoredAnswer,
-        /// When the register may be collected, see [`Claim::Settled`].
+        /// Time after which the register may be removed, see [`Claim::Settled`].
         expires: u64,
     },
-    /// States that the held attempt was certainly not run.
+    /// Releases the claim of an attempt whose request was certainly not run.
     Release {
-        /// Unique number of the attempt.
+        /// Unique identifier of the attempt.
         attempt: u64,
     },
 }
 
-/// What the author of a change learns.
+/// Response to a [`ClaimChange`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ClaimResponse {
-    /// This attempt holds the claim.
+    /// The attempt holds the claim.
     Granted,
-    /// Another attempt holds it.
+    /// Another attempt holds the claim.
     InProgress {
-        /// The daemon that makes the other attempt.
+        /// Daemon that runs the other attempt.
         holder: NodeId,
     },
-    /// The request was settled before.
+    /// The request has already been settled.
     Settled(StoredAnswer),
-    /// The key was used for a different request.
+    /// The key belongs to a request with another digest.
     Mismatch,
-    /// The change is made.
+    /// The claim was settled or released.
     Done,
-    /// The attempt does not hold the claim; nothing was changed.
+    /// The attempt does not hold the claim, which is unchanged.
     NotHolder,
 }
 
@@ -124,18 +124,20 @@
 ) -> Applied<Claim, ClaimResponse> {
     let response = match current {
         Some(
-            Claim::Held { request_digest: other, .. }
-            | Claim::Settled { request_digest: other, .. },
-        ) if *other != request_digest => ClaimResponse::Mismatch,
-        Some(Claim::Held { attempt: other, holder, .. }) if *other != attempt => {
+            Claim::Held { request_digest: claimed_digest, .. }
+            | Claim::Settled { request_digest: claimed_digest, .. },
+        ) if *claimed_digest != request_digest => ClaimResponse::Mismatch,
+        Some(Claim::Held { attempt: held_by, holder, .. }) if *held_by != attempt => {
             ClaimResponse::InProgress { holder: holder.clone() }
         }
         Some(Claim::Settled { answer, .. }) => ClaimResponse::Settled(answer.clone()),
-        Some(Claim::Released { attempt: other }) if *other == attempt => ClaimResponse::NotHolder,
+        Some(Claim::Released { attempt: released_by }) if *released_by == attempt => {
+            ClaimResponse::NotHolder
+        }
         Some(Claim::Held { .. } | Claim::Released { .. }) | None => ClaimResponse::Granted,
     };
     let value = match (current, &response) {
-        (Some(kept), response) if *response != ClaimResponse::Granted => kept.clone(),
+        (Some(claim), response) if *response != ClaimResponse::Granted => claim.clone(),
         _ => Claim::Held { attempt, holder: holder.clone(), request_digest },
     };
     Applied { value, response }
@@ -148,16 +150,18 @@
     expires: u64,
 ) -> Applied<Claim, ClaimResponse> {
     match current {
-        Some(Claim::Held { attempt: held, request_digest, .. }) if *held == attempt => Applied {
-            value: Claim::Settled {
-                attempt,
-                request_digest: *request_digest,
-                answer: answer.clone(),
-                expires,
-            },
-            response: ClaimResponse::Done,
-        },
-        Some(Claim::Settled { attempt: settled, .. }) if *settled == attempt => {
+        Some(Claim::Held { attempt: held_by, request_digest, .. }) if *held_by == attempt => {
+            Applied {
+                value: Claim::Settled {
+                    attempt,
+                    request_digest: *request_digest,
+                    answer: answer.clone(),
+                    expires,
+                },
+                response: ClaimResponse::Done,
+            }
+        }
+        Some(Claim::Settled { attempt: settled_by, .. }) if *settled_by == attempt => {
             unchanged(current, attempt, ClaimResponse::Done)
         }
         _ => unchanged(current, attempt, ClaimResponse::NotHolder),
@@ -166,10 +170,10 @@
 
 fn release(current: Option<&Claim>, attempt: u64) -> Applied<Claim, ClaimResponse> {
     match current {
-        Some(Claim::Held { attempt: held, .. }) if *held == attempt => {
+        Some(Claim::Held { attempt: held_by, .. }) if *held_by == attempt => {
             Applied { value: Claim::Released { attempt }, response: ClaimResponse::Done }
         }
-        Some(Claim::Released { attempt: released }) if *released == attempt => {
+        Some(Claim::Released { attempt: released_by }) if *released_by == attempt => {
             unchanged(current, attempt, ClaimResponse::Done)
         }
         _ => unchanged(current, attempt, ClaimResponse::NotHolder),
--- a/crates/heronbend/src/request/mod.rs
+++ b/crates/heronbend/src/request/mod.rs
@@ -1,9 +1,9 @@
-//! At-most-once execution of not-repeatable requests.
+//! At-most-once execution of non-idempotent requests.
 //!
-//! Before the first byte of a not-repeatable request goes to a back end, the daemon claims the
-//! request's key in a register. Only the attempt that holds the claim may dispatch, and it
-//! dispatches once. Every other attempt, on any daemon, learns the stored answer, or that the
-//! request is in progress, or that its outcome is unknown.
+//! Before a daemon sends a non-idempotent request to a backend, it claims the request's key in a
+//! register. Only the attempt that holds the claim may dispatch the request, and only once. Any
+//! other attempt, on any daemon, gets the stored response, or is told that the request is in
+//! progress or that its outcome is unknown.
 
 mod claim;
 #[cfg(test)]
--- a/crates/heronbend/src/request/tests.rs
+++ b/crates/heronbend/src/request/tests.rs
@@ -12,7 +12,7 @@
     ClaimChange::Settle { attempt, answer: StoredAnswer::Unknown, expires: 9 }
 }
 
-fn run(changes: &[ClaimChange]) -> Vec<ClaimResponse> {
+fn apply_all(changes: &[ClaimChange]) -> Vec<ClaimResponse> {
     let mut current: Option<Claim> = None;
     let mut responses = Vec::new();
     for change in changes {
@@ -24,8 +24,9 @@
 }
 
 #[test]
-fn one_attempt_holds_a_key_and_others_learn_of_it() {
-    let responses = run(&[acquire(1, 5), acquire(1, 5), acquire(2, 5), settle(1), acquire(3, 5)]);
+fn only_one_attempt_is_granted_a_key() {
+    let responses =
+        apply_all(&[acquire(1, 5), acquire(1, 5), acquire(2, 5), settle(1), acquire(3, 5)]);
     assert_matches!(
         responses.as_slice(),
         [
@@ -39,16 +40,17 @@
 }
 
 #[test]
-fn a_key_is_not_shared_by_different_requests() {
-    let responses = run(&[acquire(1, 5), acquire(2, 6), settle(1), acquire(3, 6)]);
+fn key_is_rejected_for_a_different_request() {
+    let responses = apply_all(&[acquire(1, 5), acquire(2, 6), settle(1), acquire(3, 6)]);
     assert_eq!(responses[1], ClaimResponse::Mismatch);
     assert_eq!(responses[3], ClaimResponse::Mismatch);
 }
 
 #[test]
-fn a_released_key_may_be_claimed_by_another_attempt_but_not_by_the_same() {
+fn released_key_is_granted_only_to_another_attempt() {
     let release = ClaimChange::Release { attempt: 1 };
-    let responses = run(&[acquire(1, 5), release.clone(), acquire(1, 5), acquire(2, 5), release]);
+    let responses =
+        apply_all(&[acquire(1, 5), release.clone(), acquire(1, 5), acquire(2, 5), release]);
     assert_matches!(
         responses[1..],
         [
@@ -61,6 +63,6 @@
 }
 
 #[test]
-fn an_attempt_that_lost_its_claim_cannot_settle() {
-    assert_eq!(run(&[acquire(1, 5), settle(2)])[1], ClaimResponse::NotHolder);
+fn attempt_without_the_claim_cannot_settle() {
+    assert_eq!(apply_all(&[acquire(1, 5), settle(2)])[1], ClaimResponse::NotHolder);
 }
--- a/crates/heronbend/src/routing/breaker.rs
+++ b/crates/heronbend/src/routing/breaker.rs
@@ -1,36 +1,40 @@
-//! A circuit breaker for one back end.
+//! Circuit breaker of a single backend.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Consecutive failures that open the breaker.
-const FAILURES_TO_OPEN: u32 = 5;
-const FIRST_OPEN: Duration = Duration::from_millis(500);
-const LONGEST_OPEN: Duration = Duration::from_secs(10);
+/// Number of consecutive failures that open the breaker.
+const FAILURE_THRESHOLD: u32 = 5;
+/// Shortest and longest backoff of an open breaker.
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// How an attempt ended, as far as the back end's health is concerned.
+/// Outcome of a request, as a signal of the backend's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The back end answered; errors of the request itself count as answers.
+    /// The backend responded. This includes errors caused by the request itself.
     Answered,
-    /// The back end could not be reached, broke off or failed by itself.
+    /// The backend was unreachable, closed the connection early or failed internally.
     Failed,
-    /// The attempt was given up for reasons of its own, such as a client that went away.
+    /// The caller gave up, for example because its client disconnected.
     Cancelled,
 }
 
-/// Stops sending to a back end that fails, and probes it with one request at a time.
+/// Circuit breaker that opens after consecutive failures.
+///
+/// An open breaker rejects all requests until its backoff has passed, then admits one probe at a
+/// time (half-open). Each failed probe doubles the backoff; a successful one closes the breaker.
 #[derive(Debug, Clone, Default)]
 pub struct Breaker {
-    failures: u32,
+    consecutive_failures: u32,
     open_until: Option<Moment>,
-    open_for: Duration,
+    backoff: Duration,
     probing: bool,
 }
 
 impl Breaker {
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent at `now`.
     pub fn allows(&self, now: Moment) -> bool {
         match self.open_until {
             None => true,
@@ -38,22 +42,22 @@
         }
     }
 
-    /// Notes that a request is being sent.
+    /// Records that a request is sent.
     pub fn started(&mut self) {
         self.probing = self.open_until.is_some();
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn finished(&mut self, now: Moment, outcome: RequestOutcome) {
         self.probing = false;
         match outcome {
             RequestOutcome::Answered => *self = Self::default(),
             RequestOutcome::Cancelled => {}
             RequestOutcome::Failed => {
-                self.failures += 1;
-                if self.failures >= FAILURES_TO_OPEN {
-                    self.open_for = (self.open_for * 2).clamp(FIRST_OPEN, LONGEST_OPEN);
-                    self.open_until = Some(now + self.open_for);
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= FAILURE_THRESHOLD {
+                    self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
+                    self.open_until = Some(now + self.backoff);
                 }
             }
         }
--- a/crates/heronbend/src/routing/mod.rs
+++ b/crates/heronbend/src/routing/mod.rs
@@ -1,11 +1,11 @@
-//! Which back end serves a request.
+//! Load balancing of requests over backends.
 //!
-//! Each thread that sends requests owns one [`Router`]. It knows its own requests under way exactly
-//! and everybody else's from reports that lag, so its estimate of a back end's load is the report
-//! plus what this router has itself started since. Among the back ends of its subset it compares
-//! two drawn at random (Mitzenmacher, "The power of two choices in randomized load balancing",
-//! 2001). Prompts with a common prefix prefer one engine, up to a bound on that engine's load
-//! (Mirrokni et al., "Consistent hashing with bounded loads", 2016).
+//! Each sending thread owns one [`Router`]. A router knows its own in-flight requests exactly and
+//! those of other routers only from delayed load reports, so it estimates a backend's load as the
+//! last report plus the change of its own in-flight requests since then. Requests go to the less
+//! loaded of two random backends of the router's subset (Mitzenmacher, "The power of two choices in
+//! randomized load balancing", 2001). Prompts with a common prefix prefer the same engine as long as
+//! its load is within a bound (Mirrokni et al., "Consistent hashing with bounded loads", 2016).
 
 mod breaker;
 mod router;
--- a/crates/heronbend/src/routing/router.rs
+++ b/crates/heronbend/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router's state, without I/O.
+//! Router state machine, free of I/O.
 
 use std::collections::BTreeMap;
 
@@ -12,46 +12,46 @@
 use crate::lifecycle::{Backend, BackendName, Phase};
 use crate::Moment;
 
-/// How far above the mean an engine may be loaded and still attract its prefixes.
+/// Multiple of the mean load up to which an engine keeps its prefixes.
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
-/// Load that affinity always tolerates, so that a nearly idle pool keeps its prefixes together.
+/// Load allowed above that bound, so that affinity also holds in a nearly idle pool.
 const AFFINITY_SLACK: f64 = 4.0;
-/// Extra load at which a back end of another zone is as good as one of the own zone.
+/// Load added to backends of other zones, in requests.
 const ZONE_PENALTY: f64 = 0.5;
 
-/// What a back end reports of itself; it lags.
+/// Load reported by a backend. Reports arrive with a delay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting to be run.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Weight version that is loaded, for an engine that can vouch for one.
+    /// Loaded weight version; `None` if the backend does not report a verified one.
     pub version: Option<u64>,
 }
 
-/// What is being routed.
+/// Constraints on the backend of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
-    /// The pool to choose from.
+    /// Pool whose backends are considered.
     pub pool: &'a str,
-    /// Most requests this router may have under way at one back end.
+    /// Maximum number of in-flight requests of this router per backend.
     pub max_in_flight: usize,
-    /// Hash of the prompt's prefix, where affinity is wanted.
+    /// Hash of the prompt's prefix, for prefix affinity.
     pub prefix: Option<u64>,
-    /// Oldest weight version that will do.
+    /// Minimum weight version.
     pub min_version: Option<u64>,
-    /// Back ends already tried.
+    /// Backends that were already tried.
     pub exclude: &'a [BackendName],
 }
 
-/// Why no back end was chosen; nothing was run.
+/// Error of [`Router::choose`]. The request was not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RouteError {
-    /// No live back end is known.
+    /// No backend is live, allowed by its breaker and matching the query.
     #[error("no back end of the pool is live")]
     NoBackend,
-    /// Live back ends are known, but none has a place.
+    /// Every eligible backend has reached its in-flight limit.
     #[error("every back end of the pool is at its limit")]
     Full,
 }
@@ -67,16 +67,17 @@
 }
 
 impl Candidate {
-    /// Estimated requests at the back end: the report, corrected by this router's own change since.
-    fn load(&self, own_zone: &str) -> f64 {
+    /// Estimated number of requests at the backend: the last report plus the change of this router's
+    /// in-flight requests since then, and a penalty for other zones.
+    fn load(&self, local_zone: &str) -> f64 {
         let reported = f64::from(self.report.running + self.report.waiting);
-        let own_change = f64::from(self.in_flight) - f64::from(self.in_flight_at_report);
-        let penalty = if self.backend.zone == own_zone { 0.0 } else { ZONE_PENALTY };
-        (reported + own_change).max(f64::from(self.in_flight)) + penalty
+        let in_flight_change = f64::from(self.in_flight) - f64::from(self.in_flight_at_report);
+        let zone_penalty = if self.backend.zone == local_zone { 0.0 } else { ZONE_PENALTY };
+        (reported + in_flight_change).max(f64::from(self.in_flight)) + zone_penalty
     }
 }
 
-/// Chooses back ends for one thread.
+/// Load balancer of one sending thread.
 #[derive(Debug)]
 pub struct Router {
     zone: String,
@@ -85,7 +86,7 @@
 }
 
 impl Router {
-    /// A router in `zone` that knows no back end yet.
+    /// Creates a router in `zone` without backends; `seed` makes its random choices reproducible.
     pub fn new(zone: &str, seed: u64) -> Self {
         Self {
             zone: zone.to_owned(),
@@ -94,14 +95,14 @@
         }
     }
 
-    /// Replaces the known back ends. What is known of a run that stays is kept.
+    /// Replaces the set of backends. State of backends with an unchanged incarnation is kept.
     pub fn update(&mut self, backends: impl Iterator<Item = (Backend, Phase)>) {
         let mut previous = std::mem::take(&mut self.candidates);
         for (backend, phase) in backends {
-            let kept = previous
+            let previous_state = previous
                 .remove(&backend.name)
                 .filter(|old| old.backend.incarnation == backend.incarnation);
-            let candidate = match kept {
+            let candidate = match previous_state {
                 Some(old) => Candidate { backend, phase, ..old },
                 None => Candidate {
                     backend,
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Marks a back end as leaving in this router, ahead of the next [`Router::update`].
+    /// Marks a backend as leaving ahead of the next [`Router::update`].
     pub fn mark_leaving(&mut self, name: &BackendName) {
         if let Some(candidate) = self.candidates.get_mut(name) {
             candidate.phase = candidate.phase.max(Phase::Leaving);
         }
     }
 
-    /// Takes in a load report.
+    /// Records a load report of a backend.
     pub fn report(&mut self, name: &BackendName, report: LoadReport) {
         if let Some(candidate) = self.candidates.get_mut(name) {
             candidate.report = report;
@@ -131,37 +132,41 @@
         }
     }
 
-    /// Chooses a back end and counts the request as under way there.
+    /// Chooses a backend for a request and counts the request as in flight there.
+    ///
+    /// The caller must report the end of the request to [`Router::finished`].
     pub fn choose(&mut self, now: Moment, query: &Query<'_>) -> Result<Backend, RouteError> {
-        let live: Vec<&Candidate> = self
+        let eligible: Vec<&Candidate> = self
             .candidates
             .values()
             .filter(|candidate| is_eligible(candidate, now, query))
             .collect();
-        if live.is_empty() {
+        if eligible.is_empty() {
             return Err(RouteError::NoBackend);
         }
-        let open: Vec<&Candidate> = live
+        let available: Vec<&Candidate> = eligible
             .into_iter()
             .filter(|candidate| (candidate.in_flight as usize) < query.max_in_flight)
             .collect();
-        if open.is_empty() {
+        if available.is_empty() {
             return Err(RouteError::Full);
         }
         let preferred =
-            query.prefix.and_then(|prefix| preferred_by_prefix(&open, prefix, &self.zone));
+            query.prefix.and_then(|prefix| prefix_owner(&available, prefix, &self.zone));
         let chosen = match preferred {
             Some(candidate) => candidate,
-            None => lighter_of_two(&open, &mut self.random, &self.zone),
+            None => less_loaded_of_two(&available, &mut self.random, &self.zone),
         };
         let name = chosen.backend.name.clone();
-        let candidate = self.candidates.get_mut(&name).expect("it was just chosen");
+        let candidate = self.candidates.get_mut(&name).expect("chosen from the candidates");
         candidate.in_flight += 1;
         candidate.breaker.started();
         Ok(candidate.backend.clone())
     }
 
-    /// Notes that a request chosen by [`Router::choose`] has ended.
+    /// Records the end of a request that was routed by [`Router::choose`].
+    ///
+    /// Ignored if the backend has been removed or replaced by another incarnation.
     pub fn finished(&mut self, now: Moment, backend: &Backend, outcome: RequestOutcome) {
         if let Some(candidate) = self.candidates.get_mut(&backend.name) {
             if candidate.backend.incarnation == backend.incarnation {
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Places that are left for requests like this one.
+    /// Returns how many more requests with these constraints the eligible backends can take.
     pub fn free_slots(&self, now: Moment, query: &Query<'_>) -> usize {
         self.candidates
             .values()
@@ -184,7 +189,7 @@
 fn is_eligible(candidate: &Candidate, now: Moment, query: &Query<'_>) -> bool {
     let new_enough = match query.min_version {
         None => true,
-        Some(oldest) => candidate.report.version.is_some_and(|version| version >= oldest),
+        Some(minimum) => candidate.report.version.is_some_and(|version| version >= minimum),
     };
     candidate.phase == Phase::Live
         && candidate.backend.pool == query.pool
@@ -193,30 +198,33 @@
         && !query.exclude.contains(&candidate.backend.name)
 }
 
-fn preferred_by_prefix<'a>(
-    open: &[&'a Candidate],
-    prefix: u64,
-    zone: &str,
-) -> Option<&'a Candidate> {
-    let total: f64 = open.iter().map(|candidate| candidate.load(zone)).sum();
-    let bound = (total / open.len() as f64) * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK;
+/// Returns the engine that owns the prefix, unless its load exceeds the affinity bound.
+fn prefix_owner<'a>(available: &[&'a Candidate], prefix: u64, zone: &str) -> Option<&'a Candidate> {
+    let total: f64 = available.iter().map(|candidate| candidate.load(zone)).sum();
+    let bound = (total / available.len() as f64) * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK;
     let key = prefix.to_le_bytes();
-    open.iter()
+    available
+        .iter()
         .max_by_key(|candidate| rendezvous_score(&key, candidate.backend.name.0.as_bytes()))
         .filter(|candidate| candidate.load(zone) <= bound)
         .copied()
 }
 
-fn lighter_of_two<'a>(open: &[&'a Candidate], random: &mut SmallRng, zone: &str) -> &'a Candidate {
-    let first = random.random_range(0..open.len());
-    if open.len() == 1 {
-        return open[first];
+/// Returns the less loaded of two distinct random candidates.
+fn less_loaded_of_two<'a>(
+    available: &[&'a Candidate],
+    random: &mut SmallRng,
+    zone: &str,
+) -> &'a Candidate {
+    let first = random.random_range(0..available.len());
+    if available.len() == 1 {
+        return available[first];
     }
-    let offset = random.random_range(1..open.len());
-    let second = (first + offset) % open.len();
-    if open[second].load(zone) < open[first].load(zone) {
-        open[second]
+    let offset = random.random_range(1..available.len());
+    let second = (first + offset) % available.len();
+    if available[second].load(zone) < available[first].load(zone) {
+        available[second]
     } else {
-        open[first]
+        available[first]
     }
 }
--- a/crates/heronbend/src/routing/subset.rs
+++ b/crates/heronbend/src/routing/subset.rs
@@ -1,4 +1,4 @@
-//! The back ends that one daemon sends to.
+//! Backend subsets and rendezvous hashing.
 
 use std::hash::Hasher;
 
@@ -6,8 +6,10 @@
 
 use crate::lifecycle::Backend;
 
-/// Score of a pair; each key orders all candidates differently, and a candidate that joins or leaves
-/// moves only its own share of keys (Thaler and Ravishankar, 1998).
+/// Returns the rendezvous hashing score of a candidate for a key.
+///
+/// Adding or removing a candidate only moves the keys for which that candidate scores highest
+/// (Thaler and Ravishankar, 1998).
 pub fn rendezvous_score(key: &[u8], candidate: &[u8]) -> u64 {
     let mut hasher = RapidHasher::default();
     hasher.write(key);
@@ -16,10 +18,10 @@
     hasher.finish()
 }
 
-/// Picks `size` back ends for a daemon: those of its own zone first, then by rendezvous score.
+/// Chooses at most `size` backends for a daemon, its own zone first, then by rendezvous score.
 ///
-/// The choice depends on the daemon's identity alone, so every daemon computes its own without
-/// agreement, and scores spread daemons evenly over back ends.
+/// The choice is a function of the daemon's name and the backends, so daemons need no coordination.
+/// Each backend is chosen by about the same number of daemons.
 pub fn choose_subset<'a>(
     daemon: &str,
     zone: &str,
--- a/crates/heronbend/src/routing/tests.rs
+++ b/crates/heronbend/src/routing/tests.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::{Backend, BackendName, Phase};
 use crate::Moment;
 
-const LIMIT: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 
 fn backend(index: usize, zone: &str) -> Backend {
     Backend {
@@ -25,14 +25,20 @@
 }
 
 fn query() -> Query<'static> {
-    Query { pool: "bulletin", max_in_flight: LIMIT, prefix: None, min_version: None, exclude: &[] }
+    Query {
+        pool: "bulletin",
+        max_in_flight: MAX_IN_FLIGHT,
+        prefix: None,
+        min_version: None,
+        exclude: &[],
+    }
 }
 
 #[test]
-fn a_full_pool_and_an_empty_pool_are_told_apart() {
+fn full_pool_and_unknown_pool_return_different_errors() {
     let mut router = router(2);
-    for _ in 0..2 * LIMIT {
-        router.choose(Moment::ZERO, &query()).expect("a place is free");
+    for _ in 0..2 * MAX_IN_FLIGHT {
+        router.choose(Moment::ZERO, &query()).expect("a slot is free");
     }
     assert_eq!(router.choose(Moment::ZERO, &query()), Err(RouteError::Full));
     let other = Query { pool: "other", ..query() };
@@ -40,20 +46,20 @@
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing_new() {
+fn leaving_backend_receives_no_new_requests() {
     let mut router = router(2);
     router.mark_leaving(&BackendName("engine-0".into()));
-    for _ in 0..LIMIT {
+    for _ in 0..MAX_IN_FLIGHT {
         let chosen = router.choose(Moment::ZERO, &query()).unwrap();
         assert_eq!(chosen.name.0, "engine-1");
     }
 }
 
 #[test]
-fn own_requests_count_on_top_of_a_report_that_lags() {
+fn own_in_flight_requests_count_between_load_reports() {
     let mut router = router(2);
     let mut counts = BTreeMap::new();
-    for _ in 0..LIMIT {
+    for _ in 0..MAX_IN_FLIGHT {
         let chosen = router.choose(Moment::ZERO, &query()).unwrap();
         *counts.entry(chosen.name.0).or_insert(0) += 1;
     }
@@ -61,29 +67,29 @@
 }
 
 #[test]
-fn only_engines_that_vouch_for_a_version_draw_for_a_floor() {
+fn minimum_version_excludes_engines_without_reported_version() {
     let mut router = router(2);
-    let floor = Query { min_version: Some(3), ..query() };
-    assert_eq!(router.choose(Moment::ZERO, &floor), Err(RouteError::NoBackend));
+    let min_version_query = Query { min_version: Some(3), ..query() };
+    assert_eq!(router.choose(Moment::ZERO, &min_version_query), Err(RouteError::NoBackend));
     let report = LoadReport { version: Some(3), ..LoadReport::default() };
     router.report(&BackendName("engine-1".into()), report);
-    assert_eq!(router.choose(Moment::ZERO, &floor).unwrap().name.0, "engine-1");
+    assert_eq!(router.choose(Moment::ZERO, &min_version_query).unwrap().name.0, "engine-1");
 }
 
 #[test]
-fn a_prefix_stays_with_its_engine_until_that_is_overloaded() {
+fn prefix_affinity_holds_until_engine_exceeds_load_bound() {
     let mut router = router(4);
-    let prefix = Query { prefix: Some(42), max_in_flight: 100, ..query() };
-    let first = router.choose(Moment::ZERO, &prefix).unwrap();
-    let second = router.choose(Moment::ZERO, &prefix).unwrap();
+    let prefix_query = Query { prefix: Some(42), max_in_flight: 100, ..query() };
+    let first = router.choose(Moment::ZERO, &prefix_query).unwrap();
+    let second = router.choose(Moment::ZERO, &prefix_query).unwrap();
     assert_eq!(first.name, second.name);
     let names: std::collections::BTreeSet<_> =
-        (0..60).map(|_| router.choose(Moment::ZERO, &prefix).unwrap().name).collect();
+        (0..60).map(|_| router.choose(Moment::ZERO, &prefix_query).unwrap().name).collect();
     assert!(names.len() > 1, "the load bound was never applied");
 }
 
 #[test]
-fn the_breaker_opens_and_lets_one_probe_through() {
+fn open_breaker_admits_a_single_probe() {
     let mut router = router(1);
     let now = Moment::ZERO;
     for _ in 0..5 {
@@ -99,19 +105,19 @@
 }
 
 #[test]
-fn subsets_prefer_the_own_zone_and_spread_evenly() {
+fn subsets_prefer_local_zone_and_are_balanced() {
     let backends: Vec<_> = (0..100).map(|index| backend(index, "north")).collect();
-    let mut uses = BTreeMap::new();
+    let mut uses_by_backend = BTreeMap::new();
     for daemon in 0..100 {
         let name = format!("daemon-{daemon}");
         for chosen in choose_subset(&name, "north", 20, backends.iter()) {
-            *uses.entry(chosen.name.clone()).or_insert(0_u32) += 1;
+            *uses_by_backend.entry(chosen.name.clone()).or_insert(0_u32) += 1;
         }
     }
-    let most = uses.values().max().unwrap();
-    let least = uses.values().min().unwrap();
-    assert!(*most <= 40 && *least >= 6, "from {least} to {most} daemons a back end, mean 20");
+    let most = uses_by_backend.values().max().unwrap();
+    let least = uses_by_backend.values().min().unwrap();
+    assert!(*most <= 40 && *least >= 6, "from {least} to {most} daemons per backend, mean 20");
     let mixed = [backend(1, "south"), backend(2, "north")];
-    let own = choose_subset("daemon", "north", 1, mixed.iter());
-    assert_eq!(own[0].zone, "north");
+    let chosen = choose_subset("daemon", "north", 1, mixed.iter());
+    assert_eq!(chosen[0].zone, "north");
 }
