--- a/crates/heronbend/src/register/change.rs
+++ b/crates/heronbend/src/register/change.rs
@@ -1,26 +1,26 @@
-//! What a register's value must offer.
+//! Changes of register values.
 
 use std::fmt::Debug;
 
-/// The value a change leaves behind, and what the change's author is told.
+/// Result of applying a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Applied<V, R> {
-    /// The new value; equal to the old one when the change is refused.
+    /// The new value; equal to the old one if the change was rejected.
     pub value: V,
-    /// The answer to the author.
+    /// Response to the caller.
     pub response: R,
 }
 
-/// A value that registers can hold.
+/// A value that can be stored in a register.
 ///
-/// `apply` must be deterministic, and idempotent for one and the same change: a proposer whose round
-/// was interrupted tries again, and may find that its own change has already been made.
+/// [`apply`](Self::apply) must be deterministic and idempotent: a preempted proposer retries its
+/// change, which may already have been applied.
 pub trait RegisterValue: Clone + Debug + PartialEq {
-    /// A change of the value, with the identity of its author.
+    /// A change of the value. It identifies its author, so that a retry is recognized.
     type Change: Clone + Debug;
-    /// What the author learns.
+    /// Response to a change.
     type Response: Clone + Debug;
 
-    /// Applies a change to the current value; `None` when the register was never written.
+    /// Applies a change to the current value, which is `None` if the register was never written.
     fn apply(current: Option<&Self>, change: &Self::Change) -> Applied<Self, Self::Response>;
 }
--- a/crates/heronbend/src/register/messages.rs
+++ b/crates/heronbend/src/register/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between proposers and replicas.
+//! Messages exchanged by proposers and replicas.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 #[musli(transparent)]
 pub struct Key(pub String);
 
-/// Orders rounds; the proposer makes it unique.
+/// Ballot number: totally ordered and unique to one proposal.
 #[derive(
     Debug,
     Clone,
@@ -32,20 +32,20 @@
     Decode,
 )]
 pub struct Ballot {
-    /// Number of the round.
+    /// Round number; compared first.
     pub round: u64,
-    /// Unique number of the proposer: no two proposals in the system share it.
+    /// Tie breaker that no two proposals in the system share.
     pub proposer: u64,
 }
 
-/// What a replica keeps of one register.
+/// Acceptor state of one register.
 ///
-/// Invariant: `accepted` is never of a higher ballot than `promised`.
+/// Invariant: the ballot of `accepted` is at most `promised`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Slot<V> {
-    /// No ballot below this one is accepted.
+    /// Highest promised ballot; lower ballots are rejected.
     pub promised: Ballot,
-    /// The latest accepted ballot and its value.
+    /// Highest accepted ballot and its value.
     pub accepted: Option<(Ballot, V)>,
 }
 
@@ -55,21 +55,21 @@
     }
 }
 
-/// A request to a replica of a shard.
+/// Request to a replica of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ReplicaRequest<V> {
-    /// Asks for a promise, and for the value accepted so far.
+    /// Phase 1: requests a promise and the last accepted value.
     Prepare {
-        /// Epoch the proposer believes in.
+        /// Epoch of the replica set that the proposer uses.
         epoch: u64,
         /// The register.
         key: Key,
         /// The round.
         ballot: Ballot,
     },
-    /// Asks to accept a value.
+    /// Phase 2: requests acceptance of a value.
     Accept {
-        /// Epoch the proposer believes in.
+        /// Epoch of the replica set that the proposer uses.
         epoch: u64,
         /// The register.
         key: Key,
@@ -78,50 +78,50 @@
         /// The value.
         value: V,
     },
-    /// Ends an epoch at this replica, and asks for its state.
+    /// Ends an epoch at the replica and requests its state.
     Seal {
         /// The epoch to end.
         epoch: u64,
     },
-    /// Hands over the state with which a later epoch may start.
+    /// Stages the initial state of a later epoch.
     Stage {
-        /// The epoch that may start.
+        /// The later epoch.
         epoch: u64,
-        /// Identifier of the transition, which the shard map will name if it wins.
+        /// Identifier of the transition; the shard map names it if the transition is committed.
         transition: u64,
         /// State of all registers of the shard.
         slots: BTreeMap<Key, Slot<V>>,
     },
-    /// Tells the replica set in force, as the object API holds it.
+    /// Announces the current replica set, as stored in the object API.
     Configure {
         /// The replica set.
         config: ShardConfig,
     },
 }
 
-/// Why a replica refuses.
+/// Reason why a replica rejects a request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Rejection {
-    /// A higher ballot was promised.
+    /// The replica has promised a higher or equal ballot.
     Ballot {
         /// The promised ballot.
         promised: Ballot,
     },
-    /// The replica is not active in that epoch.
+    /// The replica is not active in the epoch of the request.
     Epoch {
-        /// The latest epoch it was active in; 0 for none.
+        /// Latest epoch that the replica knows; 0 if none.
         known: u64,
     },
 }
 
-/// A replica's answer.
+/// Reply of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ReplicaReply<V> {
     /// The ballot is promised.
     Promised {
         /// The ballot.
         ballot: Ballot,
-        /// The value accepted so far.
+        /// Highest accepted ballot and its value, if any.
         accepted: Option<(Ballot, V)>,
     },
     /// The value is accepted.
@@ -129,7 +129,7 @@
         /// The ballot.
         ballot: Ballot,
     },
-    /// The epoch is ended here.
+    /// The epoch has ended at the replica.
     Sealed {
         /// The epoch.
         epoch: u64,
@@ -141,18 +141,18 @@
         /// Identifier of the transition.
         transition: u64,
     },
-    /// The replica set is taken note of.
+    /// The replica set was applied.
     Configured,
-    /// The request is refused.
+    /// The request was rejected.
     Rejected {
-        /// Ballot of the refused request, where it had one.
+        /// Ballot of the rejected request, if it has one.
         ballot: Option<Ballot>,
-        /// Why.
+        /// Reason for the rejection.
         reason: Rejection,
     },
 }
 
-/// A request together with the shard it is for.
+/// A replica request and the shard that it addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ShardRequest<V> {
     /// The shard.
--- a/crates/heronbend/src/register/mod.rs
+++ b/crates/heronbend/src/register/mod.rs
@@ -1,21 +1,22 @@
-//! Replicated registers on shard replica sets: the core protocol.
+//! Replicated registers: consensus on small values by the replica sets of shards.
 //!
-//! A register holds one small value and is changed by a function that a proposer applies to the
-//! latest value: single-decree Paxos with change functions (Rystsov, "CASPaxos: Replicated State
-//! Machines without logs", 2018). There is no leader and no log, so a paused process that wakes
-//! can do no harm: its ballots are refused.
+//! A register holds one small value. A proposer changes it by applying a function to the latest
+//! value, which is single-decree Paxos with change functions (Rystsov, "CASPaxos: Replicated State
+//! Machines without logs", 2018). There is no leader and no log. A process that resumes after a
+//! pause cannot overwrite newer values, because its ballots are rejected.
 //!
-//! Keys map to shards. A shard's replica set has an epoch, kept in the platform's object API and
-//! changed there by compare-and-swap (Lamport, Malkhi, Zhou, "Vertical Paxos and primary-backup
-//! replication", 2009). Replicas keep nothing on disk, so a restarted daemon is another
-//! [`NodeId`](crate::identity::NodeId) and no member: it joins only by an epoch change, which seals
-//! the old set at a majority, copies the state and then activates the new set.
+//! Keys map to shards. The replica set of a shard has an epoch, which is stored in the platform's
+//! object API and changed by compare-and-swap (Lamport, Malkhi, Zhou, "Vertical Paxos and
+//! primary-backup replication", 2009). Replicas store nothing on disk, so a restarted daemon has a
+//! new [`NodeId`](crate::identity::NodeId) and is no longer a member. It joins again by an epoch
+//! change, which seals a majority of the old set, copies the state and activates the new set.
 //!
-//! - [`change`]: what a register's value must offer.
-//! - [`replica`]: a member of a shard's replica set.
+//! - [`change`]: the trait of register values.
+//! - [`messages`]: requests and replies of replicas.
+//! - [`replica`]: acceptor state of one shard.
 //! - [`proposal`]: one change of one register.
 //! - [`transition`]: one epoch change of one shard.
-//! - [`shard_map`]: the object that names the replica sets.
+//! - [`shard_map`]: the replica sets of all shards.
 
 pub mod change;
 pub mod messages;
--- a/crates/heronbend/src/register/proposal.rs
+++ b/crates/heronbend/src/register/proposal.rs
@@ -1,4 +1,4 @@
-//! One change of one register, without I/O.
+//! Proposer of a single register change, free of I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,47 +7,48 @@
 use super::shard_map::ShardConfig;
 use crate::identity::NodeId;
 
-/// What a reply leads to.
+/// Next step of a proposal.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Progress<V, R> {
     /// More replies are needed.
     Waiting,
-    /// This request is to be sent to every member.
+    /// The request must be sent to every member.
     Broadcast(ReplicaRequest<V>),
     /// A majority has accepted the change.
     Done(R),
-    /// A higher ballot or another epoch is in the way: start anew above this round.
+    /// A majority is no longer reachable, because of a higher ballot or another epoch. Retry with a
+    /// higher round.
     ///
-    /// The change may have been made, or be made yet, if a value had been sent out.
+    /// The change may still take effect if [`Proposal::may_take_effect`] was true.
     Preempted {
-        /// Highest round that was seen.
+        /// Highest round seen; the next one must be above it.
         above: u64,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Stage<V, R> {
+enum Phase<V, R> {
     Preparing { promises: BTreeMap<NodeId, Option<(Ballot, V)>> },
     Accepting { accepted: BTreeSet<NodeId>, response: R },
-    Ended,
+    Finished,
 }
 
-/// A proposal: two rounds of messages to the members of a replica set.
+/// A proposal: a prepare and an accept round with the members of a replica set.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposal<V: RegisterValue> {
     key: Key,
     change: V::Change,
     config: ShardConfig,
     ballot: Ballot,
-    stage: Stage<V, V::Response>,
+    phase: Phase<V, V::Response>,
     rejections: BTreeSet<NodeId>,
-    highest_seen: u64,
+    highest_round: u64,
 }
 
 impl<V: RegisterValue> Proposal<V> {
-    /// Starts a proposal; the request is to be sent to every member of `config`.
+    /// Starts a proposal. The returned request must be sent to every member of `config`.
     ///
-    /// `ballot` must never have been used before, by anybody.
+    /// No proposal in the system may have used `ballot` before.
     pub fn start(
         key: Key,
         change: V::Change,
@@ -60,29 +61,30 @@
             change,
             config,
             ballot,
-            stage: Stage::Preparing { promises: BTreeMap::new() },
+            phase: Phase::Preparing { promises: BTreeMap::new() },
             rejections: BTreeSet::new(),
-            highest_seen: ballot.round,
+            highest_round: ballot.round,
         };
         (proposal, request)
     }
 
-    /// The epoch that the proposal is made in.
+    /// Returns the epoch of the replica set.
     pub fn epoch(&self) -> u64 {
         self.config.epoch
     }
 
-    /// The members to send to.
+    /// Returns the members of the replica set.
     pub fn members(&self) -> &BTreeSet<NodeId> {
         &self.config.members
     }
 
-    /// Whether a value was sent out, so that the change may take effect even if this proposal ends.
+    /// Returns whether accept requests were issued, so that the change may take effect even if this
+    /// proposal is dropped.
     pub fn may_take_effect(&self) -> bool {
-        matches!(self.stage, Stage::Accepting { .. })
+        matches!(self.phase, Phase::Accepting { .. })
     }
 
-    /// Takes in a member's reply. Replies to other ballots are ignored.
+    /// Handles the reply of a member. Replies of non-members or to other ballots are ignored.
     pub fn on_reply(&mut self, from: &NodeId, reply: ReplicaReply<V>) -> Progress<V, V::Response> {
         if !self.config.members.contains(from) {
             return Progress::Waiting;
@@ -104,7 +106,7 @@
         from: &NodeId,
         value: Option<(Ballot, V)>,
     ) -> Progress<V, V::Response> {
-        let Stage::Preparing { promises } = &mut self.stage else {
+        let Phase::Preparing { promises } = &mut self.phase else {
             return Progress::Waiting;
         };
         promises.insert(from.clone(), value);
@@ -114,7 +116,7 @@
         let latest =
             promises.values().flatten().max_by_key(|(ballot, _)| *ballot).map(|(_, value)| value);
         let applied = V::apply(latest, &self.change);
-        self.stage = Stage::Accepting { accepted: BTreeSet::new(), response: applied.response };
+        self.phase = Phase::Accepting { accepted: BTreeSet::new(), response: applied.response };
         Progress::Broadcast(ReplicaRequest::Accept {
             epoch: self.config.epoch,
             key: self.key.clone(),
@@ -124,7 +126,7 @@
     }
 
     fn on_accepted(&mut self, from: &NodeId) -> Progress<V, V::Response> {
-        let Stage::Accepting { accepted, response } = &mut self.stage else {
+        let Phase::Accepting { accepted, response } = &mut self.phase else {
             return Progress::Waiting;
         };
         accepted.insert(from.clone());
@@ -132,20 +134,20 @@
             return Progress::Waiting;
         }
         let response = response.clone();
-        self.stage = Stage::Ended;
+        self.phase = Phase::Finished;
         Progress::Done(response)
     }
 
     fn on_rejected(&mut self, from: &NodeId, reason: &Rejection) -> Progress<V, V::Response> {
         if let Rejection::Ballot { promised } = reason {
-            self.highest_seen = self.highest_seen.max(promised.round);
+            self.highest_round = self.highest_round.max(promised.round);
         }
         self.rejections.insert(from.clone());
-        let left = self.config.members.len() - self.rejections.len();
-        if matches!(self.stage, Stage::Ended) || left >= self.config.majority() {
+        let remaining = self.config.members.len() - self.rejections.len();
+        if matches!(self.phase, Phase::Finished) || remaining >= self.config.majority() {
             return Progress::Waiting;
         }
-        self.stage = Stage::Ended;
-        Progress::Preempted { above: self.highest_seen }
+        self.phase = Phase::Finished;
+        Progress::Preempted { above: self.highest_round }
     }
 }
--- a/crates/heronbend/src/register/replica.rs
+++ b/crates/heronbend/src/register/replica.rs
@@ -1,4 +1,4 @@
-//! A member of a shard's replica set, without I/O.
+//! Replica (acceptor) of a shard, free of I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,92 +6,100 @@
 use super::shard_map::ShardConfig;
 use crate::identity::NodeId;
 
-/// What this replica may do for its shard.
+/// Whether the replica takes part in the replica set of its shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Standing {
-    /// It was never a member.
-    Outside,
-    /// It votes in this epoch.
+enum Membership {
+    /// The replica has never been a member.
+    NotMember,
+    /// The replica votes in this epoch.
     Active { epoch: u64 },
-    /// It voted in this epoch and does so no more.
+    /// The replica does not vote in this epoch or any earlier one.
     Sealed { epoch: u64 },
 }
 
-impl Standing {
+impl Membership {
     fn epoch(&self) -> u64 {
         match self {
-            Self::Outside => 0,
+            Self::NotMember => 0,
             Self::Active { epoch } | Self::Sealed { epoch } => *epoch,
         }
     }
 }
 
-/// State handed over for an epoch that has not started here.
+/// Initial state of an epoch that has not started at this replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Staged<V> {
+struct StagedState<V> {
     epoch: u64,
     slots: BTreeMap<Key, Slot<V>>,
 }
 
 /// One replica of one shard.
 ///
-/// Invariants: it votes only in an epoch whose replica set names its own incarnation; it starts an
-/// epoch after the first only with the state of the very transition that the shard map names; once
-/// an epoch is sealed here it answers nothing more in it.
+/// Invariants:
+/// - It votes only in epochs whose replica set contains its own incarnation.
+/// - It starts any epoch but the first only with the state staged by the transition that the shard
+///   map names.
+/// - It does not vote in an epoch after sealing it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Replica<V> {
     node: NodeId,
-    standing: Standing,
+    membership: Membership,
     slots: BTreeMap<Key, Slot<V>>,
-    staged: BTreeMap<u64, Staged<V>>,
+    staged: BTreeMap<u64, StagedState<V>>,
 }
 
 impl<V: Clone> Replica<V> {
-    /// A replica that has just started and knows nothing.
+    /// Creates an empty replica that is not a member.
     pub fn new(node: NodeId) -> Self {
-        Self { node, standing: Standing::Outside, slots: BTreeMap::new(), staged: BTreeMap::new() }
+        Self {
+            node,
+            membership: Membership::NotMember,
+            slots: BTreeMap::new(),
+            staged: BTreeMap::new(),
+        }
     }
 
-    /// The run of the daemon that holds this replica.
+    /// Returns the daemon, with its incarnation, that hosts the replica.
     pub fn node(&self) -> &NodeId {
         &self.node
     }
 
-    /// The epoch in which this replica votes.
+    /// Returns the epoch in which the replica votes.
     pub fn active_epoch(&self) -> Option<u64> {
-        match self.standing {
-            Standing::Active { epoch } => Some(epoch),
-            Standing::Outside | Standing::Sealed { .. } => None,
+        match self.membership {
+            Membership::Active { epoch } => Some(epoch),
+            Membership::NotMember | Membership::Sealed { .. } => None,
         }
     }
 
-    /// Number of registers kept.
+    /// Returns the number of registers.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no register is kept.
+    /// Returns whether the replica has no registers.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The accepted value of a register, for inspection only: it may not be chosen.
+    /// Returns the last accepted ballot and value of a register, for inspection only: the value is not
+    /// necessarily chosen.
     pub fn accepted(&self, key: &Key) -> Option<&(Ballot, V)> {
         self.slots.get(key)?.accepted.as_ref()
     }
 
-    /// Drops registers whose accepted value is past use.
+    /// Removes registers whose accepted value has expired.
     ///
-    /// Only for values that no author will ask for again and whose messages have all died out: a
-    /// register dropped here counts as never written.
-    pub fn remove_expired(&mut self, is_past_use: impl Fn(&Key, &V) -> bool) {
+    /// A removed register counts as never written, so a value may only expire once no proposer uses
+    /// it and none of its messages is still in transit.
+    pub fn remove_expired(&mut self, is_expired: impl Fn(&Key, &V) -> bool) {
         self.slots.retain(|key, slot| match &slot.accepted {
-            Some((_, value)) => !is_past_use(key, value),
+            Some((_, value)) => !is_expired(key, value),
             None => true,
         });
     }
 
-    /// Handles one request.
+    /// Handles a request.
     pub fn handle(&mut self, request: ReplicaRequest<V>) -> ReplicaReply<V> {
         match request {
             ReplicaRequest::Prepare { epoch, key, ballot } => self.prepare(epoch, key, ballot),
@@ -132,10 +140,10 @@
     }
 
     fn seal(&mut self, epoch: u64) -> ReplicaReply<V> {
-        if self.standing == Standing::Outside || self.standing.epoch() != epoch {
+        if self.membership == Membership::NotMember || self.membership.epoch() != epoch {
             return self.reject_epoch(None);
         }
-        self.standing = Standing::Sealed { epoch };
+        self.membership = Membership::Sealed { epoch };
         ReplicaReply::Sealed { epoch, slots: self.slots.clone() }
     }
 
@@ -145,15 +153,15 @@
         transition: u64,
         slots: BTreeMap<Key, Slot<V>>,
     ) -> ReplicaReply<V> {
-        if epoch <= self.standing.epoch() {
+        if epoch <= self.membership.epoch() {
             return self.reject_epoch(None);
         }
-        self.staged.insert(transition, Staged { epoch, slots });
+        self.staged.insert(transition, StagedState { epoch, slots });
         ReplicaReply::Staged { transition }
     }
 
     fn configure(&mut self, config: &ShardConfig) -> ReplicaReply<V> {
-        if config.epoch <= self.standing.epoch() {
+        if config.epoch <= self.membership.epoch() {
             return ReplicaReply::Configured;
         }
         let is_member = config.members.contains(&self.node);
@@ -161,23 +169,26 @@
         match self.staged.remove(&config.transition) {
             Some(staged) if is_member && staged.epoch == config.epoch => {
                 self.slots = staged.slots;
-                self.standing = Standing::Active { epoch: config.epoch };
+                self.membership = Membership::Active { epoch: config.epoch };
             }
-            _ if is_member && is_first => self.standing = Standing::Active { epoch: 1 },
+            _ if is_member && is_first => self.membership = Membership::Active { epoch: 1 },
             _ => self.leave(config.epoch),
         }
         self.staged.retain(|_, staged| staged.epoch > config.epoch);
         ReplicaReply::Configured
     }
 
-    /// The shard has moved on without this replica.
+    /// Drops the state: a later epoch started without this replica.
     fn leave(&mut self, epoch: u64) {
         self.slots.clear();
-        self.standing = Standing::Sealed { epoch };
+        self.membership = Membership::Sealed { epoch };
     }
 
     fn reject_epoch(&self, ballot: Option<Ballot>) -> ReplicaReply<V> {
-        ReplicaReply::Rejected { ballot, reason: Rejection::Epoch { known: self.standing.epoch() } }
+        ReplicaReply::Rejected {
+            ballot,
+            reason: Rejection::Epoch { known: self.membership.epoch() },
+        }
     }
 }
 
--- a/crates/heronbend/src/register/shard_map.rs
+++ b/crates/heronbend/src/register/shard_map.rs
@@ -1,4 +1,4 @@
-//! The object that names each shard's replica set.
+//! The shard map, which holds the replica set of each shard.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,10 @@
 use super::messages::Key;
 use crate::identity::NodeId;
 
-/// Members of a replica set, where enough daemons are alive.
+/// Number of members of a replica set; fewer if too few daemons are alive.
 pub const REPLICATION_FACTOR: usize = 3;
 
-/// Number of a shard.
+/// Index of a shard in the [`ShardMap`].
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
@@ -25,30 +25,31 @@
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 pub struct ShardConfig {
-    /// Counts replica sets of the shard; 1 is the first.
+    /// Epoch number, incremented with each replica set; the first is 1.
     pub epoch: u64,
-    /// Identifier of the transition whose staged state this epoch starts with; 0 for the first.
+    /// Identifier of the transition whose staged state is the initial state; 0 in the first epoch.
     pub transition: u64,
-    /// The members. Each names its incarnation, so that a restarted daemon is no member.
+    /// Members with their incarnations, so a restarted daemon is not a member.
     pub members: BTreeSet<NodeId>,
 }
 
 impl ShardConfig {
-    /// How many members decide.
+    /// Returns the quorum size.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 }
 
-/// All shards, as the object API holds them.
+/// Replica sets of all shards, as stored in the object API.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct ShardMap {
-    /// Replica sets by shard number.
+    /// Replica sets, indexed by [`ShardId`].
     pub shards: Vec<ShardConfig>,
 }
 
 impl ShardMap {
-    /// The first map: every shard on the given candidates, spread by rendezvous hashing over zones.
+    /// Creates the initial map of `shards` shards, whose members are chosen by [`choose_members`].
+    /// Each candidate is a node with its zone.
     pub fn initial(shards: u32, candidates: &[(NodeId, String)]) -> Self {
         let shards = (0..shards)
             .map(|shard| ShardConfig {
@@ -60,19 +61,19 @@
         Self { shards }
     }
 
-    /// The shard of a key; `None` while the map is empty.
+    /// Returns the shard of a key, or `None` if the map is empty.
     pub fn shard_of(&self, key: &Key) -> Option<ShardId> {
         let count = u64::try_from(self.shards.len()).ok().filter(|count| *count > 0)?;
         let shard = rapidhash_v3(key.0.as_bytes()) % count;
         u32::try_from(shard).ok().map(ShardId)
     }
 
-    /// The replica set of a shard.
+    /// Returns the replica set of a shard.
     pub fn config(&self, shard: ShardId) -> Option<&ShardConfig> {
         self.shards.get(shard.0 as usize)
     }
 
-    /// Takes over every replica set that is newer in `other`; whether any was.
+    /// Adopts each replica set of `other` with a later epoch, and returns whether there was one.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (index, config) in other.shards.iter().enumerate() {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Chooses members of a shard: best rendezvous score first, a new zone before a zone used already.
+/// Chooses the members of a shard by descending rendezvous score, at first one from each zone.
 pub fn choose_members(shard: ShardId, candidates: &[(NodeId, String)]) -> BTreeSet<NodeId> {
     let key = shard.0.to_le_bytes();
     let mut scored: Vec<_> = candidates
--- a/crates/heronbend/src/register/tests.rs
+++ b/crates/heronbend/src/register/tests.rs
@@ -5,11 +5,11 @@
 use super::*;
 use crate::identity::NodeId;
 
-/// A counter that remembers who has counted, so that a change is idempotent.
+/// The set of authors that changed the register; the response is its size.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Authors(BTreeSet<u64>);
+struct AuthorSet(BTreeSet<u64>);
 
-impl RegisterValue for Authors {
+impl RegisterValue for AuthorSet {
     type Change = u64;
     type Response = usize;
 
@@ -22,7 +22,7 @@
 }
 
 struct Cluster {
-    replicas: BTreeMap<NodeId, Replica<Authors>>,
+    replicas: BTreeMap<NodeId, Replica<AuthorSet>>,
     config: ShardConfig,
 }
 
@@ -47,14 +47,19 @@
         Self { replicas, config }
     }
 
-    /// Runs a proposal against the members in `reached`.
-    fn propose(&mut self, author: u64, round: u64, reached: &[NodeId]) -> Progress<Authors, usize> {
+    /// Runs a proposal with the members in `reachable`.
+    fn propose(
+        &mut self,
+        author: u64,
+        round: u64,
+        reachable: &[NodeId],
+    ) -> Progress<AuthorSet, usize> {
         let ballot = Ballot { round, proposer: author };
         let (mut proposal, mut request) =
-            Proposal::<Authors>::start(key(), author, self.config.clone(), ballot);
+            Proposal::<AuthorSet>::start(key(), author, self.config.clone(), ballot);
         loop {
             let mut next = Progress::Waiting;
-            for member in reached {
+            for member in reachable {
                 let reply = self.replicas.get_mut(member).unwrap().handle(request.clone());
                 match proposal.on_reply(member, reply) {
                     Progress::Waiting => {}
@@ -73,13 +78,13 @@
         &mut self,
         members: &[NodeId],
         identifier: u64,
-        reached: &[NodeId],
+        reachable: &[NodeId],
     ) -> Option<ShardConfig> {
         let members = members.iter().cloned().collect();
         let (mut transition, seal) =
-            Transition::<Authors>::start(self.config.clone(), members, identifier);
+            Transition::<AuthorSet>::start(self.config.clone(), members, identifier);
         let mut stage = None;
-        for member in reached {
+        for member in reachable {
             let reply = self.replicas.get_mut(member).unwrap().handle(seal.clone());
             if let TransitionStep::Stage(request) = transition.on_reply(member, reply) {
                 stage = Some(request);
@@ -105,7 +110,7 @@
 }
 
 #[test]
-fn a_change_survives_in_any_majority() {
+fn change_is_visible_to_every_majority() {
     let mut cluster = Cluster::new();
     assert_eq!(cluster.propose(1, 1, &[node(0), node(1)]), Progress::Done(1));
     assert_eq!(cluster.propose(2, 2, &[node(1), node(2)]), Progress::Done(2));
@@ -113,13 +118,13 @@
 }
 
 #[test]
-fn a_minority_decides_nothing() {
+fn minority_cannot_decide() {
     let mut cluster = Cluster::new();
     assert_eq!(cluster.propose(1, 1, &[node(0)]), Progress::Waiting);
 }
 
 #[test]
-fn a_lower_ballot_is_interrupted_and_told_the_higher_round() {
+fn lower_ballot_is_preempted_and_learns_the_higher_round() {
     let mut cluster = Cluster::new();
     let all = [node(0), node(1), node(2)];
     assert_eq!(cluster.propose(1, 7, &all), Progress::Done(1));
@@ -127,7 +132,7 @@
 }
 
 #[test]
-fn an_epoch_change_carries_the_state_over_and_ends_the_old_epoch() {
+fn epoch_change_copies_state_and_ends_the_old_epoch() {
     let mut cluster = Cluster::new();
     let old_members = [node(0), node(1), node(2)];
     assert_eq!(cluster.propose(1, 1, &old_members), Progress::Done(1));
@@ -139,7 +144,7 @@
 }
 
 #[test]
-fn state_of_a_transition_that_lost_is_not_activated() {
+fn staged_state_of_a_losing_transition_is_not_activated() {
     let mut cluster = Cluster::new();
     let members = [node(2), node(3), node(4)];
     let loser = cluster.transition(&members, 7, &[node(0), node(1)]).unwrap();
@@ -149,17 +154,17 @@
 }
 
 #[test]
-fn a_restarted_replica_is_no_member() {
+fn restarted_replica_is_not_a_member() {
     let mut cluster = Cluster::new();
     let restarted = NodeId::new("node-0", 2);
-    let mut replica: Replica<Authors> = Replica::new(restarted);
+    let mut replica: Replica<AuthorSet> = Replica::new(restarted);
     replica.handle(ReplicaRequest::Configure { config: cluster.config.clone() });
     assert_eq!(replica.active_epoch(), None);
     assert_eq!(cluster.propose(1, 1, &[node(1), node(2)]), Progress::Done(1));
 }
 
 #[test]
-fn a_set_that_lost_its_majority_goes_on_with_what_survives() {
+fn forced_recovery_uses_the_state_of_survivors() {
     let mut cluster = Cluster::new();
     let all = [node(0), node(1), node(2)];
     assert_eq!(cluster.propose(1, 1, &all), Progress::Done(1));
@@ -167,19 +172,19 @@
     let survivors = BTreeSet::from([node(2)]);
     let old = cluster.config.clone();
     let (mut transition, seal) =
-        Transition::<Authors>::start_forced_recovery(old, survivors, members, 9);
+        Transition::<AuthorSet>::start_forced_recovery(old, survivors, members, 9);
     let reply = cluster.replicas.get_mut(&node(2)).unwrap().handle(seal);
     let step = transition.on_reply(&node(2), reply);
     assert_matches!(step, TransitionStep::Stage(ReplicaRequest::Stage { slots, .. }) if slots.len() == 1);
 }
 
 #[test]
-fn a_set_that_lost_everything_starts_anew() {
+fn forced_recovery_without_survivors_starts_empty() {
     let mut cluster = Cluster::new();
     let members: BTreeSet<_> = [node(2), node(3), node(4)].into();
     let old = cluster.config.clone();
     let (mut transition, stage) =
-        Transition::<Authors>::start_forced_recovery(old, BTreeSet::new(), members.clone(), 9);
+        Transition::<AuthorSet>::start_forced_recovery(old, BTreeSet::new(), members.clone(), 9);
     let mut committed = None;
     for member in &members {
         let reply = cluster.replicas.get_mut(member).unwrap().handle(stage.clone());
@@ -187,12 +192,12 @@
             committed = Some(config);
         }
     }
-    cluster.configure(committed.expect("all have staged"));
+    cluster.configure(committed.expect("every new member has staged the state"));
     assert_eq!(cluster.propose(1, 1, &[node(3), node(4)]), Progress::Done(1));
 }
 
 #[test]
-fn members_are_spread_over_zones() {
+fn chosen_members_are_in_distinct_zones() {
     let candidates: Vec<_> =
         (0..9).map(|index| (node(index), format!("zone-{}", index % 3))).collect();
     for shard in 0..32 {
--- a/crates/heronbend/src/register/transition.rs
+++ b/crates/heronbend/src/register/transition.rs
@@ -1,8 +1,9 @@
-//! One epoch change of one shard, without I/O.
+//! Epoch change of a single shard, free of I/O.
 //!
-//! Seal the old set at a majority, merge what it knew, stage that at every new member, then let the
-//! object API decide by compare-and-swap. Several daemons may try at once, or one may die at any
-//! point: the shard map names the one transition whose staged state counts.
+//! A transition seals a majority of the old replica set, merges the returned states, stages the
+//! result at every new member and commits the new set to the shard map by compare-and-swap.
+//! Concurrent or abandoned transitions are harmless: replicas start an epoch only with the state of
+//! the transition that the shard map names.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,38 +11,38 @@
 use super::shard_map::ShardConfig;
 use crate::identity::NodeId;
 
-/// What a reply leads to.
+/// Next step of a transition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransitionStep<V> {
     /// More replies are needed.
     Waiting,
-    /// This request is to be sent to every member of the new set.
+    /// The request must be sent to every member of the new set.
     Stage(ReplicaRequest<V>),
-    /// This replica set is to be written into the shard map, if that still holds the old epoch.
+    /// The replica set must be written to the shard map, unless the old epoch has been replaced.
     Commit(ShardConfig),
-    /// The old epoch is over already: read the shard map again.
+    /// The old epoch has already been replaced; the shard map must be read again.
     Superseded,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Stage<V> {
+enum Phase<V> {
     Sealing { states: BTreeMap<NodeId, BTreeMap<Key, Slot<V>>> },
     Staging { staged: BTreeSet<NodeId> },
-    Ended,
+    Finished,
 }
 
-/// An attempt to move a shard from one replica set to the next.
+/// An attempt to move a shard to its next replica set.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Transition<V> {
     old: ShardConfig,
     new: ShardConfig,
-    stage: Stage<V>,
+    phase: Phase<V>,
 }
 
 impl<V: Clone> Transition<V> {
-    /// Starts a transition; the request is to be sent to every member of `old`.
+    /// Starts a transition. The returned request must be sent to every member of `old`.
     ///
-    /// `identifier` must never have been used before, by anybody.
+    /// No transition in the system may have used `identifier` before.
     pub fn start(
         old: ShardConfig,
         members: BTreeSet<NodeId>,
@@ -49,26 +50,26 @@
     ) -> (Self, ReplicaRequest<V>) {
         let request = ReplicaRequest::Seal { epoch: old.epoch };
         let new = ShardConfig { epoch: old.epoch + 1, transition: identifier, members };
-        let transition = Self { old, new, stage: Stage::Sealing { states: BTreeMap::new() } };
+        let transition = Self { old, new, phase: Phase::Sealing { states: BTreeMap::new() } };
         (transition, request)
     }
 
-    /// Starts a transition that is content with what `survivors` of the old set still hold, which may
-    /// be nothing at all: the way out when a majority is lost for good, for an operator to choose.
+    /// Starts a transition from the state of `survivors` only, after the permanent loss of a majority
+    /// of the old set. Without survivors, the new set starts empty.
     ///
-    /// Values that were chosen may be lost by it. The request is to be sent to the survivors, or to
-    /// every new member when there are none.
+    /// Chosen values may be lost, so an operator has to request this. The returned request must be
+    /// sent to the survivors, or to every new member if there are none.
     pub fn start_forced_recovery(
         old: ShardConfig,
         survivors: BTreeSet<NodeId>,
         members: BTreeSet<NodeId>,
         identifier: u64,
     ) -> (Self, ReplicaRequest<V>) {
-        let are_none = survivors.is_empty();
+        let no_survivors = survivors.is_empty();
         let surviving = ShardConfig { members: survivors, ..old };
         let (mut transition, mut request) = Self::start(surviving, members, identifier);
-        if are_none {
-            transition.stage = Stage::Staging { staged: BTreeSet::new() };
+        if no_survivors {
+            transition.phase = Phase::Staging { staged: BTreeSet::new() };
             request = ReplicaRequest::Stage {
                 epoch: transition.new.epoch,
                 transition: identifier,
@@ -78,12 +79,12 @@
         (transition, request)
     }
 
-    /// The replica set that this transition leads to.
+    /// Returns the new replica set.
     pub fn target(&self) -> &ShardConfig {
         &self.new
     }
 
-    /// Takes in a reply of an old or new member.
+    /// Handles the reply of an old or new member.
     pub fn on_reply(&mut self, from: &NodeId, reply: ReplicaReply<V>) -> TransitionStep<V> {
         match reply {
             ReplicaReply::Sealed { epoch, slots } if epoch == self.old.epoch => {
@@ -98,7 +99,7 @@
     }
 
     fn on_sealed(&mut self, from: &NodeId, slots: BTreeMap<Key, Slot<V>>) -> TransitionStep<V> {
-        let Stage::Sealing { states } = &mut self.stage else {
+        let Phase::Sealing { states } = &mut self.phase else {
             return TransitionStep::Waiting;
         };
         if !self.old.members.contains(from) {
@@ -109,7 +110,7 @@
             return TransitionStep::Waiting;
         }
         let slots = merge(std::mem::take(states));
-        self.stage = Stage::Staging { staged: BTreeSet::new() };
+        self.phase = Phase::Staging { staged: BTreeSet::new() };
         TransitionStep::Stage(ReplicaRequest::Stage {
             epoch: self.new.epoch,
             transition: self.new.transition,
@@ -117,26 +118,26 @@
         })
     }
 
-    /// All new members must hold the state: one that did not could not start the epoch.
+    /// Waits for all new members, because a member without the staged state cannot start the epoch.
     fn on_staged(&mut self, from: &NodeId) -> TransitionStep<V> {
-        let Stage::Staging { staged } = &mut self.stage else {
+        let Phase::Staging { staged } = &mut self.phase else {
             return TransitionStep::Waiting;
         };
         staged.insert(from.clone());
         if !self.new.members.is_subset(staged) {
             return TransitionStep::Waiting;
         }
-        self.stage = Stage::Ended;
+        self.phase = Phase::Finished;
         TransitionStep::Commit(self.new.clone())
     }
 
     fn on_rejected(&mut self, from: &NodeId) -> TransitionStep<V> {
-        let concerns_stage = match self.stage {
-            Stage::Sealing { .. } => self.old.members.contains(from),
-            Stage::Staging { .. } => self.new.members.contains(from),
-            Stage::Ended => false,
+        let concerns_phase = match self.phase {
+            Phase::Sealing { .. } => self.old.members.contains(from),
+            Phase::Staging { .. } => self.new.members.contains(from),
+            Phase::Finished => false,
         };
-        if concerns_stage {
+        if concerns_phase {
             TransitionStep::Superseded
         } else {
             TransitionStep::Waiting
@@ -144,10 +145,10 @@
     }
 }
 
-/// For each register the highest promise and the value of the highest accepted ballot.
+/// Merges slots: per register, the highest promise and the accepted value of the highest ballot.
 ///
-/// A value that a majority accepted is known to at least one of any sealed majority, and no higher
-/// ballot can carry a value that was not made from it.
+/// Any sealed majority includes a replica that accepted the chosen value, and each value accepted at
+/// a higher ballot was derived from it.
 fn merge<V>(states: BTreeMap<NodeId, BTreeMap<Key, Slot<V>>>) -> BTreeMap<Key, Slot<V>> {
     let mut merged: BTreeMap<Key, Slot<V>> = BTreeMap::new();
     for (key, slot) in states.into_values().flatten() {
