--- a/crates/heronbend/src/membership/detector.rs
+++ b/crates/heronbend/src/membership/detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector, without I/O.
+//! Failure detector state machine, free of I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
+use super::gossip_queue::GossipQueue;
 use super::messages::{ControlVersions, GossipMessage, GossipUpdate, Liveness, Member, Probe};
-use super::rumours::RumourQueue;
 use crate::identity::{Incarnation, NodeName};
 use crate::lifecycle::StatedPhase;
 use crate::Moment;
 
-/// Periods between two pings of dead members, on average.
-const DEAD_PROBE_PERIODS: u32 = 4;
+/// Mean number of periods between two pings of dead members.
+const DEAD_PING_INTERVAL: u32 = 4;
 
-/// Members that a daemon which has just started is told of by one other; many others tell it too.
-const MAX_INTRODUCED: usize = 32;
-/// Members in one datagram, so that it stays within one packet.
-const INTRODUCED_A_DATAGRAM: usize = 8;
+/// Maximum number of members that a daemon sends to a newcomer, which hears from other daemons too.
+const MAX_MEMBERS_TO_NEWCOMER: usize = 32;
+/// Maximum number of members per datagram, which keeps it within one packet.
+const MEMBERS_PER_DATAGRAM: usize = 8;
 
-/// Time constants of the detector.
+/// Timing and fan-out of the failure detector.
 #[derive(Debug, Clone, Copy)]
 pub struct DetectorConfig {
-    /// Time between two probes.
+    /// Interval between two probes.
     pub probe_period: Duration,
-    /// Time a direct probe may take before helpers are asked.
+    /// Time to wait for a direct acknowledgement before indirect probes are sent.
     pub direct_timeout: Duration,
-    /// Time a suspect has to refute.
+    /// Time after which a suspect that did not refute is declared dead.
     pub suspicion_timeout: Duration,
-    /// Helpers asked to probe in this daemon's place.
+    /// Number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Time after which a dead member is forgotten.
+    /// Time after which a dead member, or one that left, is forgotten.
     pub forget_after: Duration,
-    /// Members of the own region that are told at once of what cannot wait for the next probe.
+    /// Number of members in the local region that receive urgent updates at once.
     pub local_region_fanout: usize,
-    /// Members of other regions that are told at once.
+    /// Number of members in other regions that receive urgent updates at once.
     pub remote_region_fanout: usize,
 }
 
@@ -55,174 +55,175 @@
     }
 }
 
-/// What the driver is to do.
+/// Action for the driver of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
         /// The datagram.
         gossip: Box<GossipMessage>,
     },
-    /// A member's state has changed.
+    /// The state of a member changed.
     Changed(MemberChange),
-    /// Others took this daemon for lost, or for an earlier run, which it now refutes.
+    /// Other daemons considered this one suspect or dead, or knew a later incarnation of it; this was
+    /// refuted.
     Refuted,
-    /// A back end's phase was heard of.
+    /// An update of a backend was received.
     Backend(StatedPhase),
-    /// A peer holds newer control data.
+    /// A peer holds newer control data, which should be fetched.
     Behind {
-        /// The peer.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What it holds.
+        /// Versions that the peer holds.
         head: ControlVersions,
     },
 }
 
-/// A change of what is believed of a member.
+/// A change of the known state of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The member as it is known now.
+    /// The new state.
     pub member: Member,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownMember {
     member: Member,
-    since: Moment,
-    /// Whether it was asked a last time before it is declared dead.
-    asked_again: bool,
+    changed_at: Moment,
+    /// Whether the suspect was pinged once more before it is declared dead.
+    final_ping_sent: bool,
 }
 
 #[derive(Debug, Clone)]
-struct OpenProbe {
+struct PendingProbe {
     sequence: u64,
     target: NodeName,
     sent: Moment,
-    helpers_asked: bool,
+    is_indirect: bool,
 }
 
-/// A ping made on behalf of another daemon.
+/// A ping sent on behalf of another daemon.
 #[derive(Debug, Clone)]
-struct Relay {
-    asker: SocketAddr,
-    asker_sequence: u64,
+struct RelayedPing {
+    requester: SocketAddr,
+    requester_sequence: u64,
     sent: Moment,
 }
 
-/// One daemon's view of all others.
+/// Failure detector of one daemon, with its view of all other members.
 #[derive(Debug)]
 pub struct Detector {
     config: DetectorConfig,
-    me: Member,
+    local: Member,
     head: ControlVersions,
-    members: BTreeMap<NodeName, Known>,
-    order: Vec<NodeName>,
-    probe: Option<OpenProbe>,
-    relays: BTreeMap<u64, Relay>,
+    members: BTreeMap<NodeName, KnownMember>,
+    probe_order: Vec<NodeName>,
+    probe: Option<PendingProbe>,
+    relays: BTreeMap<u64, RelayedPing>,
     next_sequence: u64,
-    next_probe: Moment,
-    rumours: RumourQueue,
+    next_probe_at: Moment,
+    gossip_queue: GossipQueue,
     random: SmallRng,
 }
 
 impl Detector {
-    /// A detector for `me`, which knows nobody yet.
-    pub fn new(config: DetectorConfig, me: Member, seed: u64) -> Self {
-        let mut rumours = RumourQueue::default();
-        rumours.push(GossipUpdate::Member(me.clone()));
+    /// Creates a detector for the daemon `local` without other members; `seed` makes its random choices
+    /// reproducible.
+    pub fn new(config: DetectorConfig, local: Member, seed: u64) -> Self {
+        let mut gossip_queue = GossipQueue::default();
+        gossip_queue.push(GossipUpdate::Member(local.clone()));
         Self {
             config,
-            me,
+            local,
             head: ControlVersions::default(),
             members: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
             relays: BTreeMap::new(),
             next_sequence: 1,
-            next_probe: Moment::ZERO,
-            rumours,
+            next_probe_at: Moment::ZERO,
+            gossip_queue,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// This daemon as it makes itself known.
+    /// Returns the state of this daemon as sent to others.
     pub fn local_member(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
-    /// Everybody else, dead ones included.
+    /// Returns all other members, including those that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// Sets the control data that is made known to peers.
+    /// Sets the control data versions that are sent to peers.
     pub fn set_control_versions(&mut self, head: ControlVersions) {
         self.head = head;
     }
 
-    /// Spreads a back end's phase.
-    pub fn gossip_backend(&mut self, stated: StatedPhase) {
-        self.rumours.push(GossipUpdate::Backend(stated));
+    /// Queues an update of a backend for gossip.
+    pub fn gossip_backend(&mut self, update: StatedPhase) {
+        self.gossip_queue.push(GossipUpdate::Backend(update));
     }
 
-    /// Sends the newest rumours and control data to some members at once.
+    /// Sends queued updates and the control data versions to random members at once.
     ///
-    /// A daemon that learns something for the first time and passes it on in this way makes it known
-    /// to nearly all within a few hops, where probes alone take some periods.
-    ///
-    /// Most are of the own region, so that it spreads there also while the region is cut off.
+    /// If each daemon calls this for updates that are new to it, these reach nearly all daemons within
+    /// a few hops instead of several probe periods. Members of the local region have their own
+    /// fan-out, so that updates spread within a region while it is partitioned from others.
     pub fn announce(&mut self) -> Vec<Effect> {
-        let (mut near, mut far): (Vec<NodeName>, Vec<NodeName>) = self
+        let (mut same_region, mut other_regions): (Vec<NodeName>, Vec<NodeName>) = self
             .probe_targets()
             .into_iter()
-            .partition(|target| self.members[target].member.region == self.me.region);
-        near.shuffle(&mut self.random);
-        far.shuffle(&mut self.random);
-        near.truncate(self.config.local_region_fanout);
-        far.truncate(self.config.remote_region_fanout);
-        near.into_iter().chain(far).map(|target| self.ping(&target)).collect()
+            .partition(|target| self.members[target].member.region == self.local.region);
+        same_region.shuffle(&mut self.random);
+        other_regions.shuffle(&mut self.random);
+        same_region.truncate(self.config.local_region_fanout);
+        other_regions.truncate(self.config.remote_region_fanout);
+        same_region.into_iter().chain(other_regions).map(|target| self.ping(&target)).collect()
     }
 
-    /// Pings an address of which nothing is known yet, so that whoever is there becomes a member.
+    /// Pings an address, such as a seed, to exchange membership with the daemon there.
     pub fn ping_address(&mut self, address: SocketAddr) -> Effect {
         let sequence = self.take_sequence();
         self.send(address, Probe::Ping { sequence })
     }
 
-    /// Takes in a member from another source, such as the platform's list.
+    /// Merges the state of a member from another source, such as the platform's list.
     pub fn merge_member(&mut self, now: Moment, member: Member) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.merge(now, member, &mut effects);
         effects
     }
 
-    /// Announces that this daemon stops.
+    /// Announces the shutdown of this daemon.
     pub fn leave(&mut self) -> Vec<Effect> {
-        self.me.liveness = Liveness::Left;
-        self.rumours.push(GossipUpdate::Member(self.me.clone()));
+        self.local.liveness = Liveness::Left;
+        self.gossip_queue.push(GossipUpdate::Member(self.local.clone()));
         self.announce()
     }
 
-    /// Advances time: probes, suspicions, and forgetting.
+    /// Handles everything that is due at `now`: probes, suspicion timeouts and removal of members.
     pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.ask_helpers(now, &mut effects);
-        if now >= self.next_probe {
-            self.close_probe(now, &mut effects);
-            self.open_probe(now, &mut effects);
-            effects.extend(self.ping_a_dead_member());
-            self.next_probe = now + self.config.probe_period;
+        self.probe_indirectly(now, &mut effects);
+        if now >= self.next_probe_at {
+            self.suspect_unacknowledged(now, &mut effects);
+            self.start_probe(now, &mut effects);
+            effects.extend(self.ping_random_dead_member());
+            self.next_probe_at = now + self.config.probe_period;
         }
-        self.ask_suspects(now, &mut effects);
-        self.declare_dead(now, &mut effects);
-        let expired = self.config.probe_period * 2;
-        self.relays.retain(|_, relay| now < relay.sent + expired);
+        self.send_final_pings(now, &mut effects);
+        self.expire_members(now, &mut effects);
+        let relay_timeout = self.config.probe_period * 2;
+        self.relays.retain(|_, relay| now < relay.sent + relay_timeout);
         effects
     }
 
-    /// Takes in a datagram that came from `source`.
+    /// Handles a datagram received from `source`.
     pub fn receive(
         &mut self,
         now: Moment,
@@ -231,23 +232,23 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         let GossipMessage { from, probe, head, rumours } = gossip;
-        if from.id.name == self.me.id.name {
+        if from.id.name == self.local.id.name {
             return effects;
         }
         let peer = from.address;
-        let is_new = self
+        let is_newcomer = self
             .members
             .get(&from.id.name)
             .is_none_or(|known| known.member.id.incarnation < from.id.incarnation);
         self.merge(now, from.clone(), &mut effects);
-        if is_new {
-            effects.extend(self.introduce(&from));
+        if is_newcomer {
+            effects.extend(self.send_members_to(&from));
         }
-        self.tell_what_is_said_of(&from);
-        for rumour in rumours {
-            match rumour {
+        self.queue_refutable_state(&from);
+        for update in rumours {
+            match update {
                 GossipUpdate::Member(member) => self.merge(now, member, &mut effects),
-                GossipUpdate::Backend(stated) => effects.push(Effect::Backend(stated)),
+                GossipUpdate::Backend(update) => effects.push(Effect::Backend(update)),
             }
         }
         if self.is_behind(head) {
@@ -265,9 +266,9 @@
         effects
     }
 
-    /// Tells a daemon that has just started of the members that are alive: rumours alone would take
-    /// it some periods, in which it would take the others' work for abandoned.
-    fn introduce(&mut self, newcomer: &Member) -> Vec<Effect> {
+    /// Sends live members to a daemon that has just started. Gossip alone would take several periods,
+    /// in which the newcomer would consider work of unknown members abandoned.
+    fn send_members_to(&mut self, newcomer: &Member) -> Vec<Effect> {
         let mut known: Vec<Member> = self
             .members
             .values()
@@ -276,11 +277,11 @@
             .filter(|member| member.id.name != newcomer.id.name)
             .collect();
         known.shuffle(&mut self.random);
-        known.truncate(MAX_INTRODUCED);
-        let datagrams = known.chunks(INTRODUCED_A_DATAGRAM).map(|members| {
+        known.truncate(MAX_MEMBERS_TO_NEWCOMER);
+        let datagrams = known.chunks(MEMBERS_PER_DATAGRAM).map(|members| {
             let gossip = GossipMessage {
-                from: self.me.clone(),
-                // Acknowledges no probe: numbers begin at 1.
+                from: self.local.clone(),
+                // Matches no probe, as sequence numbers start at 1.
                 probe: Probe::Ack { sequence: 0 },
                 head: self.head,
                 rumours: members.iter().cloned().map(GossipUpdate::Member).collect(),
@@ -297,8 +298,8 @@
 
     fn on_ack(&mut self, sequence: u64, effects: &mut Vec<Effect>) {
         if let Some(relay) = self.relays.remove(&sequence) {
-            let ack = Probe::Ack { sequence: relay.asker_sequence };
-            effects.push(self.send(relay.asker, ack));
+            let ack = Probe::Ack { sequence: relay.requester_sequence };
+            effects.push(self.send(relay.requester, ack));
         } else if self.probe.as_ref().is_some_and(|probe| probe.sequence == sequence) {
             self.probe = None;
         }
@@ -307,8 +308,8 @@
     fn relay(
         &mut self,
         now: Moment,
-        asker: SocketAddr,
-        asker_sequence: u64,
+        requester: SocketAddr,
+        requester_sequence: u64,
         target: &NodeName,
         effects: &mut Vec<Effect>,
     ) {
@@ -317,14 +318,14 @@
         };
         let address = known.member.address;
         let sequence = self.take_sequence();
-        let relay = Relay { asker, asker_sequence, sent: now };
+        let relay = RelayedPing { requester, requester_sequence, sent: now };
         self.relays.insert(sequence, relay);
         effects.push(self.send(address, Probe::Ping { sequence }));
     }
 
-    /// Merges knowledge of a member, refuting what is wrongly said of this daemon.
+    /// Merges the state of a member. A wrong state of this daemon is refuted.
     fn merge(&mut self, now: Moment, member: Member, effects: &mut Vec<Effect>) {
-        if member.id.name == self.me.id.name {
+        if member.id.name == self.local.id.name {
             if self.refute(&member) {
                 effects.push(Effect::Refuted);
                 effects.extend(self.announce());
@@ -338,36 +339,36 @@
         } else if member.liveness >= Liveness::Left {
             return;
         }
-        self.rumours.push(GossipUpdate::Member(member.clone()));
-        let known = Known { member: member.clone(), since: now, asked_again: false };
+        self.gossip_queue.push(GossipUpdate::Member(member.clone()));
+        let known = KnownMember { member: member.clone(), changed_at: now, final_ping_sent: false };
         self.members.insert(member.id.name.clone(), known);
         effects.push(Effect::Changed(MemberChange { member }));
     }
 
-    /// A sender that is wrongly believed dead must hear of it to refute it.
-    fn tell_what_is_said_of(&mut self, sender: &Member) {
+    /// Queues the known state of a sender that it has to refute, such as a suspicion.
+    fn queue_refutable_state(&mut self, sender: &Member) {
         if let Some(known) = self.members.get(&sender.id.name) {
             if known.member.liveness > sender.liveness {
-                self.rumours.push(GossipUpdate::Member(known.member.clone()));
+                self.gossip_queue.push(GossipUpdate::Member(known.member.clone()));
             }
         }
     }
 
-    /// Whether something wrong was said of this daemon, which is now refuted.
-    fn refute(&mut self, said: &Member) -> bool {
-        if said.id.incarnation > self.me.id.incarnation {
-            // An earlier run whose clock was ahead: this run is the later one all the same.
-            self.me.id.incarnation = Incarnation(said.id.incarnation.0 + 1);
-            self.rumours.push(GossipUpdate::Member(self.me.clone()));
+    /// Refutes a wrong state of this daemon; returns whether there was anything to refute.
+    fn refute(&mut self, claim: &Member) -> bool {
+        if claim.id.incarnation > self.local.id.incarnation {
+            // An earlier run had a clock that was ahead; this run must supersede it.
+            self.local.id.incarnation = Incarnation(claim.id.incarnation.0 + 1);
+            self.gossip_queue.push(GossipUpdate::Member(self.local.clone()));
             return true;
         }
-        let is_worse = said.id == self.me.id && said.liveness > self.me.liveness;
-        let is_wrong = is_worse && said.refutation >= self.me.refutation;
-        if is_wrong {
-            self.me.refutation = said.refutation + 1;
-            self.rumours.push(GossipUpdate::Member(self.me.clone()));
+        let is_accusation = claim.id == self.local.id && claim.liveness > self.local.liveness;
+        let is_refutable = is_accusation && claim.refutation >= self.local.refutation;
+        if is_refutable {
+            self.local.refutation = claim.refutation + 1;
+            self.gossip_queue.push(GossipUpdate::Member(self.local.clone()));
         }
-        is_wrong
+        is_refutable
     }
 
     fn probe_targets(&self) -> Vec<NodeName> {
@@ -378,12 +379,12 @@
             .collect()
     }
 
-    fn open_probe(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        if self.order.is_empty() {
-            self.order = self.probe_targets();
-            self.order.shuffle(&mut self.random);
+    fn start_probe(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.probe_targets();
+            self.probe_order.shuffle(&mut self.random);
         }
-        while let Some(target) = self.order.pop() {
+        while let Some(target) = self.probe_order.pop() {
             let alive = self
                 .members
                 .get(&target)
@@ -392,20 +393,20 @@
                 continue;
             }
             effects.push(self.ping(&target));
-            self.probe = Some(OpenProbe {
+            self.probe = Some(PendingProbe {
                 sequence: self.next_sequence - 1,
                 target,
                 sent: now,
-                helpers_asked: false,
+                is_indirect: false,
             });
             return;
         }
     }
 
-    /// Now and then tries a member that is believed dead: after a cut between two groups each takes
-    /// the other for dead, and nobody would ever ask again. The datagram says so, to be refuted.
-    fn ping_a_dead_member(&mut self) -> Option<Effect> {
-        if !self.random.random_ratio(1, DEAD_PROBE_PERIODS) {
+    /// Occasionally pings a dead member, so that two sides of a healed network partition find each
+    /// other. The datagram carries the dead state, for the member to refute.
+    fn ping_random_dead_member(&mut self) -> Option<Effect> {
+        if !self.random.random_ratio(1, DEAD_PING_INTERVAL) {
             return None;
         }
         let dead: Vec<&Member> = self
@@ -416,18 +417,18 @@
             .collect();
         let member = (*dead.choose(&mut self.random)?).clone();
         let target = member.id.name.clone();
-        self.rumours.push(GossipUpdate::Member(member));
+        self.gossip_queue.push(GossipUpdate::Member(member));
         Some(self.ping(&target))
     }
 
-    fn ask_helpers(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    fn probe_indirectly(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         let Some(probe) = &mut self.probe else {
             return;
         };
-        if probe.helpers_asked || now < probe.sent + self.config.direct_timeout {
+        if probe.is_indirect || now < probe.sent + self.config.direct_timeout {
             return;
         }
-        probe.helpers_asked = true;
+        probe.is_indirect = true;
         let (sequence, target) = (probe.sequence, probe.target.clone());
         let mut helpers: Vec<SocketAddr> = self
             .members
@@ -444,8 +445,8 @@
         }
     }
 
-    /// A probe that is still open when the next is due makes its target a suspect.
-    fn close_probe(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    /// Marks the target of a probe as suspect if the probe was not acknowledged within the period.
+    fn suspect_unacknowledged(&mut self, now: Moment, effects: &mut Vec<Effect>) {
         let Some(probe) = self.probe.take() else {
             return;
         };
@@ -459,44 +460,45 @@
         }
     }
 
-    /// Asks suspects a last time, shortly before they would be declared dead.
+    /// Pings suspects once more before the suspicion times out.
     ///
-    /// Among many daemons a rumour takes some periods to reach all: most hear of a suspicion before
-    /// they hear of its refutation, and would declare a daemon dead that was silent for a moment. The
-    /// datagram says what is believed of the suspect, so that its answer refutes it.
-    fn ask_suspects(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        let last_ask = self.config.suspicion_timeout.saturating_sub(self.config.direct_timeout * 2);
-        let is_due = |known: &&mut Known| {
+    /// In a large fleet, a refutation may arrive after the suspicion timeout, and a daemon that was
+    /// only briefly unreachable would be declared dead. The datagram carries the suspicion, so that
+    /// the acknowledgement refutes it.
+    fn send_final_pings(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+        let final_ping_after =
+            self.config.suspicion_timeout.saturating_sub(self.config.direct_timeout * 2);
+        let is_due = |known: &&mut KnownMember| {
             let is_suspect = known.member.liveness == Liveness::Suspect;
-            is_suspect && !known.asked_again && now >= known.since + last_ask
+            is_suspect && !known.final_ping_sent && now >= known.changed_at + final_ping_after
         };
         let mut due = Vec::new();
         for known in self.members.values_mut().filter(is_due) {
-            known.asked_again = true;
+            known.final_ping_sent = true;
             due.push(known.member.clone());
         }
         for suspect in due {
             let name = suspect.id.name.clone();
-            self.rumours.push(GossipUpdate::Member(suspect));
+            self.gossip_queue.push(GossipUpdate::Member(suspect));
             effects.push(self.ping(&name));
         }
     }
 
-    fn declare_dead(&mut self, now: Moment, effects: &mut Vec<Effect>) {
-        let overdue: Vec<Member> = self
+    fn expire_members(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+        let expired: Vec<Member> = self
             .members
             .values()
             .filter(|known| known.member.liveness == Liveness::Suspect)
-            .filter(|known| now >= known.since + self.config.suspicion_timeout)
+            .filter(|known| now >= known.changed_at + self.config.suspicion_timeout)
             .map(|known| known.member.clone())
             .collect();
-        for mut member in overdue {
+        for mut member in expired {
             member.liveness = Liveness::Dead;
             self.merge(now, member, effects);
         }
         let forget_after = self.config.forget_after;
         self.members.retain(|_, known| {
-            known.member.liveness <= Liveness::Suspect || now < known.since + forget_after
+            known.member.liveness <= Liveness::Suspect || now < known.changed_at + forget_after
         });
     }
 
@@ -512,8 +514,8 @@
     }
 
     fn send(&mut self, to: SocketAddr, probe: Probe) -> Effect {
-        let rumours = self.rumours.take(self.members.len() + 1);
-        let gossip = GossipMessage { from: self.me.clone(), probe, head: self.head, rumours };
+        let rumours = self.gossip_queue.take(self.members.len() + 1);
+        let gossip = GossipMessage { from: self.local.clone(), probe, head: self.head, rumours };
         Effect::Send { to, gossip: Box::new(gossip) }
     }
 }
--- a/crates/heronbend/src/membership/messages.rs
+++ b/crates/heronbend/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons.
+//! Membership state and gossip datagrams.
 
 use std::net::SocketAddr;
 
@@ -8,59 +8,59 @@
 use crate::identity::{NodeId, NodeName};
 use crate::lifecycle::StatedPhase;
 
-/// Whether a daemon is believed to be alive; later ones outweigh earlier ones.
+/// Liveness of a daemon. At equal incarnation and refutation number, later variants take precedence.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
-    /// It answers.
+    /// The daemon acknowledges probes.
     Alive,
-    /// It did not answer a probe.
+    /// The daemon did not acknowledge a probe.
     Suspect,
-    /// It announced that it stops.
+    /// The daemon announced its shutdown.
     Left,
-    /// It did not refute a suspicion in time.
+    /// The daemon did not refute a suspicion in time.
     Dead,
 }
 
-/// A daemon as others know it.
+/// A daemon as known to other daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct Member {
-    /// The daemon and its run.
+    /// Name and incarnation.
     pub id: NodeId,
-    /// Where its peers reach it.
+    /// Address for other daemons.
     pub address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for HTTP clients.
     pub http_address: SocketAddr,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: String,
-    /// Its region.
+    /// Region of the daemon.
     pub region: String,
-    /// Thousandths of a core that it may use; 0 where it does not say.
+    /// CPU allotment in thousandths of a core; 0 if unknown.
     #[serde(default)]
     #[musli(default)]
     pub processor_millis: u32,
-    /// Raised by the daemon itself to refute a suspicion.
+    /// Refutation number, which the daemon increments to refute a suspicion.
     pub refutation: u32,
-    /// What is believed of it.
+    /// Liveness.
     pub liveness: Liveness,
 }
 
 impl Member {
-    /// Whether this knowledge replaces `other` of the same name.
+    /// Returns whether this state replaces `other`, a state of the daemon with the same name.
     pub fn supersedes(&self, other: &Self) -> bool {
         let rank = |member: &Self| (member.id.incarnation, member.refutation, member.liveness);
         rank(self) > rank(other)
     }
 }
 
-/// A daemon that may be given work, by the processor that it has for it.
+/// A daemon that may be assigned work, and its capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The daemon.
+    /// Name and incarnation.
     pub node: NodeId,
-    /// Thousandths of a core that it may use; 0 where it does not say.
+    /// CPU allotment in thousandths of a core; 0 if unknown.
     pub processor_millis: u32,
 }
 
@@ -70,15 +70,16 @@
     }
 }
 
-/// Time after its start in which a daemon may not be known to all others yet.
-const INTRODUCTION_MILLIS: u64 = 60_000;
+/// Time after its start during which a daemon may be unknown to others.
+const JOIN_GRACE_MILLIS: u64 = 60_000;
 
-/// Whether this very run of a daemon may be alive, by what `members` say.
+/// Returns whether this incarnation of a daemon may be alive according to `members`.
 ///
-/// A run that is not among them is one that has just started, or one that ended so long ago that it
-/// was forgotten: incarnations are start times in milliseconds since the Unix epoch, as is `now`.
+/// An unknown daemon may have just started, or has been dead for long enough to be forgotten. Its
+/// incarnation tells which, as it is the start time. Incarnations and `now` are in milliseconds
+/// since the Unix epoch.
 pub fn may_be_alive(members: &[Member], node: &NodeId, now: u64) -> bool {
-    let just_started = now < node.incarnation.0.saturating_add(INTRODUCTION_MILLIS);
+    let just_started = now < node.incarnation.0.saturating_add(JOIN_GRACE_MILLIS);
     match members.iter().find(|member| member.id.name == node.name) {
         Some(member) if member.id == *node => member.liveness <= Liveness::Suspect,
         Some(member) => member.id.incarnation < node.incarnation,
@@ -86,56 +87,56 @@
     }
 }
 
-/// Newest control data that a daemon holds; a peer that lags fetches it.
+/// Versions of the control data that a daemon holds. Peers with older versions fetch the data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub struct ControlVersions {
     /// Revision of the settings.
     pub settings_revision: u64,
-    /// Sum of the shards' epochs; grows with each change of the shard map.
+    /// Sum of the epochs of all shards, which grows with each change of the shard map.
     pub shard_epochs: u64,
 }
 
-/// Something to spread.
+/// An update that is spread by gossip.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum GossipUpdate {
-    /// A daemon's state.
+    /// State of a daemon.
     Member(Member),
-    /// A back end's phase.
+    /// Phase of a backend.
     Backend(StatedPhase),
 }
 
-/// The purpose of a datagram.
+/// Failure detector message of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Probe {
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Ping {
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// Acknowledges a ping, directly or on behalf of another.
+    /// Acknowledges a ping, directly or on behalf of another daemon.
     Ack {
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// Asks the receiver to ping a third daemon.
+    /// Requests an indirect probe: the receiver pings the target.
     PingRequest {
-        /// Number of the asker's probe.
+        /// Sequence number of the requester's probe.
         sequence: u64,
-        /// Whom to ping.
+        /// The daemon to ping.
         target: NodeName,
     },
 }
 
-/// A datagram.
+/// A gossip datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct GossipMessage {
-    /// The sender.
+    /// State of the sender.
     pub from: Member,
-    /// Its purpose.
+    /// Failure detector message.
     pub probe: Probe,
-    /// The sender's control data.
+    /// Versions of the sender's control data.
     pub head: ControlVersions,
-    /// Rumours that ride along.
+    /// Piggybacked updates.
     #[musli(default)]
     pub rumours: Vec<GossipUpdate>,
 }
--- a/crates/heronbend/src/membership/mod.rs
+++ b/crates/heronbend/src/membership/mod.rs
@@ -1,18 +1,19 @@
-//! Which daemons are alive, and rumours spread among them.
+//! Membership of the daemons: failure detection and gossip.
 //!
-//! A failure detector and gossip in the manner of SWIM (Das, Gupta, Motivala, "SWIM: Scalable
-//! weakly-consistent infection-style process group membership protocol", 2002): each period a
-//! daemon probes one other, directly and then through helpers; a daemon that does not answer is
-//! suspected, may refute, and is declared dead after a while. Rumours ride on these messages. The
-//! cost to one daemon does not grow with their number, but for the length of a rumour's life.
+//! Follows SWIM (Das, Gupta, Motivala, "SWIM: Scalable weakly-consistent infection-style process
+//! group membership protocol", 2002). In each period, a daemon probes one member, at first directly
+//! and then indirectly through others. A member that does not acknowledge becomes suspect, and is
+//! declared dead if it does not refute the suspicion in time. Gossip updates are piggybacked on
+//! these messages. The load per daemon is independent of the number of members, except for the
+//! number of times that an update is sent, which is logarithmic.
 //!
-//! Membership never carries safety: it decides whom to ask and whom to prefer. A frozen daemon that
-//! wakes is dead to others until it refutes, and its ballots and orders are refused by registers
-//! and fences.
+//! Safety never depends on membership, which only decides whom to contact or prefer. A daemon that
+//! resumes after a pause is dead to others until it refutes this; registers and fences reject its
+//! outdated ballots and commands.
 
 mod detector;
+mod gossip_queue;
 mod messages;
-mod rumours;
 #[cfg(test)]
 mod tests;
 
--- a/crates/heronbend/src/membership/tests.rs
+++ b/crates/heronbend/src/membership/tests.rs
@@ -26,18 +26,18 @@
     }
 }
 
-/// Daemons on a network without delay; those in `silent` neither send nor receive.
+/// Simulated network without delay. Daemons in `unreachable` neither send nor receive.
 struct Network {
     now: Moment,
     detectors: Vec<Detector>,
-    silent: BTreeSet<usize>,
+    unreachable: BTreeSet<usize>,
     backends: Vec<BTreeSet<String>>,
     behind: Vec<bool>,
-    passes_on_at_once: bool,
-    /// Daemons below this index are cut off from the others.
-    cut_at: Option<usize>,
-    /// Times that some daemon declared another one dead.
-    declared_dead: usize,
+    forwards_at_once: bool,
+    /// Network partition: daemons below this index cannot reach the others.
+    partition_at: Option<usize>,
+    /// Number of times that any daemon declared another one dead.
+    dead_declarations: usize,
 }
 
 impl Network {
@@ -54,12 +54,12 @@
         Self {
             now: Moment::ZERO,
             detectors,
-            silent: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             backends: vec![BTreeSet::new(); count],
             behind: vec![false; count],
-            passes_on_at_once: false,
-            cut_at: None,
-            declared_dead: 0,
+            forwards_at_once: false,
+            partition_at: None,
+            dead_declarations: 0,
         }
     }
 
@@ -69,7 +69,7 @@
             self.now += TICK;
             let mut queue = Vec::new();
             for index in 0..self.detectors.len() {
-                if !self.silent.contains(&index) {
+                if !self.unreachable.contains(&index) {
                     let effects = self.detectors[index].tick(self.now);
                     queue.extend(effects.into_iter().map(|effect| (index, effect)));
                 }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Applies effects, and those that follow from them, at once.
+    /// Applies effects, and all effects that they cause.
     fn deliver(&mut self, effects: impl IntoIterator<Item = (usize, Effect)>) {
         let mut queue: VecDeque<_> = effects.into_iter().collect();
         while let Some((index, effect)) = queue.pop_front() {
@@ -91,19 +91,21 @@
         match effect {
             Effect::Send { to, gossip } => {
                 let target = usize::from(to.port() - 1000);
-                let is_cut = self.cut_at.is_some_and(|cut| (index < cut) != (target < cut));
-                if is_cut || self.silent.contains(&target) {
+                let is_partitioned = self
+                    .partition_at
+                    .is_some_and(|boundary| (index < boundary) != (target < boundary));
+                if is_partitioned || self.unreachable.contains(&target) {
                     return Vec::new();
                 }
                 let effects = self.detectors[target].receive(self.now, address(index), *gossip);
                 effects.into_iter().map(|effect| (target, effect)).collect()
             }
-            Effect::Backend(stated) => {
-                if !self.backends[index].insert(stated.name.0.clone()) {
+            Effect::Backend(update) => {
+                if !self.backends[index].insert(update.name.0.clone()) {
                     return Vec::new();
                 }
-                self.detectors[index].gossip_backend(stated);
-                if !self.passes_on_at_once {
+                self.detectors[index].gossip_backend(update);
+                if !self.forwards_at_once {
                     return Vec::new();
                 }
                 let effects = self.detectors[index].announce();
@@ -115,7 +117,7 @@
             }
             Effect::Refuted => Vec::new(),
             Effect::Changed(change) => {
-                self.declared_dead += usize::from(change.member.liveness == Liveness::Dead);
+                self.dead_declarations += usize::from(change.member.liveness == Liveness::Dead);
                 Vec::new()
             }
         }
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn everybody_learns_of_everybody_through_one_seed() {
+fn all_members_discover_each_other_through_one_seed() {
     let mut network = Network::new(20);
     network.run(Duration::from_secs(30));
     for detector in &network.detectors {
@@ -138,25 +140,25 @@
 }
 
 #[test]
-fn a_silent_daemon_is_declared_dead_everywhere_and_may_come_back() {
+fn unreachable_daemon_is_declared_dead_and_may_return() {
     let mut network = Network::new(8);
     network.run(Duration::from_secs(15));
-    network.silent.insert(3);
+    network.unreachable.insert(3);
     network.run(Duration::from_secs(40));
     for observer in (0..8).filter(|observer| *observer != 3) {
         assert_eq!(network.liveness(observer, 3), Some(Liveness::Dead));
     }
     let members: Vec<_> = network.detectors[0].members().cloned().collect();
     assert!(!may_be_alive(&members, &NodeId::new("node-3", 1), 0));
-    network.silent.clear();
+    network.unreachable.clear();
     network.run(Duration::from_secs(60));
     for observer in (0..8).filter(|observer| *observer != 3) {
         assert_eq!(network.liveness(observer, 3), Some(Liveness::Alive), "at {observer}");
     }
 }
 
-/// Short times, as where the loss of a daemon is to be known within two seconds.
-const HASTY: DetectorConfig = DetectorConfig {
+/// Timeouts that detect the loss of a daemon within two seconds.
+const SHORT_TIMEOUTS: DetectorConfig = DetectorConfig {
     probe_period: Duration::from_millis(400),
     direct_timeout: Duration::from_millis(150),
     suspicion_timeout: Duration::from_millis(1200),
@@ -167,8 +169,8 @@
 };
 
 #[test]
-fn among_many_a_daemon_that_was_silent_for_a_moment_is_declared_dead_by_nobody() {
-    let mut network = Network::with_config(250, HASTY);
+fn briefly_unreachable_daemon_of_a_large_fleet_is_not_declared_dead() {
+    let mut network = Network::with_config(250, SHORT_TIMEOUTS);
     for detector in &mut network.detectors {
         for index in 0..250 {
             detector.merge_member(Moment::ZERO, member(index, 1));
@@ -176,22 +178,22 @@
     }
     network.run(Duration::from_secs(2));
     for index in [17, 90, 160, 201] {
-        network.silent.insert(index);
+        network.unreachable.insert(index);
         network.run(Duration::from_millis(900));
-        network.silent.clear();
+        network.unreachable.clear();
         network.run(Duration::from_secs(4));
     }
-    assert_eq!(network.declared_dead, 0);
+    assert_eq!(network.dead_declarations, 0);
 }
 
 #[test]
-fn two_sides_that_were_cut_off_find_each_other_again() {
+fn both_sides_of_a_healed_partition_rejoin() {
     let mut network = Network::new(12);
     network.run(Duration::from_secs(20));
-    network.cut_at = Some(5);
+    network.partition_at = Some(5);
     network.run(Duration::from_secs(120));
     assert_eq!(network.liveness(0, 11), Some(Liveness::Dead));
-    network.cut_at = None;
+    network.partition_at = None;
     network.run(Duration::from_secs(60));
     for observer in 0..12 {
         for subject in (0..12).filter(|subject| *subject != observer) {
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn a_new_run_supersedes_the_old_and_the_old_is_dead() {
+fn new_incarnation_supersedes_the_old_one() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 1);
     detector.merge_member(Moment::ZERO, member(1, 5));
     detector.merge_member(Moment::ZERO, member(1, 4));
@@ -213,7 +215,7 @@
 }
 
 #[test]
-fn a_run_that_was_forgotten_is_not_taken_for_alive() {
+fn forgotten_incarnation_is_not_considered_alive() {
     let started = 1_000_000;
     let node = NodeId::new("node-9", started);
     assert!(may_be_alive(&[], &node, started + 1_000));
@@ -221,41 +223,41 @@
 }
 
 #[test]
-fn rumours_of_back_ends_and_newer_settings_reach_everybody() {
+fn backend_updates_and_settings_revisions_reach_all_members() {
     let mut network = Network::new(20);
     network.run(Duration::from_secs(30));
-    let stated = StatedPhase {
+    let update = StatedPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
     };
-    network.detectors[7].gossip_backend(stated);
+    network.detectors[7].gossip_backend(update);
     let head = ControlVersions { settings_revision: 4, shard_epochs: 0 };
     network.detectors[7].set_control_versions(head);
     network.run(Duration::from_secs(30));
-    let reached = network.backends.iter().filter(|known| !known.is_empty()).count();
-    assert!(reached >= 19, "{reached} of 20");
+    let informed = network.backends.iter().filter(|known| !known.is_empty()).count();
+    assert!(informed >= 19, "{informed} of 20");
     assert!(network.behind.iter().any(|behind| *behind));
 }
 
 #[test]
-fn what_is_announced_is_known_before_the_next_probe() {
+fn announced_updates_spread_before_the_next_probe() {
     let mut network = Network::new(30);
     network.run(Duration::from_secs(30));
-    let stated = StatedPhase {
+    let update = StatedPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
     };
-    network.passes_on_at_once = true;
-    let effects = network.apply(7, Effect::Backend(stated));
+    network.forwards_at_once = true;
+    let effects = network.apply(7, Effect::Backend(update));
     network.deliver(effects);
-    let reached = network.backends.iter().filter(|known| !known.is_empty()).count();
-    assert!(reached >= 28, "{reached} of 30");
+    let informed = network.backends.iter().filter(|known| !known.is_empty()).count();
+    assert!(informed >= 28, "{informed} of 30");
 }
 
 #[test]
-fn a_datagram_stays_within_one_packet() {
+fn datagram_fits_into_one_packet() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 1);
     for index in 1..200 {
         detector.merge_member(Moment::ZERO, member(index, 1));
@@ -279,15 +281,15 @@
     }
 }
 
-/// Members that a daemon is told of at once, by the datagrams sent to it.
-fn told(effects: &[Effect], to: SocketAddr) -> BTreeSet<String> {
+/// Names of the members in the datagrams sent to an address.
+fn members_sent_to(effects: &[Effect], to: SocketAddr) -> BTreeSet<String> {
     let datagrams = effects.iter().filter_map(|effect| match effect {
         Effect::Send { to: address, gossip } if *address == to => Some(gossip),
         _ => None,
     });
-    let rumours = datagrams.flat_map(|gossip| gossip.rumours.iter());
-    rumours
-        .filter_map(|rumour| match rumour {
+    let updates = datagrams.flat_map(|gossip| gossip.rumours.iter());
+    updates
+        .filter_map(|update| match update {
             GossipUpdate::Member(member) => Some(member.id.name.0.clone()),
             GossipUpdate::Backend(_) => None,
         })
@@ -295,32 +297,32 @@
 }
 
 #[test]
-fn a_newcomer_is_told_at_once_of_all_members_that_are_alive() {
+fn newcomer_receives_all_live_members_at_once() {
     let mut detector = Detector::new(DetectorConfig::default(), member(0, 1), 7);
     for index in 1..20 {
         detector.merge_member(Moment::ZERO, member(index, 1));
     }
     let newcomer = member(30, 1);
     let effects = detector.receive(TICK, newcomer.address, ping_from(newcomer.clone()));
-    let known = told(&effects, newcomer.address);
+    let known = members_sent_to(&effects, newcomer.address);
     assert!((1..20).all(|index| known.contains(&format!("node-{index}"))), "{known:?}");
-    // A later run of a known daemon has forgotten everything, and is a newcomer as well.
+    // A restarted daemon has lost its state, so it counts as a newcomer too.
     let restarted = member(30, 2);
     let effects = detector.receive(TICK, restarted.address, ping_from(restarted.clone()));
-    assert!(told(&effects, restarted.address).len() >= 19);
-    // Whoever is known is not told again.
+    assert!(members_sent_to(&effects, restarted.address).len() >= 19);
+    // A known daemon does not receive the members again.
     let again = detector.receive(TICK, restarted.address, ping_from(restarted.clone()));
     assert_eq!(again.iter().filter(|e| matches!(e, Effect::Send { .. })).count(), 1);
 }
 
 #[test]
-fn a_greeted_daemon_becomes_a_member() {
+fn pinged_daemon_learns_of_the_sender() {
     let mut detectors = [
         Detector::new(DetectorConfig::default(), member(0, 1), 1),
         Detector::new(DetectorConfig::default(), member(1, 1), 2),
     ];
     let Effect::Send { to, gossip } = detectors[0].ping_address(address(1)) else {
-        panic!("a greeting is a datagram");
+        panic!("ping_address must send a datagram");
     };
     assert_eq!(to, address(1));
     detectors[1].receive(TICK, address(0), *gossip);
@@ -328,7 +330,7 @@
 }
 
 #[test]
-fn a_run_outlives_an_earlier_one_whose_clock_was_ahead() {
+fn incarnation_is_raised_above_an_earlier_run_with_a_fast_clock() {
     let mut restarted = Detector::new(DetectorConfig::default(), member(0, 100), 1);
     let mut earlier = member(0, 5_000);
     earlier.liveness = Liveness::Dead;
--- a/crates/heronbend/src/overlay/mod.rs
+++ b/crates/heronbend/src/overlay/mod.rs
@@ -1,12 +1,12 @@
-//! The tree by which news of the store reaches all daemons of a zone, without I/O.
+//! Dissemination tree that carries store updates to all daemons of a zone, free of I/O.
 //!
-//! Few daemons of a zone watch the store: its roots. Each other one follows two parents, which are roots
-//! or follow two others themselves. What a daemon has to do for others is bounded by the fan-out, however
-//! large the zone is; the depth grows with the logarithm of the zone's size.
+//! Only the roots of a zone watch the store. Every other daemon follows two parents, which are roots
+//! or have parents themselves. The fan-out bounds the load of a daemon, and the depth is logarithmic
+//! in the size of the zone.
 //!
-//! Each daemon works the tree out from the members that it knows. Views differ for a moment after a
-//! change, so two daemons may follow each other: every answer says how old the news is at its source, and
-//! whoever's news grows old looks elsewhere.
+//! Each daemon computes the tree from the members that it knows. While these views differ, daemons
+//! may follow each other in a cycle. They detect this by the age of the data, which each response
+//! includes, and a daemon whose data is stale switches to another source.
 
 #[cfg(test)]
 mod tests;
@@ -18,79 +18,82 @@
 use crate::identity::NodeId;
 use crate::membership::Candidate;
 
-/// Roots of a zone: one may die, freeze or be cut off while the other goes on.
-pub const ROOTS: usize = 2;
-/// Daemons of a zone that are all roots: to follow would save little.
-pub const SMALL_ZONE: usize = 3;
-/// Daemons for each parent of a pair. Each of them makes four held calls a second at one parent and
-/// two at the other, so that a parent answers some 100 calls a second: 1% of a core at 100 us a call.
+/// Number of roots of a zone; more than one, to tolerate the failure of a root.
+pub const ROOT_COUNT: usize = 2;
+/// Maximum size of a zone in which all daemons are roots.
+pub const MAX_ALL_ROOTS: usize = 3;
+/// Number of children per parent. Each child of a pair follows both parents, so a parent has up to
+/// `PARENT_COUNT * FAN_OUT` followers.
 pub const FAN_OUT: usize = 16;
-/// Parents that a daemon follows at the same time.
-const PARENTS: usize = 2;
+/// Number of parents that a daemon follows.
+const PARENT_COUNT: usize = 2;
 
-/// The tree of a zone.
+/// Dissemination tree of a zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tree {
-    /// All daemons, parents before their children.
-    line: Vec<NodeId>,
+    /// All daemons in breadth-first order, roots first.
+    nodes: Vec<NodeId>,
     roots: usize,
 }
 
 impl Tree {
-    /// The tree of some daemons: those with the most processor come first, equal ones by a hash of
-    /// their names.
+    /// Builds the tree of the given daemons, by descending CPU allotment and then by the hash of the
+    /// name. The result does not depend on the order of `candidates`.
     pub fn new(mut candidates: Vec<Candidate>) -> Self {
         candidates.sort_by_cached_key(|candidate| {
-            let tie = rapidhash_v3(candidate.node.name.0.as_bytes());
-            (Reverse(candidate.processor_millis), tie)
+            let name_hash = rapidhash_v3(candidate.node.name.0.as_bytes());
+            (Reverse(candidate.processor_millis), name_hash)
         });
-        let line: Vec<NodeId> = candidates.into_iter().map(|candidate| candidate.node).collect();
-        let roots = if line.len() > SMALL_ZONE { ROOTS } else { line.len() };
-        Self { line, roots }
+        let nodes: Vec<NodeId> = candidates.into_iter().map(|candidate| candidate.node).collect();
+        let roots = if nodes.len() > MAX_ALL_ROOTS { ROOT_COUNT } else { nodes.len() };
+        Self { nodes, roots }
     }
 
-    /// The daemons that watch the store for the zone, first choice first.
+    /// Returns the daemons that watch the store for the zone, in order of preference.
     pub fn roots(&self) -> &[NodeId] {
-        &self.line[..self.roots]
+        &self.nodes[..self.roots]
     }
 
-    /// Whether a daemon is one of the roots.
+    /// Returns whether a daemon is a root.
     pub fn is_root(&self, node: &NodeId) -> bool {
         self.roots().contains(node)
     }
 
-    /// The daemons that a daemon follows; all roots for a root, which follows the others while the store
-    /// refuses it, and for one that is not in the tree.
+    /// Returns the daemons that a daemon follows.
+    ///
+    /// These are all roots for a daemon that is not in the tree, and for a root, which follows the other
+    /// roots while the store rejects it.
     pub fn parents(&self, node: &NodeId) -> &[NodeId] {
-        match self.place(node).and_then(|place| self.first_parent(place)) {
-            Some(first) => &self.line[first..first + PARENTS],
+        match self.index_of(node).and_then(|index| self.first_parent(index)) {
+            Some(first) => &self.nodes[first..first + PARENT_COUNT],
             None => self.roots(),
         }
     }
 
-    /// Daemons that news passes on its way from the store to this one.
+    /// Returns the number of daemons between the store and a daemon; 0 for a root.
     pub fn depth(&self, node: &NodeId) -> u32 {
         let mut depth = 0;
-        let mut place = self.place(node).unwrap_or(self.roots);
-        while let Some(first) = self.first_parent(place) {
+        let mut index = self.index_of(node).unwrap_or(self.roots);
+        while let Some(first) = self.first_parent(index) {
             depth += 1;
-            place = first;
+            index = first;
         }
         depth
     }
 
-    /// The depth of the daemons that are furthest from the store.
+    /// Returns the maximum depth of the tree.
     pub fn height(&self) -> u32 {
-        self.line.last().map_or(0, |last| self.depth(last))
+        self.nodes.last().map_or(0, |last| self.depth(last))
     }
 
-    fn place(&self, node: &NodeId) -> Option<usize> {
-        self.line.iter().position(|known| known == node)
+    fn index_of(&self, node: &NodeId) -> Option<usize> {
+        self.nodes.iter().position(|known| known == node)
     }
 
-    /// Place of the first of the two parents; nothing for a root.
-    fn first_parent(&self, place: usize) -> Option<usize> {
-        let below = place.checked_sub(self.roots)?;
-        (self.line.len() > SMALL_ZONE).then_some(below / (PARENTS * FAN_OUT) * PARENTS)
+    /// Returns the index of the first of two adjacent parents, or `None` for a root.
+    fn first_parent(&self, index: usize) -> Option<usize> {
+        let index_below_roots = index.checked_sub(self.roots)?;
+        (self.nodes.len() > MAX_ALL_ROOTS)
+            .then_some(index_below_roots / (PARENT_COUNT * FAN_OUT) * PARENT_COUNT)
     }
 }
