--- a/crates/heronbend/src/register/proposal.rs
+++ b/crates/heronbend/src/register/proposal.rs
@@ -19,7 +19,7 @@
     /// A majority is no longer reachable, because of a higher ballot or another epoch. Retry with a
     /// higher round.
     ///
-    /// The change may still take effect if [`Proposal::may_take_effect`] was true.
+    /// The change may still take effect if accept requests were issued before.
     Preempted {
         /// Highest round seen; the next one must be above it.
         above: u64,
