--- a/crates/heronbend/src/membership/detector.rs
+++ b/crates/heronbend/src/membership/detector.rs
@@ -11,7 +11,7 @@
 use super::gossip_queue::GossipQueue;
 use super::messages::{ControlVersions, GossipMessage, GossipUpdate, Liveness, Member, Probe};
 use crate::identity::{Incarnation, NodeName};
-use crate::lifecycle::StatedPhase;
+use crate::lifecycle::BackendPhase;
 use crate::Moment;
 
 /// Mean number of periods between two pings of dead members.
@@ -71,7 +71,7 @@
     /// refuted.
     Refuted,
     /// An update of a backend was received.
-    Backend(StatedPhase),
+    Backend(BackendPhase),
     /// A peer holds newer control data, which should be fetched.
     Behind {
         /// Address of the peer.
@@ -165,7 +165,7 @@
     }
 
     /// Queues an update of a backend for gossip.
-    pub fn gossip_backend(&mut self, update: StatedPhase) {
+    pub fn gossip_backend(&mut self, update: BackendPhase) {
         self.gossip_queue.push(GossipUpdate::Backend(update));
     }
 
--- a/crates/heronbend/src/membership/messages.rs
+++ b/crates/heronbend/src/membership/messages.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{NodeId, NodeName};
-use crate::lifecycle::StatedPhase;
+use crate::lifecycle::BackendPhase;
 
 /// Liveness of a daemon. At equal incarnation and refutation number, later variants take precedence.
 #[derive(
@@ -102,7 +102,7 @@
     /// State of a daemon.
     Member(Member),
     /// Phase of a backend.
-    Backend(StatedPhase),
+    Backend(BackendPhase),
 }
 
 /// Failure detector message of a datagram.
--- a/crates/heronbend/src/membership/tests.rs
+++ b/crates/heronbend/src/membership/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::identity::{Incarnation, NodeId};
-use crate::lifecycle::{BackendName, Phase, StatedPhase};
+use crate::lifecycle::{BackendName, BackendPhase, Phase};
 use crate::Moment;
 
 const TICK: Duration = Duration::from_millis(50);
@@ -226,7 +226,7 @@
 fn backend_updates_and_settings_revisions_reach_all_members() {
     let mut network = Network::new(20);
     network.run(Duration::from_secs(30));
-    let update = StatedPhase {
+    let update = BackendPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
@@ -244,7 +244,7 @@
 fn announced_updates_spread_before_the_next_probe() {
     let mut network = Network::new(30);
     network.run(Duration::from_secs(30));
-    let update = StatedPhase {
+    let update = BackendPhase {
         name: BackendName("engine".into()),
         incarnation: Incarnation(1),
         phase: Phase::Leaving,
