--- a/crates/heronbend/src/placement/placer.rs
+++ b/crates/heronbend/src/placement/placer.rs
@@ -1,5 +1,4 @@
-//! The machine that decides where requests go: what it is fed with. What it decides is in
-//! [`super::decisions`].
+//! The state of the [`Placer`] and its updates. Its decisions are in [`super::decisions`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,395 +10,410 @@
 use rand::Rng;
 use rand::SeedableRng;
 
-use super::eligible::Fitness;
-use super::eligible::Need;
-use super::keys::HomesKey;
+use super::eligibility::Requirements;
+use super::eligibility::VersionStatus;
+use super::exclusion_counts::ExclusionCounts;
+use super::health::AttemptOutcome;
+use super::keys::Interner;
 use super::keys::ModelKey;
-use super::keys::Names;
 use super::keys::RegionKey;
+use super::keys::RegionSetKey;
 use super::keys::ServerKey;
 use super::keys::ServiceKey;
 use super::keys::ZoneKey;
-use super::load::AttemptEnd;
 use super::queue::Queue;
-use super::server::ColdTerms;
-use super::server::Listing;
-use super::server::OpenOrder;
+use super::server::ColdStartLimit;
+use super::server::PendingLoad;
+use super::server::Registration;
 use super::server::Server;
-use super::server::LAPSED_USE;
-use super::tally::Tally;
+use super::server::DEREGISTRATION_GRACE;
 use crate::Moment;
 
-/// Weight of a new sample in the usual time of a service's answers: one server that turns slow is told
-/// from it also by a daemon that sends to no other.
-const USUAL_WEIGHT: f64 = 0.02;
-/// Time that a server of another zone of the same region adds to a request: a round trip and some more,
-/// so that a zone's calls stay in it.
-const OTHER_ZONE: Duration = Duration::from_millis(2);
-/// The same of another region.
-const OTHER_REGION: Duration = Duration::from_millis(20);
-/// Rest after a lender gave no permit, unless it says when there will be one.
-const PERMIT_REST: Duration = Duration::from_millis(100);
-
-/// A server that was chosen for a request.
+/// Weight of a new sample in a service's baseline latency. It is low, so that a server that becomes
+/// slow is noticed even by a daemon that uses no other server.
+const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
+/// Latency added by a server in another zone of the same region. It exceeds the network round trip,
+/// so that calls prefer their own zone.
+const CROSS_ZONE_LATENCY: Duration = Duration::from_millis(2);
+/// Latency added by a server in another region.
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(20);
+/// Delay before permits are requested again after a request was declined without a retry time.
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// The server chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
     pub server: ServerKey,
-    /// Whether it is known to have the version that is needed.
-    pub fitness: Fitness,
+    /// Whether the server has the required version of the weights.
+    pub version_status: VersionStatus,
 }
 
-/// A cold server that requests wait for, and how many permits would be used there.
+/// Permits that waiting requests could use on a cold server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shortage {
-    /// The server.
+pub struct PermitDemand {
     pub server: ServerKey,
-    /// Permits that would be used now.
+    /// Number of permits that could be used now.
     pub permits: u32,
 }
 
-/// What is known of a service.
+/// Limits and latency of a service.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceState {
-    /// Requests that this daemon may have at one of its servers.
-    pub(super) share: Option<u32>,
-    /// What one of its servers bears while it is cold; nothing where that is not bounded.
-    pub(super) cold: Option<ColdTerms>,
-    /// Mean time of an answer over a long time, in milliseconds.
-    pub(super) usual_millis: Option<f64>,
+    /// Maximum number of requests this daemon may have in flight per server.
+    pub(super) max_in_flight: Option<u32>,
+    /// Rate limit of a cold server; `None` if cold servers are not limited.
+    pub(super) cold_start: Option<ColdStartLimit>,
+    /// Long-term mean latency, in milliseconds.
+    pub(super) baseline_millis: Option<f64>,
 }
 
-/// Servers that nothing bars from a need, as of some moment.
-pub(super) struct Open {
-    pub(super) need: Need,
-    /// Count of changes that it was found after.
-    pub(super) changes: u64,
-    pub(super) at: Moment,
+/// A cached set of eligible servers.
+pub(super) struct EligibleServers {
+    pub(super) requirements: Requirements,
+    /// Value of [`Placer::change_count`] when the set was computed.
+    pub(super) change_count: u64,
+    pub(super) computed_at: Moment,
     pub(super) servers: Rc<[ServerKey]>,
-    pub(super) tally: Tally,
+    pub(super) exclusions: ExclusionCounts,
 }
 
-pub(super) struct Place {
+pub(super) struct ArenaSlot {
     generation: u32,
     server: Option<Server>,
 }
 
-/// Decides which server runs a request, how long work waits and when it is turned away.
+/// Decides which server runs a request, how long requests wait, and when they are rejected.
+///
+/// It performs no I/O: callers report servers, limits, requests and the time, and carry out its
+/// decisions.
 pub struct Placer {
-    pub(super) services: Names<ServiceKey>,
-    pub(super) zones: Names<ZoneKey>,
-    pub(super) regions: Names<RegionKey>,
-    pub(super) models: Names<ModelKey>,
-    pub(super) homes: Vec<BTreeSet<RegionKey>>,
+    pub(super) services: Interner<ServiceKey>,
+    pub(super) zones: Interner<ZoneKey>,
+    pub(super) regions: Interner<RegionKey>,
+    pub(super) models: Interner<ModelKey>,
+    pub(super) region_sets: Vec<BTreeSet<RegionKey>>,
     pub(super) region_of: HashMap<ZoneKey, RegionKey>,
-    pub(super) here: Option<ZoneKey>,
+    pub(super) local_zone: Option<ZoneKey>,
     pub(super) evacuated: BTreeSet<ZoneKey>,
-    /// Whether the evacuations are still to be heard of: any zone may be evacuated until then.
+    /// Whether the evacuated zones are still unknown. No server is eligible until they are known.
     pub(super) awaits_evacuations: bool,
-    pub(super) terms: HashMap<ServiceKey, ServiceState>,
-    pub(super) places: Vec<Place>,
-    /// Indices of `places` that hold no server.
-    free: Vec<u32>,
-    /// Servers whose entries went and that are not forgotten yet: a release of thousands costs for each
-    /// that leaves a look at those that left a moment ago, and not at all that there are.
-    gone: BTreeSet<ServerKey>,
+    pub(super) service_states: HashMap<ServiceKey, ServiceState>,
+    pub(super) arena: Vec<ArenaSlot>,
+    /// Indices of `arena` that hold no server.
+    free_indices: Vec<u32>,
+    /// Deregistered servers that are not evicted yet. Kept separately, so that a deregistration
+    /// does not scan all servers.
+    deregistered: BTreeSet<ServerKey>,
     pub(super) by_id: HashMap<String, ServerKey>,
     pub(super) by_service: BTreeMap<ServiceKey, BTreeSet<ServerKey>>,
     pub(super) queue: Queue,
-    /// Requests under way that may end their servers.
+    /// Number of requests in flight that may crash their server.
     pub(super) suspects: u32,
-    /// Permits that a lender is being asked for, or after which time it may be asked again.
-    pub(super) asking: HashMap<ServerKey, Option<Moment>>,
-    pub(super) shortages: BTreeMap<ServerKey, u32>,
+    /// Cold servers for which permits have been requested. The value is `None` while a request is
+    /// in flight, else the time after which permits may be requested again.
+    pub(super) permit_requests: HashMap<ServerKey, Option<Moment>>,
+    pub(super) permit_demand: BTreeMap<ServerKey, u32>,
     pub(super) random: SmallRng,
-    /// Where the subset of this daemon begins among all servers, from 0 to 1.
-    pub(super) own_place: f64,
-    /// Counts what may change which servers a need is barred from.
-    pub(super) changes: u64,
-    /// What was found last, by need.
-    pub(super) known_open: Vec<Open>,
+    /// Start of this daemon's subset of servers, as a fraction of the arena from 0 to 1.
+    pub(super) subset_offset: f64,
+    /// Incremented by each change that may affect eligibility; invalidates `eligible_cache`.
+    pub(super) change_count: u64,
+    /// Recently computed sets of eligible servers, at most one for each set of requirements.
+    pub(super) eligible_cache: Vec<EligibleServers>,
 }
 
 impl Placer {
-    /// A machine that knows nothing yet and draws among equals by `seed`.
+    /// Creates an empty placer. `seed` initializes the random choice between equal servers.
     pub fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let own_place = random.random();
+        let subset_offset = random.random();
         Self {
-            services: Names::default(),
-            zones: Names::default(),
-            regions: Names::default(),
-            models: Names::default(),
-            homes: Vec::new(),
+            services: Interner::default(),
+            zones: Interner::default(),
+            regions: Interner::default(),
+            models: Interner::default(),
+            region_sets: Vec::new(),
             region_of: HashMap::new(),
-            here: None,
+            local_zone: None,
             evacuated: BTreeSet::new(),
             awaits_evacuations: false,
-            terms: HashMap::new(),
-            places: Vec::new(),
-            free: Vec::new(),
-            gone: BTreeSet::new(),
+            service_states: HashMap::new(),
+            arena: Vec::new(),
+            free_indices: Vec::new(),
+            deregistered: BTreeSet::new(),
             by_id: HashMap::new(),
             by_service: BTreeMap::new(),
             queue: Queue::default(),
             suspects: 0,
-            asking: HashMap::new(),
-            shortages: BTreeMap::new(),
+            permit_requests: HashMap::new(),
+            permit_demand: BTreeMap::new(),
             random,
-            own_place,
-            changes: 0,
-            known_open: Vec::new(),
+            subset_offset,
+            change_count: 0,
+            eligible_cache: Vec::new(),
         }
     }
 
     // Names.
 
-    /// The key of a service.
+    /// Returns the key of a service.
     pub fn service(&mut self, name: &str) -> ServiceKey {
         self.services.key(name)
     }
 
-    /// The key of a zone.
+    /// Returns the key of a zone.
     pub fn zone(&mut self, name: &str) -> ZoneKey {
         self.zones.key(name)
     }
 
-    /// The key of a model.
+    /// Returns the key of a model.
     pub fn model(&mut self, name: &str) -> ModelKey {
         self.models.key(name)
     }
 
-    /// The name of a model.
+    /// Returns the name of a model.
     pub fn model_name(&self, key: ModelKey) -> &str {
         self.models.name(key)
     }
 
-    /// The key of a set of regions in which requests may run; of an empty one, that of nowhere.
-    pub fn homes<'a>(&mut self, regions: impl Iterator<Item = &'a str>) -> HomesKey {
+    /// Returns the key of a set of allowed regions. An empty set allows no region.
+    pub fn region_set<'a>(&mut self, regions: impl Iterator<Item = &'a str>) -> RegionSetKey {
         let set: BTreeSet<RegionKey> = regions.map(|name| self.regions.key(name)).collect();
-        let known = self.homes.iter().position(|known| *known == set);
+        let known = self.region_sets.iter().position(|known| *known == set);
         let index = known.unwrap_or_else(|| {
-            self.homes.push(set);
-            self.homes.len() - 1
+            self.region_sets.push(set);
+            self.region_sets.len() - 1
         });
-        HomesKey::from(u32::try_from(index).unwrap_or(u32::MAX))
+        RegionSetKey::from(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    // Where things are.
+    // Topology.
 
-    /// Notes the region of a zone.
+    /// Sets the region of a zone.
     pub fn set_region(&mut self, zone: &str, region: &str) {
-        self.changes += 1;
+        self.change_count += 1;
         let (zone, region) = (self.zones.key(zone), self.regions.key(region));
         self.region_of.insert(zone, region);
     }
 
-    /// Whether some zone is known to be in a region.
-    pub fn knows_region(&self, name: &str) -> bool {
+    /// Whether any known zone is in the region.
+    pub fn is_known_region(&self, name: &str) -> bool {
         self.region_of.values().any(|region| self.regions.name(*region) == name)
     }
 
-    /// Notes the zone of this daemon.
-    pub fn set_here(&mut self, zone: &str) {
-        self.here = Some(self.zones.key(zone));
+    /// Sets the zone of this daemon.
+    pub fn set_local_zone(&mut self, zone: &str) {
+        self.local_zone = Some(self.zones.key(zone));
     }
 
-    /// Time that a zone adds to a request.
-    pub fn distance(&self, zone: ZoneKey) -> Duration {
-        if Some(zone) == self.here {
+    /// Network latency that a server in `zone` adds to a request.
+    pub fn zone_latency(&self, zone: ZoneKey) -> Duration {
+        if Some(zone) == self.local_zone {
             return Duration::ZERO;
         }
         let region = |zone: ZoneKey| self.region_of.get(&zone);
-        let is_far = match (region(zone), self.here.and_then(region)) {
-            (Some(there), Some(here)) => there != here,
+        let is_far = match (region(zone), self.local_zone.and_then(region)) {
+            (Some(other_region), Some(local_region)) => other_region != local_region,
             _ => false,
         };
         if is_far {
-            OTHER_REGION
+            CROSS_REGION_LATENCY
         } else {
-            OTHER_ZONE
+            CROSS_ZONE_LATENCY
         }
     }
 
     // Limits.
 
-    /// Notes how many requests this daemon may have at one server of a service, and what such a server
-    /// bears while it is cold.
-    pub fn set_service(&mut self, name: &str, share: u32, cold: Option<ColdTerms>) {
+    /// Sets the limits of a service: the number of requests this daemon may have in flight per
+    /// server, and the rate limit of cold servers, if there is one.
+    pub fn set_service_limits(
+        &mut self,
+        name: &str,
+        max_in_flight: u32,
+        cold_start: Option<ColdStartLimit>,
+    ) {
         let service = self.services.key(name);
-        let cold = cold.filter(|terms| terms.per_second > 0.0);
-        let state = self.terms.entry(service).or_default();
-        (state.share, state.cold) = (Some(share), cold);
+        let cold_start = cold_start.filter(|limit| limit.per_second > 0.0);
+        let state = self.service_states.entry(service).or_default();
+        (state.max_in_flight, state.cold_start) = (Some(max_in_flight), cold_start);
     }
 
-    /// What a server of a service bears while it is cold, where that is bounded.
-    pub fn cold_terms(&self, key: ServerKey) -> Option<ColdTerms> {
-        let service = self.get(key)?.listing.service;
-        self.terms.get(&service)?.cold
+    /// Returns the rate limit that applies to a server while it is cold, if there is one.
+    pub fn cold_start_limit(&self, key: ServerKey) -> Option<ColdStartLimit> {
+        let service = self.get(key)?.registration.service;
+        self.service_states.get(&service)?.cold_start
     }
 
-    /// Has no server used until the evacuations are known.
+    /// Makes all servers ineligible until [`Self::mark_evacuations_loaded`] is called.
     pub fn await_evacuations(&mut self) {
         self.awaits_evacuations = true;
     }
 
-    /// Notes that the evacuations are known.
-    pub fn know_evacuations(&mut self) {
-        self.changes += 1;
+    /// Marks the evacuated zones as known.
+    pub fn mark_evacuations_loaded(&mut self) {
+        self.change_count += 1;
         self.awaits_evacuations = false;
     }
 
-    /// Whether the evacuations are known, where there may be any.
-    pub fn knows_evacuations(&self) -> bool {
+    /// Whether the evacuated zones are known.
+    pub fn evacuations_loaded(&self) -> bool {
         !self.awaits_evacuations
     }
 
-    /// Notes that nothing may be sent to a zone's servers any more.
+    /// Excludes the servers of a zone from new requests.
     pub fn evacuate(&mut self, zone: &str) {
-        self.changes += 1;
+        self.change_count += 1;
         let zone = self.zones.key(zone);
         self.evacuated.insert(zone);
     }
 
-    /// Notes that a zone's servers may be sent to again. They may have turned cold a moment ago,
-    /// before their entries tell of it.
-    pub fn readmit(&mut self, now: Moment, zone: &str) {
-        self.changes += 1;
+    /// Ends the evacuation of a zone. Its servers are treated as cold, since they may have become
+    /// cold before their registrations show it.
+    pub fn end_evacuation(&mut self, now: Moment, zone: &str) {
+        self.change_count += 1;
         let zone = self.zones.key(zone);
         if !self.evacuated.remove(&zone) {
             return;
         }
-        let terms = &self.terms;
-        for server in self.places.iter_mut().filter_map(|place| place.server.as_mut()) {
-            let cold = terms.get(&server.listing.service).and_then(|service| service.cold);
-            if let Some(cold) = cold.filter(|_| server.listing.zone == zone) {
-                server.assume_cold(now + cold.lasts);
+        let service_states = &self.service_states;
+        for server in self.arena.iter_mut().filter_map(|slot| slot.server.as_mut()) {
+            let cold_start = service_states
+                .get(&server.registration.service)
+                .and_then(|service| service.cold_start);
+            if let Some(cold_start) = cold_start.filter(|_| server.registration.zone == zone) {
+                server.assume_cold(now + cold_start.duration);
             }
         }
     }
 
     // Servers.
 
-    /// Takes in a server's entry.
+    /// Adds or updates a server.
     ///
-    /// A later run of the server than the one that is known gets another key: nothing that was known of
-    /// the former one holds for it. An entry of an earlier run changes nothing.
-    pub fn list(&mut self, now: Moment, id: &str, listing: Listing) -> ServerKey {
-        self.changes += 1;
-        let known = self.key(id).and_then(|key| Some((key, self.get(key)?.listing.incarnation)));
+    /// A new incarnation of a known server gets a new key and starts without the state of the
+    /// previous one. A registration of an older incarnation is ignored.
+    pub fn register(&mut self, now: Moment, id: &str, registration: Registration) -> ServerKey {
+        self.change_count += 1;
+        let known =
+            self.key(id).and_then(|key| Some((key, self.get(key)?.registration.incarnation)));
         match known {
-            Some((key, known)) if known > listing.incarnation => return key,
-            Some((key, known)) if known == listing.incarnation => {
-                self.relist(now, key, listing);
+            Some((key, known)) if known > registration.incarnation => return key,
+            Some((key, known)) if known == registration.incarnation => {
+                self.update_registration(now, key, registration);
                 return key;
             }
-            Some((key, _)) => self.forget(key),
+            Some((key, _)) => self.evict(key),
             None => {}
         }
-        let service = listing.service;
-        let key = self.add(Server::new(now, id, listing));
+        let service = registration.service;
+        let key = self.insert_server(Server::new(now, id, registration));
         self.by_id.insert(id.to_owned(), key);
         self.by_service.entry(service).or_default().insert(key);
         key
     }
 
-    /// Takes in a further entry of the run of a server that is known.
-    fn relist(&mut self, now: Moment, key: ServerKey, listing: Listing) {
-        self.gone.remove(&key);
-        let service = listing.service;
+    /// Updates the registration of a known incarnation.
+    fn update_registration(&mut self, now: Moment, key: ServerKey, registration: Registration) {
+        self.deregistered.remove(&key);
+        let service = registration.service;
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        let before = server.listing.service;
-        server.relist(now, listing);
-        if before != service {
-            self.unlink(before, key);
+        let previous = server.registration.service;
+        server.update_registration(now, registration);
+        if previous != service {
+            self.remove_from_service(previous, key);
         }
         self.by_service.entry(service).or_default().insert(key);
     }
 
-    fn add(&mut self, server: Server) -> ServerKey {
-        if let Some(index) = self.free.pop() {
-            let place = &mut self.places[index as usize];
-            place.generation += 1;
-            place.server = Some(server);
-            return ServerKey { index, generation: place.generation };
+    fn insert_server(&mut self, server: Server) -> ServerKey {
+        if let Some(index) = self.free_indices.pop() {
+            let slot = &mut self.arena[index as usize];
+            slot.generation += 1;
+            slot.server = Some(server);
+            return ServerKey { index, generation: slot.generation };
         }
-        let index = u32::try_from(self.places.len()).unwrap_or(u32::MAX);
-        self.places.push(Place { generation: 0, server: Some(server) });
+        let index = u32::try_from(self.arena.len()).unwrap_or(u32::MAX);
+        self.arena.push(ArenaSlot { generation: 0, server: Some(server) });
         ServerKey { index, generation: 0 }
     }
 
-    /// Notes that a server's entry went; the servers that are forgotten by now.
-    pub fn unlist(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
-        self.changes += 1;
+    /// Marks a server as deregistered. Returns the keys of all servers that are evicted by now.
+    pub fn deregister(&mut self, now: Moment, id: &str) -> Vec<ServerKey> {
+        self.change_count += 1;
         let key = self.key(id);
         if let Some((key, server)) = key.and_then(|key| Some((key, self.get_mut(key)?))) {
-            server.gone_since.get_or_insert(now);
-            self.gone.insert(key);
+            server.deregistered_at.get_or_insert(now);
+            self.deregistered.insert(key);
         }
-        self.forget_gone(now)
+        self.evict_deregistered(now)
     }
 
-    /// Forgets servers whose entries went long ago and at which nothing is under way.
-    fn forget_gone(&mut self, now: Moment) -> Vec<ServerKey> {
-        let is_over = |server: &Server| {
-            let gone = server.gone_since.is_some_and(|since| now >= since + LAPSED_USE);
-            gone && server.load.in_flight == 0
+    /// Evicts idle servers whose grace period after deregistration is over.
+    fn evict_deregistered(&mut self, now: Moment) -> Vec<ServerKey> {
+        let is_expired = |server: &Server| {
+            let is_past_grace =
+                server.deregistered_at.is_some_and(|since| now >= since + DEREGISTRATION_GRACE);
+            is_past_grace && server.health.in_flight == 0
         };
-        let over: Vec<ServerKey> =
-            self.gone.iter().copied().filter(|key| self.get(*key).is_none_or(&is_over)).collect();
-        for key in &over {
-            self.forget(*key);
+        let expired: Vec<ServerKey> = self
+            .deregistered
+            .iter()
+            .copied()
+            .filter(|key| self.get(*key).is_none_or(&is_expired))
+            .collect();
+        for key in &expired {
+            self.evict(*key);
         }
-        over
+        expired
     }
 
-    /// Forgets a server, with whatever was known of it.
-    fn forget(&mut self, key: ServerKey) {
-        self.gone.remove(&key);
-        let place = self.places.get_mut(key.index as usize);
-        let Some(place) = place.filter(|place| place.generation == key.generation) else {
+    /// Removes a server and all its state.
+    fn evict(&mut self, key: ServerKey) {
+        self.deregistered.remove(&key);
+        let slot = self.arena.get_mut(key.index as usize);
+        let Some(slot) = slot.filter(|slot| slot.generation == key.generation) else {
             return;
         };
-        let Some(server) = place.server.take() else {
+        let Some(server) = slot.server.take() else {
             return;
         };
-        self.free.push(key.index);
-        self.unlink(server.listing.service, key);
+        self.free_indices.push(key.index);
+        self.remove_from_service(server.registration.service, key);
         self.by_id.remove(&server.id);
-        self.asking.remove(&key);
-        self.shortages.remove(&key);
+        self.permit_requests.remove(&key);
+        self.permit_demand.remove(&key);
     }
 
-    fn unlink(&mut self, service: ServiceKey, key: ServerKey) {
+    fn remove_from_service(&mut self, service: ServiceKey, key: ServerKey) {
         if let Some(servers) = self.by_service.get_mut(&service) {
             servers.remove(&key);
         }
     }
 
-    /// The key of a server.
+    /// Returns the key of a server.
     pub fn key(&self, id: &str) -> Option<ServerKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The identifier of a server.
+    /// Returns the identifier of a server.
     pub fn id(&self, key: ServerKey) -> Option<&str> {
         self.get(key).map(|server| server.id.as_str())
     }
 
     pub(super) fn get(&self, key: ServerKey) -> Option<&Server> {
-        let place = self.places.get(key.index as usize)?;
-        place.server.as_ref().filter(|_| place.generation == key.generation)
+        let slot = self.arena.get(key.index as usize)?;
+        slot.server.as_ref().filter(|_| slot.generation == key.generation)
     }
 
     pub(super) fn get_mut(&mut self, key: ServerKey) -> Option<&mut Server> {
-        let place = self.places.get_mut(key.index as usize)?;
-        place.server.as_mut().filter(|_| place.generation == key.generation)
+        let slot = self.arena.get_mut(key.index as usize)?;
+        slot.server.as_mut().filter(|_| slot.generation == key.generation)
     }
 
-    pub(super) fn of_service(
+    pub(super) fn servers_of(
         &self,
         service: ServiceKey,
     ) -> impl Iterator<Item = (ServerKey, &Server)> {
@@ -407,145 +421,147 @@
         keys.filter_map(|key| Some((*key, self.get(*key)?)))
     }
 
-    /// Notes an order that a server has taken.
-    pub fn order_taken(&mut self, now: Moment, id: &str, model: &str, version: u64) {
-        self.changes += 1;
+    /// Records that a server has accepted a command to load a version of a model.
+    pub fn record_load_command(&mut self, now: Moment, id: &str, model: &str, version: u64) {
+        self.change_count += 1;
         let model = self.models.key(model);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.order_taken(OpenOrder { model, version, since: now });
+            server.record_load_command(PendingLoad { model, version, since: now });
         }
     }
 
-    /// The order that a server works on, if its entry does not show the version yet.
-    pub fn open_order(&self, now: Moment, id: &str) -> Option<OpenOrder> {
-        self.get(self.key(id)?)?.open_order(now)
+    /// Returns the version a server is loading, unless its registration already shows it.
+    pub fn pending_load(&self, now: Moment, id: &str) -> Option<PendingLoad> {
+        self.get(self.key(id)?)?.pending_load(now)
     }
 
-    // What is under way.
+    // Requests in flight.
 
-    /// Notes that a request is being sent to the run of a server that is known; one that goes to a cold
-    /// server uses a permit.
-    pub fn began(&mut self, now: Moment, id: &str) -> Option<ServerKey> {
+    /// Records that a request is sent to the current incarnation of a server. Uses a permit if the
+    /// server is cold. Returns the key to pass to [`Self::request_finished`].
+    pub fn request_started(&mut self, now: Moment, id: &str) -> Option<ServerKey> {
         let key = self.key(id)?;
-        let is_bounded = self.cold_terms(key).is_some();
+        let is_bounded = self.cold_start_limit(key).is_some();
         let server = self.get_mut(key)?;
-        server.load.in_flight += 1;
+        server.health.in_flight += 1;
         if is_bounded && server.is_cold(now) {
             server.use_permit(now);
         }
         Some(key)
     }
 
-    /// Notes how a request ended at the run of a server that it was sent to.
-    pub fn ended(&mut self, now: Moment, key: ServerKey, end: AttemptEnd) {
+    /// Records the outcome of a request.
+    pub fn request_finished(&mut self, now: Moment, key: ServerKey, outcome: AttemptOutcome) {
         if let Some(server) = self.get_mut(key) {
-            server.load.in_flight = server.load.in_flight.saturating_sub(1);
+            server.health.in_flight = server.health.in_flight.saturating_sub(1);
         }
-        self.note_at(now, key, end);
+        self.record_outcome_at(now, key, outcome);
     }
 
-    /// Notes an outcome without a request ending.
-    pub fn note(&mut self, now: Moment, id: &str, end: AttemptEnd) {
-        if end == AttemptEnd::Ended {
-            self.changes += 1;
+    /// Records an outcome without finishing a request.
+    pub fn record_outcome(&mut self, now: Moment, id: &str, outcome: AttemptOutcome) {
+        if outcome == AttemptOutcome::ServerExited {
+            self.change_count += 1;
         }
         if let Some(key) = self.key(id) {
-            self.note_at(now, key, end);
+            self.record_outcome_at(now, key, outcome);
         }
     }
 
-    fn note_at(&mut self, now: Moment, key: ServerKey, end: AttemptEnd) {
+    fn record_outcome_at(&mut self, now: Moment, key: ServerKey, outcome: AttemptOutcome) {
         let Some(server) = self.get_mut(key) else {
             return;
         };
-        server.load.note(now, end);
-        let service = server.listing.service;
-        if let AttemptEnd::Answered(latency) = end {
+        server.health.record_outcome(now, outcome);
+        let service = server.registration.service;
+        if let AttemptOutcome::Succeeded(latency) = outcome {
             let millis = latency.as_secs_f64() * 1e3;
-            let usual = &mut self.terms.entry(service).or_default().usual_millis;
-            let known = usual.unwrap_or(millis);
-            *usual = Some(known + (millis - known) * USUAL_WEIGHT);
+            let baseline = &mut self.service_states.entry(service).or_default().baseline_millis;
+            let known = baseline.unwrap_or(millis);
+            *baseline = Some(known + (millis - known) * BASELINE_SAMPLE_WEIGHT);
         }
     }
 
-    /// Notes that a request runs at a server that may end it.
-    pub fn isolate(&mut self, id: &str) {
+    /// Records that a request that may crash its server is running on a server.
+    pub fn add_suspect(&mut self, id: &str) {
         self.suspects += 1;
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.load.suspects += 1;
+            server.health.suspects += 1;
         }
     }
 
-    /// Notes that it runs there no longer.
-    pub fn end_isolation(&mut self, id: &str) {
+    /// Records that such a request has finished.
+    pub fn remove_suspect(&mut self, id: &str) {
         self.suspects = self.suspects.saturating_sub(1);
         if let Some(server) = self.key(id).and_then(|key| self.get_mut(key)) {
-            server.load.suspects = server.load.suspects.saturating_sub(1);
+            server.health.suspects = server.health.suspects.saturating_sub(1);
         }
     }
 
-    /// Requests that this daemon has under way at a server.
+    /// Number of requests this daemon has in flight on a server.
     pub fn in_flight(&self, id: &str) -> u32 {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.map_or(0, |server| server.load.in_flight)
+        server.map_or(0, |server| server.health.in_flight)
     }
 
-    /// Whether a server is being avoided.
-    pub fn is_avoided(&self, now: Moment, id: &str) -> bool {
+    /// Whether a server is in backoff.
+    pub fn is_in_backoff(&self, now: Moment, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.is_some_and(|server| server.load.is_avoided(now))
+        server.is_some_and(|server| server.health.is_in_backoff(now))
     }
 
-    /// Whether texts that run at a server had better go on elsewhere: its zone is evacuated.
-    pub fn is_to_be_left(&self, id: &str) -> bool {
+    /// Whether the server's zone is evacuated, so that its batch items should migrate.
+    pub fn is_in_evacuated_zone(&self, id: &str) -> bool {
         let server = self.key(id).and_then(|key| self.get(key));
-        server.is_some_and(|server| self.evacuated.contains(&server.listing.zone))
+        server.is_some_and(|server| self.evacuated.contains(&server.registration.zone))
     }
 
     // Permits.
 
-    /// Cold servers that requests wait for since the last call, which are not being asked for yet.
-    pub fn take_shortages(&mut self, now: Moment) -> Vec<Shortage> {
-        let shortages = std::mem::take(&mut self.shortages);
+    /// Takes the permit demand recorded since the last call, except for servers whose permits are
+    /// being requested or may not be requested yet.
+    pub fn take_permit_demand(&mut self, now: Moment) -> Vec<PermitDemand> {
+        let permit_demand = std::mem::take(&mut self.permit_demand);
         let mut due = Vec::new();
-        for (server, permits) in shortages {
-            let may_ask = match self.asking.get(&server) {
+        for (server, permits) in permit_demand {
+            let may_request = match self.permit_requests.get(&server) {
                 None => true,
                 Some(None) => false,
                 Some(Some(from)) => now >= *from,
             };
-            if may_ask {
-                self.asking.insert(server, None);
-                due.push(Shortage { server, permits });
+            if may_request {
+                self.permit_requests.insert(server, None);
+                due.push(PermitDemand { server, permits });
             }
         }
         due
     }
 
-    /// Takes in what a lender gave: permits that hold until then, or none before `again`.
-    pub fn note_loan(
+    /// Records the response to a permit request: `permits` that are valid until `until`. If there
+    /// are none, permits may be requested again after `retry_after`.
+    pub fn record_permit_grant(
         &mut self,
         now: Moment,
         key: ServerKey,
         permits: u32,
         until: Moment,
-        again: Option<Duration>,
+        retry_after: Option<Duration>,
     ) {
         if permits == 0 {
-            let rest = again.unwrap_or(PERMIT_REST);
-            self.asking.insert(key, Some(now + rest));
+            let delay = retry_after.unwrap_or(PERMIT_RETRY_DELAY);
+            self.permit_requests.insert(key, Some(now + delay));
             return;
         }
-        self.asking.remove(&key);
+        self.permit_requests.remove(&key);
         if let Some(server) = self.get_mut(key) {
             server.permits.retain(|until| now < *until);
             server.permits.extend((0..permits).map(|_| until));
         }
     }
 
-    /// Servers that are cold, by zone.
-    pub fn cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
-        let servers = self.places.iter().filter_map(|place| place.server.as_ref());
-        servers.filter(|server| server.listing.zone == zone && server.is_cold(now)).count()
+    /// Number of cold servers in a zone.
+    pub fn count_cold_servers(&self, now: Moment, zone: ZoneKey) -> usize {
+        let servers = self.arena.iter().filter_map(|slot| slot.server.as_ref());
+        servers.filter(|server| server.registration.zone == zone && server.is_cold(now)).count()
     }
 }
