--- a/crates/heronbend-gateway/src/batch/reading.rs
+++ b/crates/heronbend-gateway/src/batch/results_reader.rs
@@ -1,7 +1,7 @@
-//! Reading results and items, at any daemon.
+//! Serves results and items of any job to callers and peers.
 //!
-//! A reader gets results whose position is settled, from what this daemon knows, else from the
-//! owner, else from the store. Settled results never change, so an older view is a true prefix.
+//! Only committed results are returned: from the local log if it has them, otherwise from the owner
+//! or the store. Committed results never change, so a stale local log is a valid prefix.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use smol::Timer;
 
 use super::appender;
-use super::hand_in::item_body;
 use super::registry::{Job, OWNERSHIPS};
 use super::result_log::ItemResult;
 use super::result_log::ResultsPage;
 use super::runner;
+use super::submission::item_body;
 use crate::gateway::Gateway;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{ObjectStore, StoreError};
 use crate::wait;
 
-/// Why nothing can be read.
+/// Error of [`results`] and [`item`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// There is no such job or item.
+    /// There is no such job or item, or the caller may not see it.
     NotFound,
-    /// It cannot be told now.
+    /// Neither the owner nor the store can answer at present.
     Unavailable,
 }
 
-/// Rest between two looks at the store for a job whose owner cannot be asked.
-const STORE_LOOK: Duration = Duration::from_millis(450);
+/// Interval between reads of the store if the owner cannot be reached.
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Rest between two calls to an owner, which tells of results before the reader's position as well.
-const OWNER_REST: Duration = Duration::from_millis(5);
+/// Delay between consecutive calls to the owner.
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Results from a position on; waits for one until `wait_until`.
+/// Returns results from position `from`. Waits until `wait_until` for the first one (long poll).
 pub async fn results(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -45,57 +45,57 @@
     from: usize,
     wait_until: Moment,
 ) -> Result<ResultsPage, ReadError> {
-    let job = find(gateway, id, caller).await?;
+    let job = find_visible(gateway, id, caller).await?;
     loop {
-        let grew = job.grew.listen();
+        let log_changed = job.log_changed.listen();
         if job.log.borrow().len() > from || job.is_complete() {
-            return page_here(&job, from);
+            return local_page(&job, from);
         }
         let now = gateway.now();
-        let left = wait_until.saturating_sub(now);
-        if job.is_authority(now) {
-            if left.is_zero() || job.ended.get() {
-                return page_here(&job, from);
+        let remaining = wait_until.saturating_sub(now);
+        if job.is_authoritative(now) {
+            if remaining.is_zero() || job.ended.get() {
+                return local_page(&job, from);
             }
-            job.read_held_until.set(wait_until);
-            wait::at_most(left, grew).await;
-            job.read_held_until.set(Moment::ZERO);
+            job.long_poll_until.set(wait_until);
+            wait::at_most(remaining, log_changed).await;
+            job.long_poll_until.set(Moment::ZERO);
             continue;
         }
-        // An owner holds a call until it has news; the store answers at once.
-        let rest = match ask_owner(gateway, &job, from, left).await {
+        // The owner answers as a long poll; the store answers immediately.
+        let poll_interval = match ask_owner(gateway, &job, from, remaining).await {
             Some(page) => {
                 let page = page?;
                 if !page.results.is_empty() || gateway.now() >= wait_until || job.ended.get() {
                     return Ok(page);
                 }
-                OWNER_REST
+                OWNER_POLL_INTERVAL
             }
             None => {
                 catch_up(gateway, &job).await?;
-                let has_news = job.log.borrow().len() > from;
-                if has_news || gateway.now() >= wait_until || job.ended.get() {
-                    return page_here(&job, from);
+                let has_new_results = job.log.borrow().len() > from;
+                if has_new_results || gateway.now() >= wait_until || job.ended.get() {
+                    return local_page(&job, from);
                 }
-                STORE_LOOK
+                STORE_POLL_INTERVAL
             }
         };
-        Timer::after(rest.min(wait_until.saturating_sub(gateway.now()))).await;
+        Timer::after(poll_interval.min(wait_until.saturating_sub(gateway.now()))).await;
     }
 }
 
-/// What is known here from a position on.
-fn page_here(job: &Job, from: usize) -> Result<ResultsPage, ReadError> {
+/// Results in the local log from position `from`.
+fn local_page(job: &Job, from: usize) -> Result<ResultsPage, ReadError> {
     let log = job.log.borrow();
     if from > log.len() {
-        // The reader has seen more than is known here.
+        // The caller has already seen more results than the local log holds.
         return Err(ReadError::Unavailable);
     }
     Ok(ResultsPage { total: job.total, from, results: log.page(from) })
 }
 
-/// Asks the owner of a job that runs elsewhere for results from a position on, and for no others:
-/// texts are long, and their bytes between zones have a price. Nothing when it cannot tell.
+/// Asks a remote owner for results from position `from`. Earlier results are not requested, to
+/// limit traffic between zones. Returns `None` if the owner cannot answer.
 async fn ask_owner(
     gateway: &Gateway,
     job: &Job,
@@ -119,13 +119,13 @@
     let continues = job.log.borrow().len() == from && from + results.len() == settled;
     if continues && !results.is_empty() {
         job.log.borrow_mut().extend(results.clone(), chunks);
-        job.owner_in_doubt.set(true);
-        job.grew.notify(usize::MAX);
+        job.owner_unconfirmed.set(true);
+        job.log_changed.notify(usize::MAX);
     }
     Some(Ok(ResultsPage { total: job.total, from, results }))
 }
 
-/// Brings the log of a job up to date from the store.
+/// Updates the local log from the store.
 async fn catch_up(gateway: &Gateway, job: &Job) -> Result<(), ReadError> {
     appender::catch_up(gateway, job).await.map_err(|error| {
         log::warn!("event=results_not_read job={} error=\"{error}\"", job.id);
@@ -133,7 +133,7 @@
     })
 }
 
-/// Answers a peer that reads a job which runs here.
+/// Answers a read from a peer for a job that runs on this daemon.
 pub async fn answer_peer(
     gateway: &Rc<Gateway>,
     id: &str,
@@ -141,54 +141,55 @@
     limit: Duration,
 ) -> PeerReply {
     let job = gateway.jobs.get(id).filter(|job| job.owner() == gateway.identity.node);
-    let Some(job) = job.filter(|job| job.is_authority(gateway.now()) || job.is_complete()) else {
+    let Some(job) = job.filter(|job| job.is_authoritative(gateway.now()) || job.is_complete())
+    else {
         return PeerReply::NotOwner;
     };
     let until = gateway.now() + limit;
     loop {
-        let grew = job.grew.listen();
-        let left = until.saturating_sub(gateway.now());
-        let has_news = job.log.borrow().len() > from;
-        if has_news || left.is_zero() || job.ended.get() || !job.running.get() {
+        let log_changed = job.log_changed.listen();
+        let remaining = until.saturating_sub(gateway.now());
+        let has_new_results = job.log.borrow().len() > from;
+        if has_new_results || remaining.is_zero() || job.ended.get() || !job.running.get() {
             break;
         }
-        job.read_held_until.set(until);
-        wait::at_most(left, grew).await;
-        job.read_held_until.set(Moment::ZERO);
+        job.long_poll_until.set(until);
+        wait::at_most(remaining, log_changed).await;
+        job.long_poll_until.set(Moment::ZERO);
     }
     let log = job.log.borrow();
     let results = log.page(from).iter().map(|result| (**result).clone()).collect();
     PeerReply::Results { results, settled: log.len(), chunks: log.chunks() }
 }
 
-/// The body of an item.
+/// Returns the decoded body of an item.
 pub async fn item(
     gateway: &Rc<Gateway>,
     id: &str,
     caller: &Caller,
     item: &str,
 ) -> Result<Bytes, ReadError> {
-    let job = find(gateway, id, caller).await?;
+    let job = find_visible(gateway, id, caller).await?;
     let specification =
-        runner::specification(gateway, &job).await.map_err(|error| match error {
+        runner::load_specification(gateway, &job).await.map_err(|error| match error {
             StoreError::NotFound => ReadError::NotFound,
             _ => ReadError::Unavailable,
         })?;
     item_body(&specification, item).ok_or(ReadError::NotFound)
 }
 
-/// A job that is known here or in the store. One of another tenant is as good as none.
-async fn find(gateway: &Gateway, id: &str, caller: &Caller) -> Result<Rc<Job>, ReadError> {
-    let job = find_any(gateway, id).await?;
+/// Finds a job that is visible to the caller. A job of another tenant is reported as not found.
+async fn find_visible(gateway: &Gateway, id: &str, caller: &Caller) -> Result<Rc<Job>, ReadError> {
+    let job = find(gateway, id).await?;
     job.is_visible_to(caller).then_some(job).ok_or(ReadError::NotFound)
 }
 
-async fn find_any(gateway: &Gateway, id: &str) -> Result<Rc<Job>, ReadError> {
+async fn find(gateway: &Gateway, id: &str) -> Result<Rc<Job>, ReadError> {
     if let Some(job) = gateway.jobs.get(id) {
         return Ok(job);
     }
     match gateway.store.get(OWNERSHIPS, id).await {
-        Ok(Some(object)) => gateway.jobs.learn_object(&object).ok_or(ReadError::Unavailable),
+        Ok(Some(object)) => gateway.jobs.upsert_object(&object).ok_or(ReadError::Unavailable),
         Ok(None) => Err(ReadError::NotFound),
         Err(error) => {
             log::warn!("event=job_not_found_out job={id} error=\"{error}\"");
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -270,9 +270,9 @@
 /// Duration of a trainer's step so far, if it is in progress or ended recently.
 fn step_time(job: &Job, now: Moment) -> Option<Duration> {
     job.ownership.borrow().0.model.as_ref()?;
-    match job.ended_since.get() {
+    match job.ended_at.get() {
         Some(ended) if now.saturating_sub(ended) > RECENT_STEP_WINDOW => None,
-        Some(ended) => Some(ended.saturating_sub(job.known_since)),
-        None => Some(now.saturating_sub(job.known_since)),
+        Some(ended) => Some(ended.saturating_sub(job.first_seen)),
+        None => Some(now.saturating_sub(job.first_seen)),
     }
 }
--- a/crates/heronbend-gateway/src/versions/watch.rs
+++ b/crates/heronbend-gateway/src/versions/watch.rs
@@ -48,7 +48,7 @@
                 if let Some(job) = newest_job(&self.0, &published.model).filter(|_| is_new) {
                     self.0
                         .versions
-                        .record_step_time(&published.model, now.saturating_sub(job.known_since));
+                        .record_step_time(&published.model, now.saturating_sub(job.first_seen));
                 }
             }
             Err(error) => log::warn!("event=version_malformed error=\"{error}\""),
@@ -64,7 +64,7 @@
 pub(super) fn newest_job(gateway: &Gateway, model: &str) -> Option<Rc<Job>> {
     let jobs = gateway.jobs.all().into_iter();
     jobs.filter(|job| job.ownership.borrow().0.model.as_deref() == Some(model))
-        .max_by_key(|job| job.known_since)
+        .max_by_key(|job| job.first_seen)
 }
 
 /// Watches published versions while this daemon is a candidate for the lease. Other daemons do not
@@ -105,7 +105,9 @@
 pub(super) fn candidates(gateway: &Gateway) -> Vec<NodeId> {
     let mut nodes = gateway.members.alive();
     nodes.push(gateway.identity.node.clone());
-    nodes.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object(), node)));
+    nodes.sort_by_cached_key(|node| {
+        Reverse(ownership::rendezvous_weight(LeaseName::Orders.object(), node))
+    });
     nodes.truncate(CANDIDATES);
     nodes
 }
@@ -116,5 +118,5 @@
     let mut nodes: Vec<NodeId> = gateway.members.alive();
     nodes.push(local.clone());
     nodes.retain(|node| Some(&node.name) != holder);
-    ownership::place_in_line(LeaseName::Orders.object(), local, &nodes)
+    ownership::takeover_position(LeaseName::Orders.object(), local, &nodes)
 }
