--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -23,10 +23,10 @@
 use super::succession::Tenure;
 use crate::access;
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::mirror::backoff;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::region_policy;
 
 /// Room that an object needs apart from a specification's own bytes.
 const OBJECT_OVERHEAD: usize = 4 * 1024;
@@ -253,7 +253,7 @@
     let configuration = gateway.configuration()?;
     let route = configuration.route(&specification.host, &specification.path)?;
     let owner = access::owner_of_job(&configuration, specification.tenant.as_deref());
-    homes::of(&configuration, route, &owner)
+    region_policy::of(&configuration, route, &owner)
 }
 
 /// Who runs the newest job of each model.
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -25,19 +25,19 @@
 use super::reward::{self, Score};
 use super::specification::{Item, JobSpecification};
 use crate::access;
+use crate::attempt::{self, AttemptFailure, Outgoing};
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
-use crate::exchange::{self, AttemptFailure, Outgoing};
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::http::client::{Exchange, ExchangeError};
-use crate::places;
-use crate::places::Placed;
 use crate::quarantine;
 use crate::quarantine::evidence;
 use crate::quarantine::passage;
 use crate::quarantine::Isolation;
 use crate::quarantine::Pass;
+use crate::region_policy;
+use crate::slot_queue;
+use crate::slot_queue::Placed;
 
 /// Longest silence before the first event. A request may wait in the server's queue.
 const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2500);
@@ -151,7 +151,8 @@
             };
             self.keep_apart(pass, &route);
             let history = self.history.clone();
-            let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
+            let placed =
+                slot_queue::text(self.gateway, &self.item.id, need, urgency, history).await;
             // What is known may have changed while it waited for a place.
             if pass != Pass::Probe && self.is_barred(&route) {
                 continue;
@@ -292,10 +293,10 @@
     /// What the item needs of a server.
     fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Requirements {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let homes = homes::of(configuration, route, &owner);
+        let homes = region_policy::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        places::need(self.gateway, service, model, homes.as_ref())
+        slot_queue::need(self.gateway, service, model, homes.as_ref())
     }
 
     /// How urgent the item is among those that wait.
@@ -327,7 +328,7 @@
         };
         let first_event = self.last_event();
         let asked = self.gateway.now();
-        let answer = exchange::begin(self.gateway, server, &outgoing, ITEM_DEADLINE);
+        let answer = attempt::begin(self.gateway, server, &outgoing, ITEM_DEADLINE);
         let answer = answer.or(async {
             Timer::after(FIRST_EVENT_LIMIT).await;
             Err(AttemptFailure::Unknown("no head in time"))
@@ -377,7 +378,7 @@
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
-                if exchange::is_break(reason) {
+                if attempt::is_break(reason) {
                     evidence::note_break(self.gateway, server, &outgoing, events);
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
@@ -479,9 +480,9 @@
                 }
                 Ok(None) if self.last_event() == 0 => break Err("no events"),
                 Ok(None) if reader.is_between_events() => break Ok(()),
-                Ok(None) => break Err(exchange::CUT),
+                Ok(None) => break Err(attempt::CUT),
                 Err(ExchangeError::Timeout) => break Err("silent"),
-                Err(_) => break Err(exchange::BROKEN_OFF),
+                Err(_) => break Err(attempt::BROKEN_OFF),
             }
             if !self.versions_fit(route) {
                 break Err("versions do not fit");
--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -21,11 +21,11 @@
 use super::succession;
 use crate::dissemination;
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::mirror::{list_all, wait_for_store};
 use crate::news_way::Way;
 use crate::peers::{client, introduction, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::region_policy;
 use crate::wait;
 
 /// Time between two looks for jobs without a living owner.
@@ -253,7 +253,7 @@
 /// Takes a job over, if nobody else has meanwhile.
 pub async fn adopt(gateway: &Rc<Gateway>, job: &Rc<Job>, reason: Reason) {
     let (former, revision) = job.ownership.borrow().clone();
-    if !homes::allow(former.homes.as_ref(), &gateway.identity.region) {
+    if !region_policy::allow(former.homes.as_ref(), &gateway.identity.region) {
         log::warn!("event=job_not_adopted job={} reason=outside_homes", job.id);
         return;
     }
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -11,11 +11,11 @@
 use super::reward_turn;
 use super::specification::RewardCall;
 use crate::access;
-use crate::exchange::Outgoing;
+use crate::attempt::Outgoing;
 use crate::forward::{forward, Allowance, ForwardError};
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::http::client::WholeAnswer;
+use crate::region_policy;
 
 /// Servers that one round of a call may be sent to.
 const ATTEMPTS_A_ROUND: u32 = 2;
@@ -106,7 +106,7 @@
         fingerprint: OnceCell::new(),
     };
     let owner = access::owner_of_job(&configuration, job.ownership.borrow().0.tenant.as_deref());
-    let homes = homes::of(&configuration, route, &owner);
+    let homes = region_policy::of(&configuration, route, &owner);
     let allowance = Allowance::of_route(route, gateway.now(), None, homes);
     Some((outgoing, service, allowance, route.max_attempts.max(1)))
 }
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -15,21 +15,21 @@
 
 use crate::access;
 use crate::access::Refusal;
+use crate::attempt::Outgoing;
 use crate::batch::hand_in::{self, EndError, HandInError};
 use crate::batch::reading::{self, ReadError};
 use crate::configuration::{Configuration, Route, RouteKind};
 use crate::duties::billing::Billing;
-use crate::exchange::Outgoing;
 use crate::forward::{forward, retry_after, Allowance, ForwardError};
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::homes;
 use crate::http::client::WholeAnswer;
 use crate::http::server::{read_body, BodyError, BodyLimits};
 use crate::http::{bytes_answer, text_answer, Answer, AnswerBody};
 use crate::memory::Hold;
 use crate::ports::Call;
 use crate::quarantine::Refused;
+use crate::region_policy;
 use crate::stream::{self, Opened};
 
 /// Longest time that a call of the batch interface tries to reach the store.
@@ -263,7 +263,7 @@
     };
     let names = gateway.dialect.headers();
     let patience = headers::millis(&head.headers, &names.deadline_millis);
-    let homes = homes::of(configuration, route, &caller);
+    let homes = region_policy::of(configuration, route, &caller);
     let allowance = Allowance::of_route(route, arrived, patience, homes);
     let tenant = caller.tenant().map(str::to_owned);
     let mut headers = headers::passed_on(&head.headers);
--- a/crates/heronbend-gateway/src/directory.rs
+++ b/crates/heronbend-gateway/src/directory.rs
@@ -22,7 +22,7 @@
 use serde::Serialize;
 
 use crate::http::client::ConnectionPool;
-use crate::pool::Pool;
+use crate::interner::Pool;
 
 /// What a server says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -18,18 +18,18 @@
 use smol::channel::{bounded, Sender};
 use smol::{Task, Timer};
 
+use crate::attempt::{self, AttemptFailure, CountedAttempt, Outgoing};
 use crate::configuration::Route;
 use crate::directory::Server;
-use crate::exchange::{self, AttemptFailure, CountedAttempt, Outgoing};
 use crate::gateway::Gateway;
 use crate::http::client::WholeAnswer;
 use crate::permits;
-use crate::places;
 use crate::quarantine;
 use crate::quarantine::evidence;
 use crate::quarantine::passage;
 use crate::quarantine::Passage;
 use crate::quarantine::Refused;
+use crate::slot_queue;
 use crate::wait;
 
 /// Share of the target latency after which a repeatable request is also sent to a second server.
@@ -150,7 +150,7 @@
     let forwarding = Forwarding {
         gateway: gateway.clone(),
         outgoing: Rc::new(outgoing),
-        need: places::need(gateway, service, None, allowance.homes.as_ref()),
+        need: slot_queue::need(gateway, service, None, allowance.homes.as_ref()),
         allowance,
         history: AttemptHistory::default(),
         begun: gateway.now(),
@@ -382,8 +382,8 @@
 
     async fn exchange(&self) -> Result<WholeAnswer, AttemptFailure> {
         let time_left = self.deadline.saturating_sub(self.gateway.now());
-        let begun = exchange::begin(&self.gateway, &self.server, &self.outgoing, time_left);
-        exchange::read_whole(begun.await?).await
+        let begun = attempt::begin(&self.gateway, &self.server, &self.outgoing, time_left);
+        attempt::read_whole(begun.await?).await
     }
 
     /// What is done if the attempt is dropped before it has ended.
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -34,7 +34,6 @@
 use crate::dissemination::Telling;
 use crate::duties::book::Book;
 use crate::duties::book::Terms;
-use crate::homes;
 use crate::http::client::ConnectionPool;
 use crate::lease_news::LeaseName;
 use crate::lease_news::LeaseNews;
@@ -45,12 +44,13 @@
 use crate::peers::Peers;
 use crate::permits::ColdMargin;
 use crate::permits::Permits;
-use crate::places::Places;
 use crate::ports::{Dialect, Ports, Provider};
 use crate::quarantine::Quarantine;
+use crate::region_policy;
 use crate::relayed_store::RelayedStore;
 use crate::replica::Replica;
-use crate::split::Splitter;
+use crate::slot_queue::Places;
+use crate::traffic_split::Splitter;
 use crate::versions::board::VersionBoard;
 
 /// Longest wait for a connection to a server.
@@ -369,7 +369,7 @@
     /// The daemons that may run jobs with these homes now, this one among them unless it stops.
     pub fn job_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
         let mut candidates = self.members.alive_candidates(homes);
-        if !self.draining.get() && homes::allow(homes, &self.identity.region) {
+        if !self.draining.get() && region_policy::allow(homes, &self.identity.region) {
             candidates.push(self.own_candidate());
         }
         candidates
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! - [`duties`], [`lease_keeper`], [`lease_news`]: what one daemon at a time does for all.
 //! - [`access`]: on whose behalf a call is made.
-//! - [`calls`], [`forward`], [`stream`], [`exchange`], [`split`]: requests passed on.
-//! - [`directory`], [`places`], [`permits`], [`evacuations`], [`homes`]: what decides where they go.
+//! - [`calls`], [`forward`], [`stream`], [`attempt`], [`traffic_split`]: requests passed on.
+//! - [`directory`], [`slot_queue`], [`permits`], [`evacuations`], [`region_policy`]: what decides where they go.
 //! - [`events`]: the events of a server's stream.
 //! - [`quarantine`]: requests that end the servers that run them.
 //! - [`clock`]: the time that rights and deadlines are judged by.
@@ -19,11 +19,12 @@
 //! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`],
 //!   [`news_way`], [`dissemination`], [`configuration`]:
 //!   the store and what it says.
-//! - [`service`], [`keeper`], [`settings`], [`reload`]: the programs and their settings.
+//! - [`service`], [`retirement`], [`settings`], [`reload`]: the programs and their settings.
 //! - [`logging`], [`metrics`]: what they tell.
 //! - [`explain`], [`steps`], [`day`], [`day_plot`]: what their logs tell afterwards.
 
 pub mod access;
+pub mod attempt;
 pub mod batch;
 pub mod calls;
 pub mod clock;
@@ -36,14 +37,12 @@
 pub mod encoded_object;
 pub mod evacuations;
 pub mod events;
-pub mod exchange;
 pub mod explain;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
-pub mod homes;
 pub mod http;
-pub mod keeper;
+pub mod interner;
 pub mod lease_keeper;
 pub mod lease_news;
 pub mod logging;
@@ -54,17 +53,18 @@
 pub mod packed_news;
 pub mod peers;
 pub mod permits;
-pub mod places;
-pub mod pool;
 pub mod ports;
 pub mod quarantine;
+pub mod region_policy;
 pub mod relayed_store;
 pub mod reload;
 pub mod replica;
+pub mod retirement;
 pub mod service;
 pub mod settings;
-pub mod split;
+pub mod slot_queue;
 pub mod steps;
 pub mod stream;
+pub mod traffic_split;
 pub mod versions;
 pub mod wait;
--- a/crates/heronbend-gateway/src/peers/mod.rs
+++ b/crates/heronbend-gateway/src/peers/mod.rs
@@ -24,7 +24,7 @@
 use heronbend::Moment;
 use smol::channel::{bounded, Receiver, Sender};
 
-use crate::homes;
+use crate::region_policy;
 
 pub use messages::{Hint, PeerReply, PeerRequest};
 
@@ -166,7 +166,7 @@
     pub fn alive_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
-        let alive = alive.filter(|member| homes::allow(homes, &member.region));
+        let alive = alive.filter(|member| region_policy::allow(homes, &member.region));
         alive.map(Candidate::from).collect()
     }
 
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -14,8 +14,8 @@
 
 use super::note;
 use super::By;
+use crate::attempt::Outgoing;
 use crate::directory::Server;
-use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 use crate::http::client::Reach;
 
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -31,7 +31,7 @@
 use smol::Timer;
 
 use self::isolation::Keeper;
-use crate::exchange::Outgoing;
+use crate::attempt::Outgoing;
 use crate::gateway::Gateway;
 
 pub use self::isolation::Isolation;
--- a/crates/heronbend-gateway/src/quarantine/passage.rs
+++ b/crates/heronbend-gateway/src/quarantine/passage.rs
@@ -8,9 +8,9 @@
 use super::Isolation;
 use super::Pass;
 use super::Refused;
+use crate::attempt::AttemptFailure;
+use crate::attempt::Outgoing;
 use crate::directory::Server;
-use crate::exchange::AttemptFailure;
-use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 
 /// How one request may be sent to servers.
--- a/crates/heronbend-gateway/src/reload.rs
+++ b/crates/heronbend-gateway/src/reload.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::Tuning;
-use crate::keeper::SignalWait;
+use crate::retirement::SignalWait;
 use crate::settings::Settings;
 
 /// Time between two looks whether the file has changed without a signal.
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -97,8 +97,8 @@
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     let ports = ports(executor.clone());
-    let stop = crate::keeper::stop_signal(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
-    let hang_up = crate::keeper::stop_signal(&[SIGHUP]).map_err(StartError::Signals)?;
+    let stop = crate::retirement::stop_signal(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
+    let hang_up = crate::retirement::stop_signal(&[SIGHUP]).map_err(StartError::Signals)?;
     let (identity, tuning) = (source.settings.identity(), source.settings.tuning());
     let addresses = source.settings.addresses();
     let first_start = source.settings.first_start;
--- a/crates/heronbend-gateway/src/places.rs
+++ b/crates/heronbend-gateway/src/slot_queue.rs
@@ -20,8 +20,8 @@
 use smol::channel::Sender;
 use smol::Timer;
 
+use crate::attempt::CountedAttempt;
 use crate::directory::Server;
-use crate::exchange::CountedAttempt;
 use crate::gateway::Gateway;
 use crate::permits;
 use crate::wait;
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -27,14 +27,14 @@
 use http::StatusCode;
 use smol::Timer;
 
+use crate::attempt;
+use crate::attempt::AttemptFailure;
+use crate::attempt::CountedAttempt;
+use crate::attempt::Outgoing;
 use crate::configuration::Configuration;
 use crate::directory::Server;
 use crate::events::Event;
 use crate::events::Parser;
-use crate::exchange;
-use crate::exchange::AttemptFailure;
-use crate::exchange::CountedAttempt;
-use crate::exchange::Outgoing;
 use crate::forward::Allowance;
 use crate::forward::ForwardError;
 use crate::forward::SPENT;
@@ -44,12 +44,12 @@
 use crate::http::client::WholeAnswer;
 use crate::http::AnswerBody;
 use crate::permits;
-use crate::places;
 use crate::quarantine;
 use crate::quarantine::evidence;
 use crate::quarantine::passage;
 use crate::quarantine::Isolation;
 use crate::quarantine::Passage;
+use crate::slot_queue;
 use crate::wait;
 
 /// Silence before the first event after which a resumable stream is moved. A request may wait in
@@ -148,7 +148,7 @@
     };
     // Only servers that run models have versions of them.
     let model = model.filter(|_| gateway.configuration().as_deref().is_some_and(is_engine));
-    let need = places::need(gateway, service, model, allowance.homes.as_ref());
+    let need = slot_queue::need(gateway, service, model, allowance.homes.as_ref());
     let mut relay = Relay {
         gateway: gateway.clone(),
         last_event: last_event.and_then(|value| value.trim().parse().ok()).unwrap_or(0),
@@ -248,8 +248,8 @@
                 Err(_) => Piece::Broken("malformed"),
             },
             Some(Ok(None)) if run.parser.is_between_events() => Piece::End,
-            Some(Ok(None)) => Piece::Broken(exchange::CUT),
-            Some(Err(_)) => Piece::Broken(exchange::BROKEN_OFF),
+            Some(Ok(None)) => Piece::Broken(attempt::CUT),
+            Some(Err(_)) => Piece::Broken(attempt::BROKEN_OFF),
         }
     }
 
@@ -315,7 +315,7 @@
             self.last_event,
             self.spent
         );
-        if exchange::is_break(reason) {
+        if attempt::is_break(reason) {
             let events = u64::from(run.events);
             evidence::note_break(&self.gateway, &run.server, &self.outgoing, events);
         }
@@ -434,7 +434,7 @@
             wait::until(&self.gateway, until).await;
             Err(AttemptFailure::Unknown("no head in time"))
         };
-        exchange::begin(&self.gateway, server, &outgoing, left).or(late).await
+        attempt::begin(&self.gateway, server, &outgoing, left).or(late).await
     }
 
     /// Takes an answer that is not a stream.
@@ -444,7 +444,7 @@
         counted: CountedAttempt,
     ) -> Result<(), Break> {
         let is_retried = exchange.status.is_server_error();
-        let answer = match exchange::read_whole(exchange).await {
+        let answer = match attempt::read_whole(exchange).await {
             Ok(answer) => answer,
             Err(failure) => return self.take_attempt(failure, counted),
         };
--- a/crates/heronbend-gateway/tests/memory_of_servers.rs
+++ b/crates/heronbend-gateway/tests/memory_of_servers.rs
@@ -11,7 +11,7 @@
 use heronbend_gateway::directory::Directory;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::encoded_object::EncodedObject;
-use heronbend_gateway::pool::Pool;
+use heronbend_gateway::interner::Pool;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::replica::Replica;
 use serde_json::json;
--- a/crates/heronbend-gateway/tests/routing.rs
+++ b/crates/heronbend-gateway/tests/routing.rs
@@ -7,7 +7,7 @@
 
 use heronbend_gateway::configuration::{ClientLimits, Configuration, Destination, Route};
 use heronbend_gateway::headers;
-use heronbend_gateway::split::Splitter;
+use heronbend_gateway::traffic_split::Splitter;
 use http::HeaderMap;
 use support::route;
 
