--- a/crates/heronbend-gateway/src/access.rs
+++ b/crates/heronbend-gateway/src/access.rs
@@ -16,7 +16,7 @@
 
 /// Why a call that needs a key is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum AuthError {
     /// It presents no key, or more than one.
     #[error("a key is required")]
     Missing,
@@ -25,9 +25,9 @@
     Unknown,
 }
 
-impl Refusal {
+impl AuthError {
     /// What the caller is told.
-    pub fn text(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
             Self::Missing => "a key is required: Authorization: Bearer KEY",
             Self::Unknown => "the key is unknown",
@@ -40,12 +40,12 @@
     configuration: &Configuration,
     headers: &HeaderMap,
     hasher: &KeyHasher,
-) -> Result<Caller, Refusal> {
+) -> Result<Caller, AuthError> {
     let Some(keyring) = &configuration.access else {
         return Ok(Caller::AuthDisabled);
     };
-    let key = presented_key(headers).ok_or(Refusal::Missing)?;
-    let tenant = keyring.tenant_for_key(key, hasher).ok_or(Refusal::Unknown)?;
+    let key = presented_key(headers).ok_or(AuthError::Missing)?;
+    let tenant = keyring.tenant_for_key(key, hasher).ok_or(AuthError::Unknown)?;
     Ok(Caller::Tenant(keyring.tenant(tenant).name.clone()))
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// On whose behalf the items of a job run.
-pub fn owner_of_job(configuration: &Configuration, tenant: Option<&str>) -> Caller {
+pub fn job_caller(configuration: &Configuration, tenant: Option<&str>) -> Caller {
     match tenant {
         Some(tenant) => Caller::Tenant(tenant.into()),
         None if configuration.access.is_some() => Caller::Anonymous,
@@ -87,7 +87,7 @@
 
 /// Makes headers fit to be passed on: no key leaves the service, and the tenant is the one that was
 /// found, whatever the caller wrote. Where nobody is told apart, all stays as it came.
-pub fn set_tenant(headers: &mut HeaderMap, name: &HeaderName, caller: &Caller) {
+pub fn set_tenant_header(headers: &mut HeaderMap, name: &HeaderName, caller: &Caller) {
     if *caller == Caller::AuthDisabled {
         return;
     }
--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -17,16 +17,16 @@
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::http::client::{Exchange, ExchangeError, WholeAnswer};
-use crate::memory::Hold;
+use crate::memory::Reservation;
 use crate::ports::HeaderNames;
 use crate::quarantine::evidence;
 
 /// Largest whole answer in bytes.
-pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A request as it is sent to servers.
 #[derive(Clone)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Its identifier.
     pub id: String,
     /// Method.
@@ -38,14 +38,14 @@
     /// Whole body.
     pub body: Bytes,
     /// The memory that a client's body takes.
-    pub hold: Option<Rc<Hold>>,
+    pub reservation: Option<Rc<Reservation>>,
     /// Where the request is counted, if it is a tenant's.
     pub billing: Option<Rc<Billing>>,
     /// Found when it is first asked for: most requests never need it.
     pub fingerprint: OnceCell<Fingerprint>,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// What tells that the request has come before.
     pub fn fingerprint(&self, names: &HeaderNames) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
@@ -61,37 +61,37 @@
 }
 
 /// Why a stream is left whose connection broke.
-pub const BROKEN_OFF: &str = "broken off";
+pub const CONNECTION_BROKEN: &str = "broken off";
 /// The same, where the connection ended in an orderly way and not between two events.
-pub const CUT: &str = "cut within an event";
+pub const TRUNCATED: &str = "cut within an event";
 
 /// Whether a stream was left because its connection ended, and not for what it said or how slowly.
-pub fn is_break(reason: &str) -> bool {
-    [BROKEN_OFF, CUT].contains(&reason)
+pub fn is_connection_loss(reason: &str) -> bool {
+    [CONNECTION_BROKEN, TRUNCATED].contains(&reason)
 }
 
 /// How an attempt failed.
 #[derive(Debug)]
 pub enum AttemptFailure {
     /// The server has not run the request and will not.
-    NotRun,
+    Rejected,
     /// It could not be reached, and nothing was sent.
-    NotSent,
+    Unreachable,
     /// Nothing was sent: the server is kept for another request that may end it.
-    Held,
+    ServerReserved,
     /// The connection ended before the whole answer had come: the request may have run.
-    BrokenOff,
+    ConnectionBroken,
     /// What became of the request is unknown for another reason.
     Unknown(&'static str),
 }
 
 /// Sends `outgoing` to `server`; returns once the head of its answer has come and been judged.
 ///
-/// The caller has counted the attempt as begun and notes its end.
-pub async fn begin(
+/// The caller has counted the attempt as started_at and notes its end.
+pub async fn send(
     gateway: &Rc<Gateway>,
     server: &Server,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     time_left: Duration,
 ) -> Result<Exchange, AttemptFailure> {
     let names = gateway.dialect.headers();
@@ -105,33 +105,33 @@
         headers.insert(names.expected_server.clone(), id);
     }
     gateway.metrics.attempts.inc();
-    let exchange = match gateway.servers.send(server.address, request).await {
+    let exchange = match gateway.server_connections.send(server.address, request).await {
         Ok(exchange) => exchange,
         Err(error) if error.is_not_sent() => {
             evidence::look_at(gateway, server);
-            return Err(AttemptFailure::NotSent);
+            return Err(AttemptFailure::Unreachable);
         }
-        Err(_) => return Err(AttemptFailure::BrokenOff),
+        Err(_) => return Err(AttemptFailure::ConnectionBroken),
     };
-    if is_another_server(gateway, outgoing, &exchange) {
+    if is_replaced_server(gateway, outgoing, &exchange) {
         log::info!("event=server_replaced server={} id={}", server.id, outgoing.id);
         evidence::note_gone(gateway, &server.id);
     }
-    judge_head(gateway, outgoing, exchange)
+    validate_head(gateway, outgoing, exchange)
 }
 
 /// Whether an answer says that another server stands at the address: one that was asked for no version
 /// misdirects a request for nothing else. Its entry may tell of the one that ended for seconds more.
-fn is_another_server(gateway: &Gateway, outgoing: &Outgoing, exchange: &Exchange) -> bool {
+fn is_replaced_server(gateway: &Gateway, outgoing: &OutgoingRequest, exchange: &Exchange) -> bool {
     let names = gateway.dialect.headers();
     exchange.status == StatusCode::MISDIRECTED_REQUEST
         && exchange.header(&names.request_id) == Some(outgoing.id.as_str())
         && !outgoing.headers.contains_key(&names.expected_version)
 }
 
-fn judge_head(
+fn validate_head(
     gateway: &Gateway,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     exchange: Exchange,
 ) -> Result<Exchange, AttemptFailure> {
     let names = gateway.dialect.headers();
@@ -139,11 +139,11 @@
         gateway.metrics.foreign_answers.inc();
         return Err(AttemptFailure::Unknown("foreign answer"));
     }
-    let is_refusal = exchange.status == StatusCode::MISDIRECTED_REQUEST
+    let is_rejected = exchange.status == StatusCode::MISDIRECTED_REQUEST
         || exchange.headers.contains_key(&names.not_run);
-    if is_refusal {
-        gateway.servers.reuse(exchange);
-        return Err(AttemptFailure::NotRun);
+    if is_rejected {
+        gateway.server_connections.reuse(exchange);
+        return Err(AttemptFailure::Rejected);
     }
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
     let is_encoded = exchange.headers.contains_key(http::header::CONTENT_ENCODING);
@@ -155,27 +155,28 @@
 }
 
 /// Counts an attempt at a server for as long as it lives.
-pub struct CountedAttempt {
+pub struct AttemptGuard {
     gateway: Rc<Gateway>,
     /// The run of the server that was sent it; nothing where the server was no longer known.
-    at: Option<ServerKey>,
-    begun: heronbend::Moment,
+    server_key: Option<ServerKey>,
+    started_at: heronbend::Moment,
     is_open: bool,
     /// Called if the attempt is dropped before it ended.
     on_drop: Option<Box<dyn FnOnce()>>,
 }
 
-impl CountedAttempt {
+impl AttemptGuard {
     /// Notes that an attempt begins.
-    pub fn begin(gateway: &Rc<Gateway>, server: &Rc<Server>) -> Self {
-        let begun = gateway.now();
-        let at = gateway.directory.borrow_mut().placer.request_started(begun, &server.id);
-        Self { gateway: gateway.clone(), at, begun, is_open: true, on_drop: None }
+    pub fn start(gateway: &Rc<Gateway>, server: &Rc<Server>) -> Self {
+        let started_at = gateway.now();
+        let server_key =
+            gateway.directory.borrow_mut().placer.request_started(started_at, &server.id);
+        Self { gateway: gateway.clone(), server_key, started_at, is_open: true, on_drop: None }
     }
 
     /// Has something done if the attempt is dropped before it ended.
-    pub fn on_drop(&mut self, act: impl FnOnce() + 'static) {
-        self.on_drop = Some(Box::new(act));
+    pub fn on_drop(&mut self, callback: impl FnOnce() + 'static) {
+        self.on_drop = Some(Box::new(callback));
     }
 
     /// Has nothing done any more if the attempt is dropped before it ended.
@@ -185,56 +186,56 @@
 
     /// Time since the attempt began.
     pub fn elapsed(&self) -> Duration {
-        self.gateway.now().saturating_sub(self.begun)
+        self.gateway.now().saturating_sub(self.started_at)
     }
 
     /// Notes how the attempt ended.
-    pub fn end(mut self, end: AttemptOutcome) {
-        self.close(end);
+    pub fn end(mut self, outcome: AttemptOutcome) {
+        self.close(outcome);
     }
 
     /// Notes a failed attempt.
     pub fn fail(self, failure: &AttemptFailure) {
         let metrics = &self.gateway.metrics;
-        let end = match failure {
-            AttemptFailure::NotRun => {
+        let outcome = match failure {
+            AttemptFailure::Rejected => {
                 metrics.refusals.inc();
                 AttemptOutcome::Rejected
             }
-            AttemptFailure::NotSent => AttemptOutcome::Unreachable,
-            AttemptFailure::Held => AttemptOutcome::Abandoned,
-            AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
+            AttemptFailure::Unreachable => AttemptOutcome::Unreachable,
+            AttemptFailure::ServerReserved => AttemptOutcome::Abandoned,
+            AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_) => {
                 metrics.failures.inc();
                 AttemptOutcome::Failed
             }
         };
-        self.end(end);
+        self.end(outcome);
     }
 
-    fn close(&mut self, end: AttemptOutcome) {
+    fn close(&mut self, outcome: AttemptOutcome) {
         if std::mem::take(&mut self.is_open) {
             let now = self.gateway.now();
-            if let Some(key) = self.at {
-                self.gateway.directory.borrow_mut().placer.request_finished(now, key, end);
+            if let Some(key) = self.server_key {
+                self.gateway.directory.borrow_mut().placer.request_finished(now, key, outcome);
             }
-            self.gateway.places.changed.notify(usize::MAX);
+            self.gateway.slot_queue.changed.notify(usize::MAX);
         }
     }
 }
 
-impl Drop for CountedAttempt {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if let Some(act) = self.on_drop.take().filter(|_| self.is_open) {
-            act();
+        if let Some(callback) = self.on_drop.take().filter(|_| self.is_open) {
+            callback();
         }
         self.close(AttemptOutcome::Abandoned);
     }
 }
 
 /// Reads a whole answer; one that is cut has an unknown outcome.
-pub async fn read_whole(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
-    exchange.read_whole(MAX_ANSWER_BYTES).await.map_err(|error| match error {
+pub async fn read_response(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
+    exchange.read_whole(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
-        _ => AttemptFailure::BrokenOff,
+        _ => AttemptFailure::ConnectionBroken,
     })
 }
--- a/crates/heronbend-gateway/src/batch/event_stream.rs
+++ b/crates/heronbend-gateway/src/batch/event_stream.rs
@@ -5,7 +5,7 @@
 use super::digest::Digest;
 use super::result_log::ItemResult;
 use super::segment::Segment;
-use crate::events::{Malformed, Parser};
+use crate::events::{MalformedEvent, Parser};
 
 /// Why a stream cannot be a continuation of the text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -18,8 +18,8 @@
     Malformed,
 }
 
-impl From<Malformed> for StreamError {
-    fn from(_: Malformed) -> Self {
+impl From<MalformedEvent> for StreamError {
+    fn from(_: MalformedEvent) -> Self {
         Self::Malformed
     }
 }
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -252,8 +252,8 @@
 fn homes_of(gateway: &Gateway, specification: &JobSpecification) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
     let route = configuration.route(&specification.host, &specification.path)?;
-    let owner = access::owner_of_job(&configuration, specification.tenant.as_deref());
-    region_policy::of(&configuration, route, &owner)
+    let owner = access::job_caller(&configuration, specification.tenant.as_deref());
+    region_policy::allowed_regions(&configuration, route, &owner)
 }
 
 /// Who runs the newest job of each model.
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -25,7 +25,7 @@
 use super::reward::{self, Score};
 use super::specification::{Item, JobSpecification};
 use crate::access;
-use crate::attempt::{self, AttemptFailure, Outgoing};
+use crate::attempt::{self, AttemptFailure, OutgoingRequest};
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
 use crate::gateway::Gateway;
@@ -37,7 +37,7 @@
 use crate::quarantine::Pass;
 use crate::region_policy;
 use crate::slot_queue;
-use crate::slot_queue::Placed;
+use crate::slot_queue::AssignedSlot;
 
 /// Longest silence before the first event. A request may wait in the server's queue.
 const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2500);
@@ -152,7 +152,7 @@
             self.keep_apart(pass, &route);
             let history = self.history.clone();
             let placed =
-                slot_queue::text(self.gateway, &self.item.id, need, urgency, history).await;
+                slot_queue::acquire_slot(self.gateway, &self.item.id, need, urgency, history).await;
             // What is known may have changed while it waited for a place.
             if pass != Pass::Probe && self.is_barred(&route) {
                 continue;
@@ -280,7 +280,7 @@
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
         };
         if !self.service.as_ref().is_some_and(is_current) {
-            let drawn = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+            let drawn = self.gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
             self.service = drawn;
         }
         self.service.clone()
@@ -292,16 +292,16 @@
 
     /// What the item needs of a server.
     fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Requirements {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let homes = region_policy::of(configuration, route, &owner);
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
+        let homes = region_policy::allowed_regions(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        slot_queue::need(self.gateway, service, model, homes.as_ref())
+        slot_queue::requirements(self.gateway, service, model, homes.as_ref())
     }
 
     /// How urgent the item is among those that wait.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
         let rest = self.gateway.lengths.borrow().expected_rest(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
@@ -314,8 +314,8 @@
         self.specification.step.as_ref().map_or(0, |step| step.min_version)
     }
 
-    async fn attempt(&mut self, placed: Placed, need: Requirements, route: &Route) -> RunEnd {
-        let Placed { server, version_status, counted, .. } = placed;
+    async fn attempt(&mut self, placed: AssignedSlot, need: Requirements, route: &Route) -> RunEnd {
+        let AssignedSlot { server, version_status, counted, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(version_status, route) else {
             return RunEnd::Impossible;
@@ -323,12 +323,12 @@
         let is_alone = self.history.is_isolated;
         let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
         let Ok(isolation) = isolated else {
-            counted.fail(&AttemptFailure::Held);
+            counted.fail(&AttemptFailure::ServerReserved);
             return RunEnd::Again;
         };
         let first_event = self.last_event();
         let asked = self.gateway.now();
-        let answer = attempt::begin(self.gateway, server, &outgoing, ITEM_DEADLINE);
+        let answer = attempt::send(self.gateway, server, &outgoing, ITEM_DEADLINE);
         let answer = answer.or(async {
             Timer::after(FIRST_EVENT_LIMIT).await;
             Err(AttemptFailure::Unknown("no head in time"))
@@ -337,7 +337,7 @@
             Ok(exchange) => exchange,
             Err(failure) => {
                 self.log_attempt(server, &format!("{failure:?}"), 0);
-                if matches!(failure, AttemptFailure::BrokenOff) {
+                if matches!(failure, AttemptFailure::ConnectionBroken) {
                     evidence::note_break(self.gateway, server, &outgoing, 0);
                 }
                 counted.fail(&failure);
@@ -378,7 +378,7 @@
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
-                if attempt::is_break(reason) {
+                if attempt::is_connection_loss(reason) {
                     evidence::note_break(self.gateway, server, &outgoing, events);
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
@@ -397,7 +397,7 @@
         );
     }
 
-    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<Outgoing> {
+    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<OutgoingRequest> {
         let names = self.gateway.dialect.headers();
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -406,8 +406,8 @@
         }
         let configuration = self.gateway.configuration()?;
         let tenant = self.specification.tenant.as_deref();
-        let owner = access::owner_of_job(&configuration, tenant);
-        access::set_tenant(&mut headers, &names.tenant, &owner);
+        let owner = access::job_caller(&configuration, tenant);
+        access::set_tenant_header(&mut headers, &names.tenant, &owner);
         let priority = access::priority(&configuration, &owner, route).min(MAX_SERVER_PRIORITY);
         headers.insert(names.priority.clone(), HeaderValue::from(u16::from(priority)));
         headers.insert(names.request_id.clone(), HeaderValue::from_str(&self.item.id).ok()?);
@@ -419,13 +419,13 @@
         if let VersionStatus::Expected(version) = version_status {
             headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
-        Some(Outgoing {
+        Some(OutgoingRequest {
             id: self.item.id.clone(),
             method: Method::POST,
             target: self.item.path.parse().ok()?,
             headers,
             body: self.item.decoded_body(),
-            hold: None,
+            reservation: None,
             billing: None,
             fingerprint: OnceCell::new(),
         })
@@ -480,9 +480,9 @@
                 }
                 Ok(None) if self.last_event() == 0 => break Err("no events"),
                 Ok(None) if reader.is_between_events() => break Ok(()),
-                Ok(None) => break Err(attempt::CUT),
+                Ok(None) => break Err(attempt::TRUNCATED),
                 Err(ExchangeError::Timeout) => break Err("silent"),
-                Err(_) => break Err(attempt::BROKEN_OFF),
+                Err(_) => break Err(attempt::CONNECTION_BROKEN),
             }
             if !self.versions_fit(route) {
                 break Err("versions do not fit");
--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -54,7 +54,7 @@
     let mut failures = 0;
     let mut is_asked = false;
     loop {
-        let doubted = gateway.watches_doubted.listen();
+        let doubted = gateway.relist_requested.listen();
         let asked = gateway.jobs.list_wanted.listen();
         match learn_ownerships(&gateway, is_asked).await {
             Ok(()) => {
@@ -253,7 +253,7 @@
 /// Takes a job over, if nobody else has meanwhile.
 pub async fn adopt(gateway: &Rc<Gateway>, job: &Rc<Job>, reason: Reason) {
     let (former, revision) = job.ownership.borrow().clone();
-    if !region_policy::allow(former.homes.as_ref(), &gateway.identity.region) {
+    if !region_policy::allows(former.homes.as_ref(), &gateway.identity.region) {
         log::warn!("event=job_not_adopted job={} reason=outside_homes", job.id);
         return;
     }
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -11,8 +11,8 @@
 use super::reward_turn;
 use super::specification::RewardCall;
 use crate::access;
-use crate::attempt::Outgoing;
-use crate::forward::{forward, Allowance, ForwardError};
+use crate::attempt::OutgoingRequest;
+use crate::forward::{forward, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
 use crate::http::client::WholeAnswer;
 use crate::region_policy;
@@ -47,7 +47,7 @@
         let _pass = reward_turn::enter(gateway, &service).await;
         let round = (allowance.target_latency * ROUND_TARGETS).max(MIN_ROUND);
         allowance.deadline = gateway.now() + round;
-        allowance.is_repeatable = true;
+        allowance.is_idempotent = true;
         allowance.max_attempts = ATTEMPTS_A_ROUND;
         let answer = forward(gateway, &service, outgoing, allowance).await;
         if let Ok(answer) = &answer {
@@ -86,27 +86,27 @@
     gateway: &Gateway,
     job: &Job,
     call: &RewardCall,
-) -> Option<(Outgoing, String, Allowance, u32)> {
+) -> Option<(OutgoingRequest, String, RequestLimits, u32)> {
     let configuration = gateway.configuration()?;
     let path = call.path.split('?').next().unwrap_or_default();
     let route = configuration.route(&call.host, path)?;
-    let service = gateway.splitter.borrow_mut().next(route)?.to_owned();
+    let service = gateway.splitter.borrow_mut().pick(route)?.to_owned();
     let names = gateway.dialect.headers();
     let mut headers = HeaderMap::new();
     headers.insert(names.request_id.clone(), HeaderValue::from_str(&call.id).ok()?);
     headers.insert(http::header::HOST, HeaderValue::from_str(&call.host).ok()?);
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         id: call.id.clone(),
         method: Method::POST,
         target: call.path.parse().ok()?,
         headers,
         body: call.decoded_body(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: OnceCell::new(),
     };
-    let owner = access::owner_of_job(&configuration, job.ownership.borrow().0.tenant.as_deref());
-    let homes = region_policy::of(&configuration, route, &owner);
-    let allowance = Allowance::of_route(route, gateway.now(), None, homes);
+    let owner = access::job_caller(&configuration, job.ownership.borrow().0.tenant.as_deref());
+    let homes = region_policy::allowed_regions(&configuration, route, &owner);
+    let allowance = RequestLimits::for_route(route, gateway.now(), None, homes);
     Some((outgoing, service, allowance, route.max_attempts.max(1)))
 }
--- a/crates/heronbend-gateway/src/batch/reward_turn.rs
+++ b/crates/heronbend-gateway/src/batch/reward_turn.rs
@@ -43,7 +43,7 @@
 /// Reward calls that this daemon may have under way at a service: its part of what those that run
 /// jobs may have together.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
-    let need = slot_queue::need(gateway, service, None, None);
+    let need = slot_queue::requirements(gateway, service, None, None);
     let slots = gateway.directory.borrow().placer.total_slots(gateway.now(), &need);
     let jobs = gateway.jobs.all();
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -14,42 +14,42 @@
 use hyper::body::Incoming;
 
 use crate::access;
-use crate::access::Refusal;
-use crate::attempt::Outgoing;
+use crate::access::AuthError;
+use crate::attempt::OutgoingRequest;
 use crate::batch::hand_in::{self, EndError, HandInError};
 use crate::batch::reading::{self, ReadError};
 use crate::configuration::{Configuration, Route, RouteKind};
 use crate::duties::billing::Billing;
-use crate::forward::{forward, retry_after, Allowance, ForwardError};
+use crate::forward::{forward, retry_after, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::http::client::WholeAnswer;
 use crate::http::server::{read_body, BodyError, BodyLimits};
 use crate::http::{bytes_answer, text_answer, Answer, AnswerBody};
-use crate::memory::Hold;
+use crate::memory::Reservation;
 use crate::ports::Call;
 use crate::quarantine::Refused;
 use crate::region_policy;
-use crate::stream::{self, Opened};
+use crate::stream::{self, StreamResponse};
 
 /// Longest time that a call of the batch interface tries to reach the store.
-const STORE_PATIENCE: Duration = Duration::from_millis(2500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Longest time that a reader of results may be held.
-const MAX_WAIT: Duration = Duration::from_secs(1);
+const MAX_LONG_POLL: Duration = Duration::from_secs(1);
 
 /// Answers a call.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
     let arrived = gateway.now();
     let (head, body) = request.into_parts();
     let id = headers::text(&head.headers, &gateway.dialect.headers().request_id);
     let id = id.unwrap_or_default().to_owned();
     let call = gateway.dialect.call(&head.method, head.uri.path(), head.uri.query());
     let (name, mut answer) = match call {
-        Call::Forward => answer_by_route(&gateway, &id, head, body, arrived).await,
+        Call::Forward => handle_routed_request(&gateway, &id, head, body, arrived).await,
         Call::Malformed(problem) => {
             ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, problem))
         }
-        call => answer_job_call(&gateway, call, &head, arrived).await,
+        call => handle_job_call(&gateway, call, &head, arrived).await,
     };
     let names = gateway.dialect.headers();
     if let Ok(value) = http::HeaderValue::from_str(&id) {
@@ -63,7 +63,7 @@
 }
 
 /// Answers a call of the batch interface that concerns a job which was handed in before.
-async fn answer_job_call(
+async fn handle_job_call(
     gateway: &Rc<Gateway>,
     call: Call,
     head: &Parts,
@@ -73,32 +73,32 @@
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
     let identified = access::identify(&configuration, &head.headers, &gateway.key_hasher);
-    let caller = match admit(gateway, identified) {
+    let caller = match authorize(gateway, identified) {
         Ok(caller) => caller,
         Err(denial) => {
             let path = head.uri.path();
-            let answer = deny(gateway, denial, path, &format!("path={path}"));
+            let answer = denial_response(gateway, denial, path, &format!("path={path}"));
             return (denial.name().to_owned(), answer);
         }
     };
     match call {
         Call::ReadResults { job, from } => {
             let wait = headers::millis(&head.headers, &gateway.dialect.headers().wait_millis);
-            let wait = wait.unwrap_or_default().min(MAX_WAIT);
+            let wait = wait.unwrap_or_default().min(MAX_LONG_POLL);
             let page = reading::results(gateway, &job, &caller, from, arrived + wait).await;
-            ("read_results".to_owned(), read_answer(gateway, &job, from, page))
+            ("read_results".to_owned(), results_response(gateway, &job, from, page))
         }
         Call::ReadItem { job, item } => {
             let body = reading::item(gateway, &job, &caller, &item).await;
-            ("read_item".to_owned(), item_answer(&job, &item, body))
+            ("read_item".to_owned(), item_response(&job, &item, body))
         }
         Call::EndJob { job } => {
-            let ended = hand_in::end(gateway, &job, &caller, arrived + STORE_PATIENCE).await;
+            let ended = hand_in::end(gateway, &job, &caller, arrived + STORE_TIMEOUT).await;
             log::info!(
                 "event=job_end_asked job={job} outcome={ended:?} ms={}",
                 gateway.now().saturating_sub(arrived).as_millis()
             );
-            ("end_job".to_owned(), end_answer(ended))
+            ("end_job".to_owned(), end_job_response(ended))
         }
         Call::Forward | Call::Malformed(_) => {
             ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, "not a call of a job"))
@@ -106,7 +106,7 @@
     }
 }
 
-async fn answer_by_route(
+async fn handle_routed_request(
     gateway: &Rc<Gateway>,
     id: &str,
     head: Parts,
@@ -120,7 +120,7 @@
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
     let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
         if gateway.is_configuration_behind() {
-            return ("none".to_owned(), refuse_behind(gateway, id));
+            return ("none".to_owned(), reject_outdated(gateway, id));
         }
         log::info!(
             "event=no_route id={id} host={host} path={} configuration={}",
@@ -131,10 +131,10 @@
     };
     let name = route.name.clone();
     let identified = route_caller(gateway, &configuration, &route, &head);
-    let caller = match admit(gateway, identified) {
+    let caller = match authorize(gateway, identified) {
         Ok(caller) => caller,
         Err(denial) => {
-            let answer = deny(gateway, denial, id, &format!("id={id} route={name}"));
+            let answer = denial_response(gateway, denial, id, &format!("id={id} route={name}"));
             return (name, answer);
         }
     };
@@ -142,19 +142,19 @@
         max_bytes: configuration.limits.max_body_bytes,
         idle: configuration.limits.idle_timeout.min(route.timeout),
     };
-    let mut hold = gateway.memory.hold();
-    let bytes = match read_body(body, limits, &mut hold).await {
+    let mut reservation = gateway.memory.reserve();
+    let bytes = match read_body(body, limits, &mut reservation).await {
         Ok(bytes) => bytes,
         Err(error) => {
             log::info!("event=body_refused id={id} route={name} reason=\"{error}\"");
-            return (name, body_refusal(&error));
+            return (name, body_error_response(&error));
         }
     };
     let answer = if route.kind == RouteKind::Rollout {
-        hand_in_job(gateway, id, &caller, &head, &bytes, arrived).await
+        submit_job(gateway, id, &caller, &head, &bytes, arrived).await
     } else {
-        let request = Accepted { head, body: bytes, hold, caller, arrived };
-        pass_on(gateway, id, request, &route, &configuration).await
+        let request = AcceptedRequest { head, body: bytes, reservation, caller, arrived };
+        forward_request(gateway, id, request, &route, &configuration).await
     };
     (name, answer)
 }
@@ -163,61 +163,61 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Denial {
     /// The caller's key may have been taken away unheard.
-    Closed,
+    StaleKeys,
     /// A newer configuration, of which a peer has told, may allow the call.
-    Behind,
+    OutdatedConfiguration,
     /// The caller shows no key that is held.
-    Unauthorized(Refusal),
+    Unauthorized(AuthError),
 }
 
 impl Denial {
     /// Its name among the calls that metrics count.
     fn name(self) -> &'static str {
         match self {
-            Self::Closed => "closed",
-            Self::Behind => "behind",
+            Self::StaleKeys => "closed",
+            Self::OutdatedConfiguration => "behind",
             Self::Unauthorized(_) => "unauthorized",
         }
     }
 }
 
 /// Whether a caller is served by what is known here of keys.
-fn admit(gateway: &Gateway, identified: Result<Caller, Refusal>) -> Result<Caller, Denial> {
+fn authorize(gateway: &Gateway, identified: Result<Caller, AuthError>) -> Result<Caller, Denial> {
     match identified {
-        Ok(Caller::Tenant(_)) if gateway.is_closed() => Err(Denial::Closed),
+        Ok(Caller::Tenant(_)) if gateway.rejects_keys() => Err(Denial::StaleKeys),
         Ok(caller) => Ok(caller),
-        Err(_) if gateway.is_configuration_behind() => Err(Denial::Behind),
-        Err(refusal) => Err(Denial::Unauthorized(refusal)),
+        Err(_) if gateway.is_configuration_behind() => Err(Denial::OutdatedConfiguration),
+        Err(error) => Err(Denial::Unauthorized(error)),
     }
 }
 
-/// The answer to a call that is denied; `id` and `place` tell which it was.
-fn deny(gateway: &Gateway, denial: Denial, id: &str, place: &str) -> Answer {
+/// The answer to a call that is denied; `id` and `context` tell which it was.
+fn denial_response(gateway: &Gateway, denial: Denial, id: &str, context: &str) -> Answer {
     match denial {
-        Denial::Closed => refuse_closed(gateway, id),
-        Denial::Behind => refuse_behind(gateway, id),
-        Denial::Unauthorized(refusal) => {
+        Denial::StaleKeys => reject_stale_keys(gateway, id),
+        Denial::OutdatedConfiguration => reject_outdated(gateway, id),
+        Denial::Unauthorized(error) => {
             log::info!(
-                "event=unauthorized {place} reason=\"{refusal}\" configuration={}",
+                "event=unauthorized {context} reason=\"{error}\" configuration={}",
                 gateway.configuration_version()
             );
-            unauthorized(refusal)
+            unauthorized(error)
         }
     }
 }
 
 /// Refuses what a newer configuration, of which a peer has told, may allow.
-fn refuse_behind(gateway: &Gateway, id: &str) -> Answer {
+fn reject_outdated(gateway: &Gateway, id: &str) -> Answer {
     log::info!(
         "event=refused id={id} reason=\"the configuration is behind\" version={} peer_version={}",
         gateway.configuration_version(),
-        gateway.behind.get()
+        gateway.newest_announced_configuration.get()
     );
     not_run("the configuration is behind")
 }
 
 /// Refuses a caller whose key may have been taken away unheard.
-fn refuse_closed(gateway: &Gateway, id: &str) -> Answer {
+fn reject_stale_keys(gateway: &Gateway, id: &str) -> Answer {
     log::info!(
         "event=refused id={id} reason=\"no news of keys\" configuration={} age_ms={}",
         gateway.configuration_version(),
@@ -232,7 +232,7 @@
     configuration: &Configuration,
     route: &Route,
     head: &Parts,
-) -> Result<Caller, Refusal> {
+) -> Result<Caller, AuthError> {
     let (headers, hasher) = (&head.headers, &gateway.key_hasher);
     if route.is_public {
         return Ok(access::identify_public(configuration, headers, hasher));
@@ -240,48 +240,48 @@
     access::identify(configuration, headers, hasher)
 }
 
-/// A request that is to be passed on.
-struct Accepted {
+/// A request that is to be response on.
+struct AcceptedRequest {
     head: Parts,
     body: Bytes,
-    hold: Hold,
+    reservation: Reservation,
     caller: Caller,
     arrived: Moment,
 }
 
-async fn pass_on(
+async fn forward_request(
     gateway: &Rc<Gateway>,
     id: &str,
-    request: Accepted,
+    request: AcceptedRequest,
     route: &Route,
     configuration: &Configuration,
 ) -> Answer {
-    let Accepted { head, body, hold, caller, arrived } = request;
-    let service = gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+    let AcceptedRequest { head, body, reservation, caller, arrived } = request;
+    let service = gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
     let Some(service) = service else {
         return not_run("the route has no service");
     };
     let names = gateway.dialect.headers();
-    let patience = headers::millis(&head.headers, &names.deadline_millis);
-    let homes = region_policy::of(configuration, route, &caller);
-    let allowance = Allowance::of_route(route, arrived, patience, homes);
+    let client_timeout = headers::millis(&head.headers, &names.deadline_millis);
+    let allowed_regions = region_policy::allowed_regions(configuration, route, &caller);
+    let limits = RequestLimits::for_route(route, arrived, client_timeout, allowed_regions);
     let tenant = caller.tenant().map(str::to_owned);
-    let mut headers = headers::passed_on(&head.headers);
-    access::set_tenant(&mut headers, &names.tenant, &caller);
-    let outgoing = Outgoing {
+    let mut headers = headers::end_to_end(&head.headers);
+    access::set_tenant_header(&mut headers, &names.tenant, &caller);
+    let outgoing = OutgoingRequest {
         id: id.to_owned(),
         method: head.method,
         target: head.uri,
         headers,
         body,
-        hold: Some(Rc::new(hold)),
+        reservation: Some(Rc::new(reservation)),
         billing: billing(gateway, &caller).map(Rc::new),
         fingerprint: OnceCell::new(),
     };
     if route.kind == RouteKind::Stream {
-        return pass_on_stream(gateway, &service, outgoing, allowance, route).await;
+        return forward_stream(gateway, &service, outgoing, limits, route).await;
     }
-    let result = forward(gateway, &service, outgoing, allowance).await;
+    let result = forward(gateway, &service, outgoing, limits).await;
     let millis = gateway.now().saturating_sub(arrived).as_millis();
     let outcome = match &result {
         Ok(answer) => answer.status.as_str().to_owned(),
@@ -294,8 +294,8 @@
         configuration.version
     );
     match result {
-        Ok(answer) => server_answer(answer, route),
-        Err(ForwardError::NotRun(refusal)) => unplaced(gateway, &refusal),
+        Ok(answer) => server_response(answer, route),
+        Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined(refused),
         Err(error) => text_answer(error.status(), "no answer of a server"),
     }
@@ -308,59 +308,59 @@
     Some(Billing::new(book, tenant, move || clock.now()))
 }
 
-async fn pass_on_stream(
+async fn forward_stream(
     gateway: &Rc<Gateway>,
     service: &str,
-    outgoing: Outgoing,
-    allowance: Allowance,
+    outgoing: OutgoingRequest,
+    limits: RequestLimits,
     route: &Route,
 ) -> Answer {
-    let (id, begun) = (outgoing.id.clone(), gateway.now());
-    let opened = stream::open(gateway, service, outgoing, allowance, route.resumable).await;
+    let (id, started_at) = (outgoing.id.clone(), gateway.now());
+    let opened = stream::open(gateway, service, outgoing, limits, route.resumable).await;
     let outcome = match &opened {
-        Ok(Opened::Events { status, .. }) => status.as_str().to_owned(),
-        Ok(Opened::Whole(answer)) => answer.status.as_str().to_owned(),
+        Ok(StreamResponse::Events { status, .. }) => status.as_str().to_owned(),
+        Ok(StreamResponse::Complete(answer)) => answer.status.as_str().to_owned(),
         Err(error) => format!("{error:?}"),
     };
     log::info!(
         "event=stream_opened id={id} route={} service={service} outcome={outcome} first_event_ms={}",
         route.name,
-        gateway.now().saturating_sub(begun).as_millis()
+        gateway.now().saturating_sub(started_at).as_millis()
     );
     match opened {
-        Ok(Opened::Events { status, headers, body }) => {
+        Ok(StreamResponse::Events { status, headers, body }) => {
             let mut answer = Answer::new(body);
             *answer.status_mut() = status;
             *answer.headers_mut() = headers;
             answer
         }
-        Ok(Opened::Whole(answer)) => server_answer(answer, route),
-        Err(ForwardError::NotRun(refusal)) => unplaced(gateway, &refusal),
+        Ok(StreamResponse::Complete(answer)) => server_response(answer, route),
+        Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined(refused),
         Err(error) => text_answer(error.status(), "no answer of a server"),
     }
 }
 
-/// A server's answer as it is passed on. A status that promises that nothing has run is passed on
+/// A server's answer as it is response on. A status that not_run_statuses that nothing has run is response on
 /// only where that does not matter.
-fn server_answer(answer: WholeAnswer, route: &Route) -> Answer {
-    let promises = [
+fn server_response(answer: WholeAnswer, route: &Route) -> Answer {
+    let not_run_statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if !route.is_repeatable() && promises.contains(&answer.status) {
+    if !route.is_repeatable() && not_run_statuses.contains(&answer.status) {
         return text_answer(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
-    let mut passed = Answer::new(AnswerBody::whole(answer.body));
-    *passed.status_mut() = answer.status;
-    *passed.headers_mut() = headers::passed_on(&answer.headers);
-    passed
+    let mut response = Answer::new(AnswerBody::whole(answer.body));
+    *response.status_mut() = answer.status;
+    *response.headers_mut() = headers::end_to_end(&answer.headers);
+    response
 }
 
 /// The answer to a request whose body was not read whole; nothing of it has run.
-fn body_refusal(error: &BodyError) -> Answer {
+fn body_error_response(error: &BodyError) -> Answer {
     match error {
         BodyError::TooLarge(_) => {
             text_answer(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
@@ -372,8 +372,8 @@
 }
 
 /// The answer to a call that needs a key which it does not present; it has not run.
-fn unauthorized(refusal: Refusal) -> Answer {
-    let mut answer = text_answer(StatusCode::UNAUTHORIZED, refusal.text());
+fn unauthorized(error: AuthError) -> Answer {
+    let mut answer = text_answer(StatusCode::UNAUTHORIZED, error.message());
     let scheme = http::HeaderValue::from_static("Bearer");
     answer.headers_mut().insert(http::header::WWW_AUTHENTICATE, scheme);
     answer
@@ -381,27 +381,30 @@
 
 /// The answer to a request that has not run and never will.
 fn not_run(reason: &'static str) -> Answer {
-    not_run_until(reason, DEFAULT_RETRY_AFTER)
+    not_run_retry_after(reason, DEFAULT_RETRY_AFTER)
 }
 
-fn not_run_until(reason: &'static str, come_back: Duration) -> Answer {
+fn not_run_retry_after(reason: &'static str, delay: Duration) -> Answer {
     let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
-    answer.headers_mut().insert(http::header::RETRY_AFTER, retry_after(come_back));
+    answer.headers_mut().insert(http::header::RETRY_AFTER, retry_after(delay));
     answer
 }
 
 /// The answer to a request that no server could be sent.
-fn unplaced(gateway: &Gateway, refusal: &Unplaced) -> Answer {
-    gateway.metrics.unplaced(refusal.reason);
-    not_run_until("no server took it", refusal.retry_after)
+fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> Answer {
+    gateway.metrics.unplaced(rejection.reason);
+    not_run_retry_after("no server took it", rejection.retry_after)
 }
 
 /// The answer to a request that is kept from servers since others like it ended theirs.
 fn quarantined(refused: Refused) -> Answer {
-    not_run_until("requests like this one ended the servers that ran them", refused.retry_after)
+    not_run_retry_after(
+        "requests like this one ended the servers that ran them",
+        refused.retry_after,
+    )
 }
 
-async fn hand_in_job(
+async fn submit_job(
     gateway: &Rc<Gateway>,
     id: &str,
     caller: &Caller,
@@ -421,7 +424,7 @@
     specification.path = head.uri.path().to_owned();
     specification.tenant = caller.tenant().map(str::to_owned);
     let (items, step) = (specification.items.len(), specification.step.clone());
-    let taken = hand_in::hand_in(gateway, specification, arrived + STORE_PATIENCE).await;
+    let taken = hand_in::hand_in(gateway, specification, arrived + STORE_TIMEOUT).await;
     log::info!(
         "event=job_handed_in job={id} tenant={} items={items} step={} outcome={taken:?} ms={}",
         caller.tenant().unwrap_or("none"),
@@ -441,7 +444,7 @@
     }
 }
 
-fn read_answer(
+fn results_response(
     gateway: &Gateway,
     job: &str,
     from: usize,
@@ -453,29 +456,29 @@
         }
         Err(error) => {
             log::info!("event=results_refused job={job} from={from} reason={error:?}");
-            read_error(error)
+            read_error_response(error)
         }
     }
 }
 
-fn item_answer(job: &str, item: &str, body: Result<Bytes, ReadError>) -> Answer {
+fn item_response(job: &str, item: &str, body: Result<Bytes, ReadError>) -> Answer {
     match body {
         Ok(body) => bytes_answer(StatusCode::OK, "application/octet-stream", body),
         Err(error) => {
             log::info!("event=item_refused job={job} item={item} reason={error:?}");
-            read_error(error)
+            read_error_response(error)
         }
     }
 }
 
-fn read_error(error: ReadError) -> Answer {
+fn read_error_response(error: ReadError) -> Answer {
     match error {
         ReadError::NotFound => text_answer(StatusCode::NOT_FOUND, "there is no such thing"),
         ReadError::Unavailable => not_run("it cannot be told now"),
     }
 }
 
-fn end_answer(ended: Result<(), EndError>) -> Answer {
+fn end_job_response(ended: Result<(), EndError>) -> Answer {
     match ended {
         Ok(()) => text_answer(StatusCode::OK, "ended"),
         Err(EndError::NoSuchJob) => text_answer(StatusCode::NOT_FOUND, "there is no such job"),
--- a/crates/heronbend-gateway/src/clock.rs
+++ b/crates/heronbend-gateway/src/clock.rs
@@ -21,7 +21,7 @@
     }
 
     /// A clock that is told the time.
-    pub fn told(now: impl Fn() -> Moment + 'static) -> Self {
+    pub fn from_fn(now: impl Fn() -> Moment + 'static) -> Self {
         Self(Rc::new(now))
     }
 
@@ -38,28 +38,28 @@
 }
 
 /// Longest difference between the two clocks that is no suspension: they are read one after the other.
-const READING_GAP: Duration = Duration::from_millis(200);
+const MAX_READ_GAP: Duration = Duration::from_millis(200);
 
 /// Notices suspensions: the steady clock, by which waits go, falls behind.
 #[derive(Debug)]
-pub struct SuspensionWatch {
-    steady: Instant,
-    full: Moment,
+pub struct SuspensionDetector {
+    monotonic: Instant,
+    boot: Moment,
 }
 
-impl SuspensionWatch {
+impl SuspensionDetector {
     /// A watch that begins now.
     pub fn new(clock: &Clock) -> Self {
-        Self { steady: steady_now(), full: clock.now() }
+        Self { monotonic: monotonic_now(), boot: clock.now() }
     }
 
     /// How long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, clock: &Clock) -> Option<Duration> {
+    pub fn check(&mut self, clock: &Clock) -> Option<Duration> {
         let next = Self::new(clock);
-        let by_steady = next.steady.duration_since(self.steady);
-        let suspended = (next.full - self.full).saturating_sub(by_steady);
+        let monotonic_elapsed = next.monotonic.duration_since(self.monotonic);
+        let suspended = (next.boot - self.boot).saturating_sub(monotonic_elapsed);
         *self = next;
-        (suspended > READING_GAP).then_some(suspended)
+        (suspended > MAX_READ_GAP).then_some(suspended)
     }
 }
 
@@ -68,6 +68,6 @@
     clippy::disallowed_methods,
     reason = "it is told apart from the clock that all else goes by"
 )]
-pub fn steady_now() -> Instant {
+pub fn monotonic_now() -> Instant {
     Instant::now()
 }
--- a/crates/heronbend-gateway/src/directory.rs
+++ b/crates/heronbend-gateway/src/directory.rs
@@ -22,7 +22,7 @@
 use serde::Serialize;
 
 use crate::http::client::ConnectionPool;
-use crate::interner::Pool;
+use crate::interner::Interner;
 
 /// What a server says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,13 +69,13 @@
 
 /// Which run of a server an entry is of, beside the one that was known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Run {
+pub enum RunOrder {
     /// The same, or the first one.
     Same,
     /// A later one: the server has started again.
-    Later,
+    Newer,
     /// An earlier one, which has ended.
-    Earlier,
+    Older,
 }
 
 /// All listed servers, and the machine that decides which of them runs what.
@@ -84,7 +84,7 @@
     /// Those that the machine may still choose, listed or not.
     by_key: HashMap<ServerKey, Rc<Server>>,
     /// What servers hold. Of thousands that follow a few models most hold the same.
-    models: Pool<BTreeMap<String, u64>>,
+    models: Interner<BTreeMap<String, u64>>,
     /// The machine that decides.
     pub placer: Placer,
 }
@@ -95,26 +95,26 @@
         Self {
             servers: BTreeMap::new(),
             by_key: HashMap::new(),
-            models: Pool::default(),
+            models: Interner::default(),
             placer: Placer::new(seed),
         }
     }
 
     /// Which run of its server an entry is of.
-    pub fn run(&self, server: &Server) -> Run {
+    pub fn compare_run(&self, server: &Server) -> RunOrder {
         match self.servers.get(&server.id).map(|known| known.incarnation) {
-            Some(known) if known > server.incarnation => Run::Earlier,
-            Some(known) if known < server.incarnation => Run::Later,
-            _ => Run::Same,
+            Some(known) if known > server.incarnation => RunOrder::Older,
+            Some(known) if known < server.incarnation => RunOrder::Newer,
+            _ => RunOrder::Same,
         }
     }
 
     /// Takes in a server's entry, and tells what it says of the run that was known. One of an earlier
     /// run changes nothing.
-    pub fn insert(&mut self, now: Moment, mut server: Server) -> Run {
-        let run = self.run(&server);
-        if run == Run::Earlier {
-            return run;
+    pub fn insert(&mut self, now: Moment, mut server: Server) -> RunOrder {
+        let order = self.compare_run(&server);
+        if order == RunOrder::Older {
+            return order;
         }
         let placer = &mut self.placer;
         let versions = server.models.iter().map(|(model, version)| (placer.model(model), *version));
@@ -130,21 +130,21 @@
         };
         let known = placer.key(&server.id);
         let key = placer.register(now, &server.id, registration);
-        if let Some(former) = known.filter(|known| *known != key) {
-            self.by_key.remove(&former);
+        if let Some(previous) = known.filter(|known| *known != key) {
+            self.by_key.remove(&previous);
         }
-        server.models = self.models.share(server.models);
+        server.models = self.models.intern(server.models);
         let server = Rc::new(server);
         self.by_key.insert(key, server.clone());
         self.servers.insert(server.id.clone(), server);
-        run
+        order
     }
 
     /// Notes that a server's entry went.
     pub fn remove(&mut self, now: Moment, id: &str) {
         if self.servers.remove(id).is_some() {
-            for forgotten in self.placer.deregister(now, id) {
-                self.by_key.remove(&forgotten);
+            for removed_key in self.placer.deregister(now, id) {
+                self.by_key.remove(&removed_key);
             }
         }
     }
@@ -164,12 +164,12 @@
     }
 
     /// The server that was chosen.
-    pub fn chosen(&self, key: ServerKey) -> Option<Rc<Server>> {
+    pub fn by_key(&self, key: ServerKey) -> Option<Rc<Server>> {
         self.by_key.get(&key).cloned()
     }
 
     /// The most urgent text that a place is free for, with the place.
-    pub fn next_placed(
+    pub fn place_next(
         &mut self,
         now: Moment,
         pool: &ConnectionPool,
@@ -182,11 +182,11 @@
         &mut self,
         now: Moment,
         pool: &ConnectionPool,
-        need: &Requirements,
+        requirements: &Requirements,
         history: &AttemptHistory,
-        waited: &WaitState,
+        wait: &WaitState,
     ) -> Decision {
-        self.placer.place_call(now, need, history, waited, is_connected(&self.by_key, pool))
+        self.placer.place_call(now, requirements, history, wait, is_connected(&self.by_key, pool))
     }
 
     /// All listed servers.
--- a/crates/heronbend-gateway/src/dissemination.rs
+++ b/crates/heronbend-gateway/src/dissemination.rs
@@ -110,7 +110,7 @@
     if gateway.members.is_outage_told(now) && !hears_by_itself(gateway) {
         return Way::Outage;
     }
-    if now < gateway.told_last.get() + patience(&tree, &me.node) {
+    if now < gateway.last_relayed_at.get() + patience(&tree, &me.node) {
         return Way::Outage;
     }
     Way::Store
@@ -130,7 +130,7 @@
 fn hears_by_itself(gateway: &Gateway) -> bool {
     let is_heard = gateway.store.silent_for() < FRESHNESS;
     let steps = gateway.tree().depth(&gateway.identity.node).max(1);
-    is_heard && gateway.now() >= gateway.store_reached_since.get() + WATCHERS_FIRST * steps
+    is_heard && gateway.now() >= gateway.store_reachable_since.get() + WATCHERS_FIRST * steps
 }
 
 /// Whether this daemon is one of those that watch the store.
@@ -347,10 +347,10 @@
 /// Notes that a daemon was told of a kind what was so old at its source.
 fn note_told(gateway: &Gateway, kind: &'static str, age_millis: u64) {
     let (at, age) = (gateway.now(), Duration::from_millis(age_millis));
-    gateway.told.borrow_mut().insert(kind, Telling { at, age });
-    gateway.told_last.set(at);
+    gateway.last_relayed.borrow_mut().insert(kind, Telling { at, age });
+    gateway.last_relayed_at.set(at);
     if kind == gateway.dialect.kinds().configuration {
-        gateway.configuration_told.set(at.saturating_sub(age));
+        gateway.configuration_confirmed_at.set(at.saturating_sub(age));
     }
 }
 
@@ -361,7 +361,7 @@
         return is_fresh(gateway).then(|| gateway.store.silent_for());
     }
     let steps = gateway.tree().depth(&gateway.identity.node);
-    let Telling { at, age } = gateway.told.borrow().get(kind).copied()?;
+    let Telling { at, age } = gateway.last_relayed.borrow().get(kind).copied()?;
     let age = gateway.now().saturating_sub(at) + age;
     (age < FRESHNESS + FRESHNESS_A_STEP * steps).then_some(age)
 }
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -106,7 +106,7 @@
         if now < self.yields_until {
             place = line.len();
         }
-        let since = self.ready_at().max(gateway.store_reached_since.get());
+        let since = self.ready_at().max(gateway.store_reachable_since.get());
         if place == 0 {
             return now >= since;
         }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -79,7 +79,7 @@
 impl Scaler {
     fn is_settled(&self) -> bool {
         let gateway = &self.gateway;
-        let since = gateway.store_reached_since.get();
+        let since = gateway.store_reachable_since.get();
         gateway.is_ready() && gateway.store.is_reached() && gateway.now() >= since + SETTLING
     }
 
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -16,7 +16,7 @@
 use crate::ports::Object;
 
 /// Evacuations that come within this time cost one call. The whole bound is seconds.
-const GATHERING: Duration = Duration::from_millis(100);
+const BATCHING_DELAY: Duration = Duration::from_millis(100);
 
 struct EvacuationSink(Rc<Gateway>);
 
@@ -24,7 +24,7 @@
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
-    mirror::follow(gateway, kind, Source::Watchers, GATHERING, sink).await;
+    mirror::follow(gateway, kind, Source::Watchers, BATCHING_DELAY, sink).await;
 }
 
 impl EvacuationSink {
@@ -38,7 +38,7 @@
             let mut directory = gateway.directory.borrow_mut();
             directory.placer.evacuate(zone);
             for server in directory.all().filter(|server| server.zone == zone) {
-                closed += gateway.servers.close_idle(server.address);
+                closed += gateway.server_connections.close_idle(server.address);
             }
         }
         log::info!("event=zone_evacuated zone={zone} connections_closed={closed}");
@@ -75,7 +75,7 @@
     }
 
     fn applied(&self) {
-        self.0.places.changed.notify(usize::MAX);
+        self.0.slot_queue.changed.notify(usize::MAX);
         self.0.versions.changed.notify(usize::MAX);
     }
 }
--- a/crates/heronbend-gateway/src/events.rs
+++ b/crates/heronbend-gateway/src/events.rs
@@ -11,7 +11,7 @@
 /// An event cannot be understood.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("an event is malformed")]
-pub struct Malformed;
+pub struct MalformedEvent;
 
 /// One whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,43 +31,43 @@
 pub struct Parser {
     /// Lower-case name of the field that tells a change of version.
     version_field: String,
-    unread: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Parser {
     /// A parser at the start of a stream.
     pub fn new(version_field: &str) -> Self {
-        Self { version_field: version_field.to_owned(), unread: BytesMut::new() }
+        Self { version_field: version_field.to_owned(), buffer: BytesMut::new() }
     }
 
     /// Takes in bytes; returns the events that they complete.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Malformed> {
-        self.unread.extend_from_slice(bytes);
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, MalformedEvent> {
+        self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = find(&self.unread, BOUNDARY) {
-            let raw = self.unread.split_to(end + BOUNDARY.len()).freeze();
+        while let Some(end) = find(&self.buffer, BOUNDARY) {
+            let raw = self.buffer.split_to(end + BOUNDARY.len()).freeze();
             events.push(self.parse(raw)?);
         }
-        if self.unread.len() > MAX_EVENT_BYTES {
-            return Err(Malformed);
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            return Err(MalformedEvent);
         }
         Ok(events)
     }
 
     /// Whether the stream stands between two events.
     pub fn is_between_events(&self) -> bool {
-        self.unread.is_empty()
+        self.buffer.is_empty()
     }
 
-    fn parse(&self, raw: Bytes) -> Result<Event, Malformed> {
-        let text = std::str::from_utf8(&raw).map_err(|_| Malformed)?;
+    fn parse(&self, raw: Bytes) -> Result<Event, MalformedEvent> {
+        let text = std::str::from_utf8(&raw).map_err(|_| MalformedEvent)?;
         let (mut id, mut data, mut version) = (None, None::<String>, None);
         for line in text.trim_end_matches('\n').split('\n') {
             let line = line.strip_suffix('\r').unwrap_or(line);
             let (field, value) = line.split_once(':').unwrap_or((line, ""));
             let value = value.strip_prefix(' ').unwrap_or(value);
             match field {
-                "id" => id = Some(value.parse().map_err(|_| Malformed)?),
+                "id" => id = Some(value.parse().map_err(|_| MalformedEvent)?),
                 "data" => match &mut data {
                     Some(data) => {
                         data.push('\n');
@@ -76,7 +76,7 @@
                     None => data = Some(value.to_owned()),
                 },
                 field if field == self.version_field => {
-                    version = Some(value.trim().parse().map_err(|_| Malformed)?);
+                    version = Some(value.trim().parse().map_err(|_| MalformedEvent)?);
                 }
                 _ => {}
             }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -37,20 +37,20 @@
 use crate::http::client::ConnectionPool;
 use crate::lease_news::LeaseName;
 use crate::lease_news::LeaseNews;
-use crate::memory::Budget;
+use crate::memory::MemoryBudget;
 use crate::metrics::Metrics;
 use crate::news_way::Way;
 use crate::packed_news::Texts;
 use crate::peers::Peers;
-use crate::permits::ColdMargin;
+use crate::permits::ColdStartMargin;
 use crate::permits::Permits;
 use crate::ports::{Dialect, Ports, Provider};
 use crate::quarantine::Quarantine;
 use crate::region_policy;
 use crate::relayed_store::RelayedStore;
 use crate::replica::Replica;
-use crate::slot_queue::Places;
-use crate::traffic_split::Splitter;
+use crate::slot_queue::SlotQueue;
+use crate::traffic_split::TrafficSplitter;
 use crate::versions::board::VersionBoard;
 
 /// Longest wait for a connection to a server.
@@ -77,7 +77,7 @@
     /// How long results stay readable after a job has ended.
     pub result_retention: Duration,
     /// Most bytes of clients' bodies that are held at once.
-    pub max_held_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Largest object that the store takes, in bytes.
     pub max_object_bytes: usize,
     /// Longest time from the signal to stop until the process is gone.
@@ -90,16 +90,16 @@
     pub usage: Option<Terms>,
     /// Time without news of the configuration after which callers with keys are refused; never
     /// where there is none.
-    pub closes_after: Option<Duration>,
+    pub max_configuration_age: Option<Duration>,
     /// Thousandths of a core that the process may use; 0 where that is not stated.
     pub processor_millis: u32,
     /// Whether servers are to be ordered.
-    pub scales: bool,
+    pub scaling_enabled: bool,
     /// Time within which nothing goes to an evacuated zone any more; nothing where zones are never
     /// evacuated.
     pub evacuation_notice: Option<Duration>,
     /// How much more than it bears a cold server may get.
-    pub cold_margin: ColdMargin,
+    pub cold_margin: ColdStartMargin,
     /// When requests that end their servers are refused, and tried again.
     pub quarantine: Limits,
 }
@@ -117,9 +117,9 @@
     /// Runs all tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Connections to servers.
-    pub servers: ConnectionPool,
+    pub server_connections: ConnectionPool,
     /// Connections to peers.
-    pub peers: ConnectionPool,
+    pub peer_connections: ConnectionPool,
     /// Objects of the store that peers may follow here, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
     /// News of those as it is told to peers.
@@ -135,11 +135,11 @@
     /// Known servers, and what decides which of them runs what.
     pub directory: RefCell<Directory>,
     /// Whether the list of servers has been read.
-    pub directory_known: Cell<bool>,
+    pub servers_loaded: Cell<bool>,
     /// Division of requests among destinations.
-    pub splitter: RefCell<Splitter>,
+    pub splitter: RefCell<TrafficSplitter>,
     /// Texts that wait for places.
-    pub places: Places,
+    pub slot_queue: SlotQueue,
     /// Permits for cold servers.
     pub permits: Permits,
     /// Requests that servers ended under.
@@ -172,19 +172,19 @@
     /// The tree of this daemon's zone, with the version of the members that it is of.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
     /// What other daemons told last of each kind.
-    pub told: RefCell<HashMap<&'static str, Telling>>,
+    pub last_relayed: RefCell<HashMap<&'static str, Telling>>,
     /// When another daemon last told anything.
-    pub told_last: Cell<Moment>,
+    pub last_relayed_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
-    pub store_reached_since: Cell<Moment>,
+    pub store_reachable_since: Cell<Moment>,
     /// When a daemon that watches the store last told whether the configuration has changed.
-    pub configuration_told: Cell<Moment>,
+    pub configuration_confirmed_at: Cell<Moment>,
     /// Newest version of the configuration that a peer has told of.
-    pub behind: Cell<u64>,
+    pub newest_announced_configuration: Cell<u64>,
     /// Notified when watches may hear nothing and lists are to be read.
-    pub watches_doubted: Event,
+    pub relist_requested: Event,
     /// What clients' bodies take of the memory.
-    pub memory: Rc<Budget>,
+    pub memory: Rc<MemoryBudget>,
     /// Retries that failures may still cause.
     pub retries: RefCell<RetryBudget>,
     /// Counters.
@@ -227,11 +227,11 @@
             store: RelayedStore::new(store, metrics.clone(), clock.clone()),
             dialect,
             provider,
-            servers: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
+            server_connections: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
                 let metrics = metrics.clone();
                 move |reason| metrics.connection_opened(reason.name())
             }),
-            peers: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
+            peer_connections: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
             replicas: RefCell::default(),
             news_texts: Texts::default(),
@@ -240,9 +240,9 @@
             key_hasher: KeyHasher::random(),
             configuration: RefCell::default(),
             directory: RefCell::new(directory),
-            directory_known: Cell::new(false),
-            splitter: RefCell::new(Splitter::new(rand::rng().random())),
-            places: Places::default(),
+            servers_loaded: Cell::new(false),
+            splitter: RefCell::new(TrafficSplitter::new(rand::rng().random())),
+            slot_queue: SlotQueue::default(),
             permits,
             quarantine: Quarantine::new(tuning.quarantine),
             evacuated: RefCell::default(),
@@ -262,13 +262,13 @@
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
             tree: RefCell::default(),
-            told: RefCell::default(),
-            told_last: Cell::new(Moment::ZERO),
-            store_reached_since: Cell::new(Moment::ZERO),
-            configuration_told: Cell::new(Moment::ZERO),
-            behind: Cell::new(0),
-            watches_doubted: Event::new(),
-            memory: Budget::new(tuning.max_held_bytes),
+            last_relayed: RefCell::default(),
+            last_relayed_at: Cell::new(Moment::ZERO),
+            store_reachable_since: Cell::new(Moment::ZERO),
+            configuration_confirmed_at: Cell::new(Moment::ZERO),
+            newest_announced_configuration: Cell::new(0),
+            relist_requested: Event::new(),
+            memory: MemoryBudget::new(tuning.max_buffered_bytes),
             retries: RefCell::default(),
             metrics,
             resumed: Event::new(),
@@ -311,25 +311,25 @@
 
     /// Whether a peer has told of a newer configuration than the one in force here.
     pub fn is_configuration_behind(&self) -> bool {
-        self.behind.get() > self.configuration_version()
+        self.newest_announced_configuration.get() > self.configuration_version()
     }
 
     /// Time for which the configuration in force here may have been replaced unheard.
     pub fn configuration_age(&self) -> Duration {
-        let told = self.now().saturating_sub(self.configuration_told.get());
+        let told = self.now().saturating_sub(self.configuration_confirmed_at.get());
         told.min(self.store.silent_for())
     }
 
     /// Whether a key may have been taken away unheard for longer than callers with keys are served.
-    pub fn is_closed(&self) -> bool {
-        let limit = self.tuning().closes_after;
+    pub fn rejects_keys(&self) -> bool {
+        let limit = self.tuning().max_configuration_age;
         limit.is_some_and(|limit| self.configuration_age() > limit)
     }
 
     /// Whether requests can be served.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
-            && self.directory_known.get()
+            && self.servers_loaded.get()
             && self.directory.borrow().placer.evacuations_loaded()
             && self.configuration.borrow().is_some()
     }
@@ -367,16 +367,16 @@
     }
 
     /// The daemons that may run jobs with these homes now, this one among them unless it stops.
-    pub fn job_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
-        let mut candidates = self.members.alive_candidates(homes);
-        if !self.draining.get() && region_policy::allow(homes, &self.identity.region) {
+    pub fn job_candidates(&self, allowed_regions: Option<&BTreeSet<String>>) -> Vec<Candidate> {
+        let mut candidates = self.members.alive_candidates(allowed_regions);
+        if !self.draining.get() && region_policy::allows(allowed_regions, &self.identity.region) {
             candidates.push(self.own_candidate());
         }
         candidates
     }
 
     /// Whether this daemon knows of no other although there are some.
-    pub fn is_alone_of_several(&self) -> bool {
+    pub fn has_lost_all_peers(&self) -> bool {
         self.members.count_alive() == 0 && !self.seeds.borrow().is_empty()
     }
 
@@ -386,13 +386,13 @@
     }
 
     /// Notes the region of each zone.
-    pub fn know_zones(&self, zones: &BTreeMap<String, String>) {
+    pub fn set_zone_regions(&self, zones: &BTreeMap<String, String>) {
         let placer = &mut self.directory.borrow_mut().placer;
         zones.iter().for_each(|(zone, region)| placer.set_region(zone, region));
     }
 
     /// Brings the limits of services up to date: all daemons that are alive share what a server takes.
-    pub fn share_servers(&self) {
+    pub fn update_service_limits(&self) {
         let own = self.tuning().processor_millis;
         let mut processors = self.members.alive_processors();
         processors.push(own);
--- a/crates/heronbend-gateway/src/headers.rs
+++ b/crates/heronbend-gateway/src/headers.rs
@@ -8,7 +8,7 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
 /// Whether a header concerns one connection only, or is written by the codec.
-fn is_of_connection(name: &HeaderName) -> bool {
+fn is_hop_by_hop(name: &HeaderName) -> bool {
     [
         &header::CONNECTION,
         &KEEP_ALIVE,
@@ -23,22 +23,22 @@
     .contains(&name)
 }
 
-/// The headers that are passed on: all but those of one connection and those that it names.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+/// The headers that are kept on: all but those of one connection and those that it names.
+pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !is_of_connection(name) && !named.iter().any(|named| named == name.as_str()) {
-            passed.append(name.clone(), value.clone());
+        if !is_hop_by_hop(name) && !listed.iter().any(|listed| listed == name.as_str()) {
+            kept.append(name.clone(), value.clone());
         }
     }
-    passed
+    kept
 }
 
 /// A header's value, where it is text.
--- a/crates/heronbend-gateway/src/http/server.rs
+++ b/crates/heronbend-gateway/src/http/server.rs
@@ -22,7 +22,7 @@
 use thiserror::Error;
 
 use super::Answer;
-use crate::memory::Hold;
+use crate::memory::Reservation;
 
 /// Wait after a connection could not be accepted, as when descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -217,7 +217,7 @@
 pub async fn read_body(
     mut body: Incoming,
     limits: BodyLimits,
-    hold: &mut Hold,
+    hold: &mut Reservation,
 ) -> Result<Bytes, BodyError> {
     let stated = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if stated > limits.max_bytes {
--- a/crates/heronbend-gateway/src/interner.rs
+++ b/crates/heronbend-gateway/src/interner.rs
@@ -5,29 +5,29 @@
 use std::rc::Rc;
 
 /// Values below which none is looked for that nobody holds any more.
-const MIN_VALUES_TO_PRUNE: usize = 64;
+const MIN_PRUNE_THRESHOLD: usize = 64;
 
 /// Values of which equal ones are shared by all that hold them.
 #[derive(Debug)]
-pub struct Pool<T> {
+pub struct Interner<T> {
     values: HashSet<Rc<T>>,
     /// How many values there may be before those that nobody holds are dropped.
-    prune_at: usize,
+    prune_threshold: usize,
 }
 
-impl<T> Default for Pool<T> {
+impl<T> Default for Interner<T> {
     fn default() -> Self {
-        Self { values: HashSet::new(), prune_at: MIN_VALUES_TO_PRUNE }
+        Self { values: HashSet::new(), prune_threshold: MIN_PRUNE_THRESHOLD }
     }
 }
 
-impl<T: Eq + Hash> Pool<T> {
+impl<T: Eq + Hash> Interner<T> {
     /// The value that is equal to this one and held already, or this one.
-    pub fn share(&mut self, value: Rc<T>) -> Rc<T> {
+    pub fn intern(&mut self, value: Rc<T>) -> Rc<T> {
         if let Some(known) = self.values.get(&value) {
             return known.clone();
         }
-        if self.values.len() >= self.prune_at {
+        if self.values.len() >= self.prune_threshold {
             self.prune();
         }
         self.values.insert(value.clone());
@@ -38,7 +38,7 @@
     /// a value costs a bounded number of looks however many there are.
     fn prune(&mut self) {
         self.values.retain(|value| Rc::strong_count(value) > 1);
-        self.prune_at = (2 * self.values.len()).max(MIN_VALUES_TO_PRUNE);
+        self.prune_threshold = (2 * self.values.len()).max(MIN_PRUNE_THRESHOLD);
     }
 
     /// Values that are held.
--- a/crates/heronbend-gateway/src/memory.rs
+++ b/crates/heronbend-gateway/src/memory.rs
@@ -6,52 +6,52 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that may be held, and those that are.
+/// Bytes that may be reserved, and those that are.
 #[derive(Debug)]
-pub struct Budget {
+pub struct MemoryBudget {
     limit: usize,
-    held: Cell<usize>,
+    reserved: Cell<usize>,
 }
 
-/// Bytes held; given back when dropped.
+/// Bytes reserved; given back when dropped.
 #[derive(Debug)]
-pub struct Hold {
-    budget: Rc<Budget>,
+pub struct Reservation {
+    budget: Rc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// A budget of so many bytes.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Self { limit, held: Cell::new(0) })
+        Rc::new(Self { limit, reserved: Cell::new(0) })
     }
 
-    /// Bytes that are held now.
-    pub fn held(&self) -> usize {
-        self.held.get()
+    /// Bytes that are reserved now.
+    pub fn reserved(&self) -> usize {
+        self.reserved.get()
     }
 
     /// A hold of nothing yet.
-    pub fn hold(self: &Rc<Self>) -> Hold {
-        Hold { budget: self.clone(), bytes: 0 }
+    pub fn reserve(self: &Rc<Self>) -> Reservation {
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-impl Hold {
+impl Reservation {
     /// Holds more bytes; false, and nothing more, where they do not fit.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let held = self.budget.held.get();
-        if bytes > self.budget.limit.saturating_sub(held) {
+        let reserved = self.budget.reserved.get();
+        if bytes > self.budget.limit.saturating_sub(reserved) {
             return false;
         }
-        self.budget.held.set(held + bytes);
+        self.budget.reserved.set(reserved + bytes);
         self.bytes += bytes;
         true
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held.get() - self.bytes);
+        self.budget.reserved.set(self.budget.reserved.get() - self.bytes);
     }
 }
--- a/crates/heronbend-gateway/src/mirror.rs
+++ b/crates/heronbend-gateway/src/mirror.rs
@@ -221,7 +221,7 @@
     failures: &mut u32,
 ) {
     loop {
-        let doubted = gateway.watches_doubted.listen();
+        let doubted = gateway.relist_requested.listen();
         let watched = async { Some(watch(gateway, kind, source, at).await) };
         let interrupted = async {
             doubted.await;
@@ -286,8 +286,8 @@
             Ok(()) => {
                 if failures > 0 {
                     log::info!("event=store_answers_again probes_failed={failures}");
-                    gateway.store_reached_since.set(gateway.now());
-                    gateway.watches_doubted.notify(usize::MAX);
+                    gateway.store_reachable_since.set(gateway.now());
+                    gateway.relist_requested.notify(usize::MAX);
                 }
                 failures = 0;
             }
@@ -347,11 +347,11 @@
 
 fn note_success(gateway: &Gateway, kind: &str, failures: &mut u32) {
     if *failures > 0 {
-        gateway.store_reached_since.set(gateway.now());
+        gateway.store_reachable_since.set(gateway.now());
     }
     if *failures >= FAILURES_TO_DOUBT {
         // Watches that were begun while the store was out of reach may never be answered.
-        gateway.watches_doubted.notify(usize::MAX);
+        gateway.relist_requested.notify(usize::MAX);
     }
     if *failures >= FAILURES_TO_LOG {
         log::info!("event=store_regained kind={kind} failures={failures}");
@@ -393,7 +393,7 @@
         Timer::after(backoff(failures)).await;
         return;
     }
-    let answers = gateway.watches_doubted.listen();
+    let answers = gateway.relist_requested.listen();
     wait::at_most(OUTAGE_WAIT, answers).await;
     Timer::after(backoff(1)).await;
 }
--- a/crates/heronbend-gateway/src/peers/client.rs
+++ b/crates/heronbend-gateway/src/peers/client.rs
@@ -40,6 +40,7 @@
     *message.method_mut() = Method::POST;
     *message.uri_mut() = Uri::from_static(PEER_PATH);
     message.headers_mut().insert(http::header::HOST, http::HeaderValue::from_static("peer"));
-    let answer = gateway.peers.fetch(address, message, timeout, MAX_REPLY_BYTES).await.ok()?;
+    let answer =
+        gateway.peer_connections.fetch(address, message, timeout, MAX_REPLY_BYTES).await.ok()?;
     musli::wire::from_slice(&answer.body).ok()
 }
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/duty.rs
@@ -20,8 +20,8 @@
 use super::view_log::ViewLog;
 use super::{introduction, store_relay, Command};
 use crate::batch::{hand_in, ownership_duty, reading};
-use crate::clock::steady_now;
-use crate::clock::SuspensionWatch;
+use crate::clock::monotonic_now;
+use crate::clock::SuspensionDetector;
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::http::server::{read_body, BodyLimits};
@@ -68,16 +68,16 @@
     let mut detector = Detector::new(DETECTOR, me, rand::rng().random());
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     // The first tick greets the seeds at once.
-    let mut ticks = Timer::interval_at(steady_now(), TICK);
+    let mut ticks = Timer::interval_at(monotonic_now(), TICK);
     let mut tick_number = 0_u32;
     let mut head = Head::default();
     let mut view_log = ViewLog::default();
     let mut unpublished = Unpublished::default();
-    let mut suspension = SuspensionWatch::new(gateway.clock());
+    let mut suspension = SuspensionDetector::new(gateway.clock());
     loop {
         let event = next_event(&gateway, &socket, &mut buffer, &mut ticks).await;
         let now = gateway.now();
-        if let Some(suspended) = suspension.look(gateway.clock()) {
+        if let Some(suspended) = suspension.check(gateway.clock()) {
             log::warn!("event=resumed suspended_ms={}", suspended.as_millis());
             gateway.resumed.notify(usize::MAX);
         }
@@ -180,8 +180,8 @@
 
     fn publish(&mut self, now: Moment, gateway: &Rc<Gateway>, detector: &Detector) {
         gateway.members.publish(detector.members().cloned().collect());
-        gateway.share_servers();
-        permits::note_members(gateway);
+        gateway.update_service_limits();
+        permits::update_members(gateway);
         if self.has_lost {
             ownership_duty::note_lost(gateway);
         }
@@ -271,10 +271,10 @@
 
 /// A peer has a newer configuration. The own watch tells of it in a moment, unless it is deaf.
 fn check_behind(gateway: &Rc<Gateway>, head: Head) {
-    if gateway.behind.get() >= head.settings_revision {
+    if gateway.newest_announced_configuration.get() >= head.settings_revision {
         return;
     }
-    gateway.behind.set(head.settings_revision);
+    gateway.newest_announced_configuration.set(head.settings_revision);
     let checked = gateway.clone();
     let check = async move {
         Timer::after(BEHIND_PATIENCE).await;
@@ -284,7 +284,7 @@
                 checked.configuration_version(),
                 head.settings_revision
             );
-            checked.watches_doubted.notify(usize::MAX);
+            checked.relist_requested.notify(usize::MAX);
         }
     };
     gateway.executor.spawn(check).detach();
@@ -292,7 +292,7 @@
 
 /// Answers a peer's call.
 pub async fn answer_peer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
-    let mut hold = gateway.memory.hold();
+    let mut hold = gateway.memory.reserve();
     let limits = BodyLimits { max_bytes: MAX_REQUEST_BYTES, idle: REQUEST_IDLE };
     let Ok(body) = read_body(request.into_body(), limits, &mut hold).await else {
         return text_answer(StatusCode::BAD_REQUEST, "cut");
@@ -318,7 +318,9 @@
         PeerRequest::ConfirmOwner { job, revision } => {
             ownership_duty::confirm_owner(&gateway, &job, revision)
         }
-        PeerRequest::Borrow { server, permits } => permits::answer(&gateway, &server, permits),
+        PeerRequest::Borrow { server, permits } => {
+            permits::handle_request(&gateway, &server, permits)
+        }
         PeerRequest::Isolate { server, is_over } => isolation::answer(&gateway, &server, is_over),
         PeerRequest::ReadResults { job, from, wait_millis } => {
             let wait = Duration::from_millis(wait_millis);
--- a/crates/heronbend-gateway/src/peers/mod.rs
+++ b/crates/heronbend-gateway/src/peers/mod.rs
@@ -166,7 +166,7 @@
     pub fn alive_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
-        let alive = alive.filter(|member| region_policy::allow(homes, &member.region));
+        let alive = alive.filter(|member| region_policy::allows(homes, &member.region));
         alive.map(Candidate::from).collect()
     }
 
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -23,24 +23,24 @@
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
 
-/// Rest before a lender is asked again that did not answer, or that lends no more.
-const UNANSWERED_REST: Duration = Duration::from_millis(200);
+/// Rest before a lender is requested_at retry_after that did not answer, or that lends no more.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What servers bear beyond what they say, in short.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdMargin {
+pub struct ColdStartMargin {
     /// A cold server gets no more in a second than this many times what it bears...
     pub overshoot: f64,
     /// ...and so many requests more.
     pub slack: f64,
 }
 
-impl ColdMargin {
+impl ColdStartMargin {
     /// What may be lent for a server that bears so much.
-    fn terms(self, cold: ColdStartLimit) -> rate_limit::RateLimit {
+    fn rate_limit(self, limit: ColdStartLimit) -> rate_limit::RateLimit {
         rate_limit::RateLimit::bounded(
-            cold.per_second,
-            cold.per_second * self.overshoot + self.slack,
+            limit.per_second,
+            limit.per_second * self.overshoot + self.slack,
         )
     }
 }
@@ -48,30 +48,30 @@
 /// The lender's part, and who lends.
 pub struct Permits {
     view: RefCell<MembershipView>,
-    lender: RefCell<PermitIssuer>,
+    issuer: RefCell<PermitIssuer>,
 }
 
 impl Permits {
     /// A daemon that has just started.
-    pub fn new(me: NodeName) -> Self {
+    pub fn new(local: NodeName) -> Self {
         Self {
-            view: RefCell::new(MembershipView::new(me, Moment::ZERO)),
-            lender: RefCell::default(),
+            view: RefCell::new(MembershipView::new(local, Moment::ZERO)),
+            issuer: RefCell::default(),
         }
     }
 
     /// The daemon that lends for a key, as far as is known here.
-    pub fn lender(&self, key: &str) -> NodeName {
+    pub fn issuer(&self, key: &str) -> NodeName {
         self.view.borrow().issuer(key).clone()
     }
 }
 
 /// Takes in which daemons are alive.
-pub fn note_members(gateway: &Gateway) {
+pub fn update_members(gateway: &Gateway) {
     let members = gateway.members.all();
-    let names = |is_wanted: &dyn Fn(Liveness) -> bool| -> Vec<NodeName> {
-        let wanted = members.iter().filter(|member| is_wanted(member.liveness));
-        wanted.map(|member| member.id.name.clone()).collect()
+    let names = |predicate: &dyn Fn(Liveness) -> bool| -> Vec<NodeName> {
+        let selected = members.iter().filter(|member| predicate(member.liveness));
+        selected.map(|member| member.id.name.clone()).collect()
     };
     let alive = names(&|liveness| liveness <= Liveness::Suspect);
     let left = names(&|liveness| liveness == Liveness::Left);
@@ -79,50 +79,50 @@
 }
 
 /// Asks for permits for the cold servers that requests wait for.
-pub fn ask(gateway: &Rc<Gateway>) {
+pub fn request_permits(gateway: &Rc<Gateway>) {
     let now = gateway.now();
-    let shortages = gateway.directory.borrow_mut().placer.take_permit_demand(now);
-    for shortage in shortages {
+    let demands = gateway.directory.borrow_mut().placer.take_permit_demand(now);
+    for demand in demands {
         let gateway = gateway.clone();
         let executor = gateway.executor.clone();
-        executor.spawn(async move { borrow(&gateway, shortage).await }).detach();
+        executor.spawn(async move { request_for_server(&gateway, demand).await }).detach();
     }
 }
 
-async fn borrow(gateway: &Rc<Gateway>, shortage: PermitDemand) {
-    let asked = gateway.now();
-    let server = gateway.directory.borrow().placer.id(shortage.server).map(str::to_owned);
-    let loan = match &server {
-        Some(server) => loan(gateway, server, shortage.permits).await,
+async fn request_for_server(gateway: &Rc<Gateway>, demand: PermitDemand) {
+    let requested_at = gateway.now();
+    let server = gateway.directory.borrow().placer.id(demand.server).map(str::to_owned);
+    let grant = match &server {
+        Some(server) => request_grant(gateway, server, demand.permits).await,
         None => None,
     };
-    let until = asked + rate_limit::PERMIT_VALIDITY;
+    let valid_until = requested_at + rate_limit::PERMIT_VALIDITY;
     let now = gateway.now();
-    let (permits, again) = match loan {
+    let (permits, retry_after) = match grant {
         // Answers that come late are of no use: what they lend is over.
-        Some(loan) if loan.permits > 0 && now < until => (loan.permits, None),
-        Some(loan) => (0, Some(loan.retry_after)),
-        None => (0, Some(UNANSWERED_REST)),
+        Some(grant) if grant.permits > 0 && now < valid_until => (grant.permits, None),
+        Some(grant) => (0, Some(grant.retry_after)),
+        None => (0, Some(RETRY_DELAY)),
     };
     gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.record_permit_grant(now, shortage.server, permits, until, again);
+        placer.record_permit_grant(now, demand.server, permits, valid_until, retry_after);
     }
     if permits > 0 {
-        gateway.places.changed.notify(usize::MAX);
+        gateway.slot_queue.changed.notify(usize::MAX);
     }
 }
 
 /// What the lender for a server lends; nothing where it does not answer.
-async fn loan(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
-    let lender = gateway.permits.lender(server);
-    if lender == gateway.identity.node.name {
-        return lend(gateway, server, permits).ok();
+async fn request_grant(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
+    let issuer = gateway.permits.issuer(server);
+    if issuer == gateway.identity.node.name {
+        return issue(gateway, server, permits).ok();
     }
-    let lender = gateway.members.named(&lender)?;
+    let issuer = gateway.members.named(&issuer)?;
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
-    match client::call(gateway, &lender, &request, Duration::ZERO).await? {
+    match client::call(gateway, &issuer, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
             Some(PermitGrant { permits, retry_after: Duration::from_millis(again_millis) })
         }
@@ -131,11 +131,11 @@
 }
 
 /// Answers a daemon that wants permits.
-pub fn answer(gateway: &Gateway, server: &str, permits: u32) -> PeerReply {
-    match lend(gateway, server, permits) {
-        Ok(loan) => PeerReply::Lent {
-            permits: loan.permits,
-            again_millis: u64::try_from(loan.retry_after.as_millis()).unwrap_or(u64::MAX),
+pub fn handle_request(gateway: &Gateway, server: &str, permits: u32) -> PeerReply {
+    match issue(gateway, server, permits) {
+        Ok(grant) => PeerReply::Lent {
+            permits: grant.permits,
+            again_millis: u64::try_from(grant.retry_after.as_millis()).unwrap_or(u64::MAX),
         },
         Err(refusal) => {
             log::info!("event=permits_not_lent server={server} reason={refusal:?}");
@@ -145,15 +145,15 @@
 }
 
 /// Lends permits for a server, where that falls to this daemon.
-fn lend(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
+fn issue(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
     let now = gateway.now();
-    if gateway.is_alone_of_several() {
+    if gateway.has_lost_all_peers() {
         return Err(Refusal::Minority);
     }
     match gateway.permits.view.borrow().may_issue(now, server) {
         Ok(()) => {}
-        Err(Refusal::TakeoverPending(left)) => {
-            return Ok(PermitGrant { permits: 0, retry_after: left })
+        Err(Refusal::TakeoverPending(remaining)) => {
+            return Ok(PermitGrant { permits: 0, retry_after: remaining })
         }
         Err(refusal) => return Err(refusal),
     }
@@ -163,10 +163,10 @@
     };
     // A server that is not known here bears nothing yet.
     let Some(cold) = cold else {
-        return Ok(PermitGrant { permits: 0, retry_after: UNANSWERED_REST });
+        return Ok(PermitGrant { permits: 0, retry_after: RETRY_DELAY });
     };
-    let terms = gateway.tuning().cold_margin.terms(cold);
-    let loan = gateway.permits.lender.borrow_mut().issue(now, server, permits, terms);
-    gateway.metrics.permits_lent.inc_by(u64::from(loan.permits));
-    Ok(loan)
+    let limit = gateway.tuning().cold_margin.rate_limit(cold);
+    let grant = gateway.permits.issuer.borrow_mut().issue(now, server, permits, limit);
+    gateway.metrics.permits_lent.inc_by(u64::from(grant.permits));
+    Ok(grant)
 }
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -14,7 +14,7 @@
 
 use super::note;
 use super::By;
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::directory::Server;
 use crate::gateway::Gateway;
 use crate::http::client::Reach;
@@ -27,7 +27,12 @@
 /// Notes that a request's connection to a server broke after `events` of its answer. A request that
 /// had some went on well at that server: the next one goes on behind them, so that one which ends its
 /// servers at a later event has its first one there.
-pub fn note_break(gateway: &Rc<Gateway>, server: &Rc<Server>, outgoing: &Outgoing, events: u64) {
+pub fn note_break(
+    gateway: &Rc<Gateway>,
+    server: &Rc<Server>,
+    outgoing: &OutgoingRequest,
+    events: u64,
+) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
     let beside = gateway.directory.borrow().placer.in_flight(&server.id).saturating_sub(1);
     log::info!(
@@ -48,7 +53,7 @@
 
 /// Notes that the caller of a request left while a server had it: the connection is closed, and nothing
 /// here will tell what becomes of the server. Whoever finds it gone later on does.
-pub fn note_left(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
+pub fn note_left(gateway: &Rc<Gateway>, server: &Server, outgoing: &OutgoingRequest) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
     gateway.quarantine.table.borrow_mut().note_caller_disconnect(
         gateway.now(),
@@ -68,7 +73,7 @@
 async fn look(gateway: Rc<Gateway>, server: String, address: SocketAddr) {
     for rest in LOOKS {
         Timer::after(rest).await;
-        let reach = gateway.servers.probe(address).await;
+        let reach = gateway.server_connections.probe(address).await;
         log::info!("event=server_looked_at server={server} new_connection={}", reach.name());
         if reach == Reach::Refused {
             note_gone(&gateway, &server);
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -96,7 +96,7 @@
 
 /// The other daemon that keeps a server; nothing where it is this one.
 fn keeper(gateway: &Gateway, server: &str) -> Option<NodeId> {
-    let name = gateway.permits.lender(server);
+    let name = gateway.permits.issuer(server);
     if name == gateway.identity.node.name {
         return None;
     }
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -31,7 +31,7 @@
 use smol::Timer;
 
 use self::isolation::Keeper;
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::gateway::Gateway;
 
 pub use self::isolation::Isolation;
@@ -149,7 +149,7 @@
 }
 
 /// Notes a whole answer to a request: whatever ended servers under it, it was not this.
-pub fn note_answer(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
+pub fn note_answer(gateway: &Rc<Gateway>, outgoing: &OutgoingRequest, status: StatusCode) {
     if gateway.quarantine.is_empty() || !shows_run(status) {
         return;
     }
--- a/crates/heronbend-gateway/src/quarantine/passage.rs
+++ b/crates/heronbend-gateway/src/quarantine/passage.rs
@@ -9,7 +9,7 @@
 use super::Pass;
 use super::Refused;
 use crate::attempt::AttemptFailure;
-use crate::attempt::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::directory::Server;
 use crate::gateway::Gateway;
 
@@ -23,14 +23,14 @@
 
 impl Passage {
     /// Admits a request.
-    pub async fn begin(gateway: &Rc<Gateway>, outgoing: &Outgoing) -> Result<Self, Refused> {
+    pub async fn begin(gateway: &Rc<Gateway>, outgoing: &OutgoingRequest) -> Result<Self, Refused> {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         let pass = super::admit(gateway, fingerprint).await?;
         Ok(Self { pass, has_reached: false })
     }
 
     /// Whether it may be sent to one more server, for all that is known of requests like it.
-    pub fn is_open(&self, gateway: &Gateway, outgoing: &Outgoing) -> bool {
+    pub fn is_open(&self, gateway: &Gateway, outgoing: &OutgoingRequest) -> bool {
         if self.pass == Pass::Probe {
             return !self.has_reached;
         }
@@ -38,14 +38,20 @@
     }
 
     /// Notes in a request's history how it is kept apart from others.
-    pub fn keep_apart(&self, gateway: &Gateway, outgoing: &Outgoing, history: &mut AttemptHistory) {
+    pub fn keep_apart(
+        &self,
+        gateway: &Gateway,
+        outgoing: &OutgoingRequest,
+        history: &mut AttemptHistory,
+    ) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         super::keep_apart(gateway, self.pass, fingerprint, history);
     }
 
     /// Notes how an attempt ended.
     pub fn note_attempt(&mut self, failure: Option<&AttemptFailure>) {
-        let is_unsent = matches!(failure, Some(AttemptFailure::NotSent | AttemptFailure::Held));
+        let is_unsent =
+            matches!(failure, Some(AttemptFailure::Unreachable | AttemptFailure::ServerReserved));
         self.has_reached |= !is_unsent;
     }
 }
@@ -54,7 +60,7 @@
 pub async fn isolate(
     gateway: &Rc<Gateway>,
     server: &Server,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     is_alone: bool,
 ) -> Result<Option<Isolation>, Busy> {
     if !is_alone {
--- a/crates/heronbend-gateway/src/reload.rs
+++ b/crates/heronbend-gateway/src/reload.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::Tuning;
-use crate::retirement::SignalWait;
+use crate::retirement::SignalListener;
 use crate::settings::Settings;
 
 /// Time between two looks whether the file has changed without a signal.
@@ -38,7 +38,7 @@
 }
 
 /// Follows the file until the daemon ends.
-pub async fn follow(gateway: Rc<Gateway>, mut source: Source, signal: SignalWait) {
+pub async fn follow(gateway: Rc<Gateway>, mut source: Source, signal: SignalListener) {
     let mut seen = modified(&source.path);
     loop {
         let asked = async {
@@ -139,11 +139,11 @@
         max_object_bytes: settings.max_object_bytes,
         result_retention: settings.result_retention,
         stop_limit: settings.stop_limit,
-        closes_after: settings.tuning().closes_after,
+        max_configuration_age: settings.tuning().max_configuration_age,
         cold_margin: settings.cold_margin,
         ..gateway.tuning()
     };
     gateway.set_tuning(tuning);
-    gateway.know_zones(&settings.zones);
+    gateway.set_zone_regions(&settings.zones);
     *gateway.seeds.borrow_mut() = settings.addresses().seeds;
 }
--- a/crates/heronbend-gateway/src/retirement.rs
+++ b/crates/heronbend-gateway/src/retirement.rs
@@ -16,15 +16,15 @@
 use crate::ports::{Condition, Object, ObjectStore, Ports};
 use crate::service::StartError;
 
-const GATHERING: Duration = Duration::from_millis(200);
+const BATCHING_DELAY: Duration = Duration::from_millis(200);
 /// How long a machine waits for the one that is meant to answer for itself.
-const OTHERS_WAIT: Duration = Duration::from_millis(1500);
-const RETRY: Duration = Duration::from_millis(500);
+const OTHER_MACHINE_DELAY: Duration = Duration::from_millis(1500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Waits for one of some signals.
-pub struct SignalWait(smol::Async<std::os::unix::net::UnixStream>);
+pub struct SignalListener(smol::Async<std::os::unix::net::UnixStream>);
 
-impl SignalWait {
+impl SignalListener {
     /// Returns when a signal has come.
     pub async fn wait(&self) {
         let mut byte = [0];
@@ -33,17 +33,17 @@
 }
 
 /// Takes signals from now on.
-pub fn stop_signal(signals: &[i32]) -> io::Result<SignalWait> {
+pub fn listen_for_signals(signals: &[i32]) -> io::Result<SignalListener> {
     let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
     }
-    Ok(SignalWait(smol::Async::new(receiver)?))
+    Ok(SignalListener(smol::Async::new(receiver)?))
 }
 
 /// Notes each request to reload. What the settings file says is fixed for a process's life: a new
 /// address or name comes with a new process.
-pub async fn log_reloads(reload: SignalWait) {
+pub async fn log_reloads(reload: SignalListener) {
     loop {
         reload.wait().await;
         log::info!("event=reload_requested outcome=\"nothing to reload\"");
@@ -58,15 +58,15 @@
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     let ports = ports(executor.clone());
-    let stop = stop_signal(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
-    let reload = stop_signal(&[SIGHUP]).map_err(StartError::Signals)?;
+    let stop = listen_for_signals(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
+    let reload = listen_for_signals(&[SIGHUP]).map_err(StartError::Signals)?;
     let gateway = Gateway::new(identity, ports, executor.clone(), tuning);
     smol::block_on(executor.run(async {
         log::info!("event=started node={}", gateway.identity.node);
         let kind = gateway.dialect.kinds().retirements;
-        let sink = RetirementSink { gateway: gateway.clone(), open: RefCell::default() };
+        let sink = RetirementSink { gateway: gateway.clone(), pending: RefCell::default() };
         executor
-            .spawn(mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, sink))
+            .spawn(mirror::follow(gateway.clone(), kind, Source::Store, BATCHING_DELAY, sink))
             .detach();
         executor.spawn(log_reloads(reload)).detach();
         stop.wait().await;
@@ -79,21 +79,21 @@
 struct RetirementSink {
     gateway: Rc<Gateway>,
     /// Machines that are being answered for.
-    open: RefCell<Vec<String>>,
+    pending: RefCell<Vec<String>>,
 }
 
 /// Records that a machine holds nothing any more.
 async fn retire(gateway: Rc<Gateway>, machine: String) {
     let kind = gateway.dialect.kinds().retirements;
     if machine != gateway.identity.node.name.0 {
-        Timer::after(OTHERS_WAIT).await;
+        Timer::after(OTHER_MACHINE_DELAY).await;
         let current = gateway.store.get(kind, &machine).await;
-        let is_answered = match current {
+        let is_retired = match current {
             Ok(Some(object)) => gateway.dialect.is_retired(&object.status),
             Ok(None) => true,
             Err(_) => false,
         };
-        if is_answered {
+        if is_retired {
             return;
         }
     }
@@ -106,29 +106,29 @@
         );
         match written {
             Ok(_) | Err(crate::ports::StoreError::NotFound) => return,
-            Err(_) => Timer::after(RETRY).await,
+            Err(_) => Timer::after(RETRY_DELAY).await,
         };
     }
 }
 
 impl MirrorSink for RetirementSink {
     fn keep(&self, names: &BTreeSet<String>) {
-        self.open.borrow_mut().retain(|open| names.contains(open));
+        self.pending.borrow_mut().retain(|pending| names.contains(pending));
     }
 
     fn put(&self, object: &Object) {
         if self.gateway.dialect.is_retired(&object.status) {
             return;
         }
-        if self.open.borrow().contains(&object.name) {
+        if self.pending.borrow().contains(&object.name) {
             return;
         }
-        self.open.borrow_mut().push(object.name.clone());
+        self.pending.borrow_mut().push(object.name.clone());
         let retiring = retire(self.gateway.clone(), object.name.clone());
         self.gateway.executor.spawn(retiring).detach();
     }
 
     fn remove(&self, name: &str) {
-        self.open.borrow_mut().retain(|open| open != name);
+        self.pending.borrow_mut().retain(|pending| pending != name);
     }
 }
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -16,7 +16,7 @@
 use crate::batch::ownership_duty;
 use crate::configuration::Configuration;
 use crate::configuration::Finding;
-use crate::directory::Run;
+use crate::directory::RunOrder;
 use crate::directory::Server;
 use crate::directory::ServerState;
 use crate::duties;
@@ -37,20 +37,20 @@
 
 /// Share of the time for a change of servers in which further ones are gathered into one call. The
 /// rest is for the store's answer, and for a call that has to be repeated.
-const DIRECTORY_GATHERING: f64 = 0.5;
+const DIRECTORY_BATCHING_RATIO: f64 = 0.5;
 /// The same for the configuration, of which a storm of changes is to be in force soon.
-const CONFIGURATION_GATHERING: f64 = 0.15;
+const CONFIGURATION_BATCHING_RATIO: f64 = 0.15;
 /// Added to the idle timeout of clients before a kept connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 /// Time for the entry to stop sending new connections, after the daemon says it is not ready.
-const STOP_NOTICE: Duration = Duration::from_millis(3500);
+const READINESS_DELAY: Duration = Duration::from_millis(3500);
 /// Kept back of the time to stop, for the process to end.
 const STOP_MARGIN: Duration = Duration::from_millis(1200);
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two lines with what was counted.
-const COUNTS_PERIOD: Duration = Duration::from_secs(5);
+const COUNTER_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Longest time to tell the others that this daemon stops.
-const LEAVE_LIMIT: Duration = Duration::from_millis(200);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Addresses that a daemon serves on.
 #[derive(Debug, Clone)]
@@ -97,17 +97,19 @@
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     let ports = ports(executor.clone());
-    let stop = crate::retirement::stop_signal(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
-    let hang_up = crate::retirement::stop_signal(&[SIGHUP]).map_err(StartError::Signals)?;
+    let stop =
+        crate::retirement::listen_for_signals(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
+    let reload_signal =
+        crate::retirement::listen_for_signals(&[SIGHUP]).map_err(StartError::Signals)?;
     let (identity, tuning) = (source.settings.identity(), source.settings.tuning());
     let addresses = source.settings.addresses();
     let first_start = source.settings.first_start;
     let gateway = Gateway::new(identity, ports, executor.clone(), tuning);
-    gateway.know_zones(&source.settings.zones);
+    gateway.set_zone_regions(&source.settings.zones);
     smol::block_on(executor.run(async move {
         gateway.members.introduction.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
-        gateway.executor.spawn(reload::follow(gateway.clone(), source, hang_up)).detach();
+        gateway.executor.spawn(reload::follow(gateway.clone(), source, reload_signal)).detach();
         stop.wait().await;
         drain(&gateway, &callers).await;
         Ok(())
@@ -137,9 +139,9 @@
         })?;
     }
     if let Some(address) = addresses.metrics {
-        let told = gateway.clone();
+        let served = gateway.clone();
         let page = move |_| {
-            let page = told.metrics.page();
+            let page = served.metrics.page();
             async move { bytes_answer(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
@@ -147,7 +149,7 @@
         }
     }
     start_membership(gateway, addresses)?;
-    start_duties(gateway, &callers);
+    start_background_tasks(gateway, &callers);
     log::info!(
         "event=started node={} zone={} callers={} peers={}",
         gateway.identity.node,
@@ -182,7 +184,7 @@
     let failed = |error| StartError::Listen { address, purpose: "peers' datagrams", error };
     let socket = UdpSocket::bind(address).map_err(failed)?;
     let socket = smol::Async::new(socket).map_err(failed)?;
-    let me = Member {
+    let local = Member {
         id: gateway.identity.node.clone(),
         address,
         http_address: addresses.callers,
@@ -194,28 +196,30 @@
     };
     let others = addresses.seeds.iter().copied().filter(|seed| *seed != address);
     *gateway.seeds.borrow_mut() = others.collect();
-    let membership = peers::duty::run_membership(gateway.clone(), socket.into(), me);
+    let membership = peers::duty::run_membership(gateway.clone(), socket.into(), local);
     gateway.executor.spawn(membership).detach();
     Ok(())
 }
 
-fn start_duties(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
+fn start_background_tasks(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
     let spawn = |task| gateway.executor.spawn::<()>(task).detach();
     let kinds = gateway.dialect.kinds();
     let configuration = ConfigurationSink { gateway: gateway.clone(), callers: callers.clone() };
     let (configurations, servers) = (kinds.configuration, kinds.servers);
     let followed = gateway.clone();
     spawn(Box::pin(async move {
-        let gathering = followed.tuning().configuration_notice.mul_f64(CONFIGURATION_GATHERING);
-        mirror::follow(followed, configurations, Source::Watchers, gathering, configuration).await;
+        let batching_delay =
+            followed.tuning().configuration_notice.mul_f64(CONFIGURATION_BATCHING_RATIO);
+        mirror::follow(followed, configurations, Source::Watchers, batching_delay, configuration)
+            .await;
     }) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
     let directory = DirectorySink::new(gateway.clone());
-    let gathering = gateway.tuning().drain_notice.mul_f64(DIRECTORY_GATHERING);
+    let batching_delay = gateway.tuning().drain_notice.mul_f64(DIRECTORY_BATCHING_RATIO);
     spawn(Box::pin(mirror::follow(
         gateway.clone(),
         servers,
         Source::Watchers,
-        gathering,
+        batching_delay,
         directory,
     )));
     if gateway.tuning().evacuation_notice.is_some() {
@@ -226,7 +230,7 @@
     spawn(Box::pin(quarantine::keep_up(gateway.clone())));
     spawn(Box::pin(peers::introduction::run(gateway.clone())));
     spawn(Box::pin(mirror::probe_store(gateway.clone())));
-    spawn(Box::pin(log_counts(gateway.clone())));
+    spawn(Box::pin(log_counters_periodically(gateway.clone())));
     spawn(Box::pin(ownership_duty::follow(gateway.clone())));
     spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
     spawn(Box::pin(versions::named::follow_versions(gateway.clone())));
@@ -239,14 +243,14 @@
         return;
     };
     let lease = Rc::new(LeaseKeeper::new(gateway.clone(), LeaseName::Duties));
-    if gateway.tuning().scales {
+    if gateway.tuning().scaling_enabled {
         let scaling = duties::scaling::run(gateway.clone(), provider.clone(), lease.clone());
         gateway.executor.spawn(scaling).detach();
     }
     if let Some(book) = gateway.usage.clone() {
         let spawn = |task| gateway.executor.spawn::<()>(task).detach();
-        let telling = duties::telling::run(gateway.clone(), book.clone());
-        spawn(Box::pin(telling) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
+        let broadcast = duties::telling::run(gateway.clone(), book.clone());
+        spawn(Box::pin(broadcast) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
         spawn(Box::pin(duties::reporting::run(gateway.clone(), book, provider, lease)));
     }
 }
@@ -259,7 +263,7 @@
     if request.uri().path() == ready_path.0 {
         return ready(&gateway);
     }
-    crate::calls::answer(gateway, request).await
+    crate::calls::handle(gateway, request).await
 }
 
 async fn answer_ready(
@@ -287,7 +291,7 @@
 }
 
 impl ConfigurationSink {
-    fn adopt(&self, configuration: Configuration) {
+    fn apply(&self, configuration: Configuration) {
         let known = self.gateway.configuration().map_or(0, |known| known.version);
         if configuration.version <= known && known > 0 {
             return;
@@ -304,7 +308,7 @@
             configuration.services.len(),
             configuration.access.as_ref().map_or(0, |access| access.len())
         );
-        for finding in configuration.findings.iter().chain(&self.homeless(&configuration)) {
+        for finding in configuration.findings.iter().chain(&self.unknown_regions(&configuration)) {
             log::warn!(
                 "event=configuration_finding version={} place={} problem=\"{}\"",
                 configuration.version,
@@ -316,14 +320,14 @@
             configuration.routes.iter().map(|route| route.name.as_str()).collect();
         self.gateway.splitter.borrow_mut().retain(|name| names.contains(name));
         *self.gateway.configuration.borrow_mut() = Some(Rc::new(configuration));
-        self.gateway.share_servers();
-        self.gateway.places.changed.notify(usize::MAX);
+        self.gateway.update_service_limits();
+        self.gateway.slot_queue.changed.notify(usize::MAX);
     }
 }
 
 impl ConfigurationSink {
     /// Routes and tenants whose homes name a region that no zone of the settings is in.
-    fn homeless(&self, configuration: &Configuration) -> Vec<Finding> {
+    fn unknown_regions(&self, configuration: &Configuration) -> Vec<Finding> {
         let placer = &self.gateway.directory.borrow().placer;
         let unknown = |place: String, homes: &BTreeSet<String>| {
             let missing = homes.iter().find(|region| !placer.is_known_region(region))?;
@@ -349,7 +353,7 @@
             return;
         }
         match self.gateway.dialect.configuration(&object.content, &self.gateway.key_hasher) {
-            Ok(configuration) => self.adopt(configuration),
+            Ok(configuration) => self.apply(configuration),
             Err(error) => log::error!("event=configuration_malformed error=\"{error}\""),
         }
     }
@@ -379,7 +383,7 @@
         }
     }
 
-    fn note_draining(&self, server: &Server) {
+    fn log_draining(&self, server: &Server) {
         let directory = self.gateway.directory.borrow();
         let known = directory.get(&server.id).map(|known| known.state);
         if server.state == ServerState::Draining && known != Some(server.state) {
@@ -389,8 +393,8 @@
 
     /// A server that has started again under the id that it had: its former run has ended, with what ran
     /// there and the connections to it.
-    fn note_restart(&self, server: &Server) {
-        if self.gateway.directory.borrow().run(server) != Run::Later {
+    fn record_restart(&self, server: &Server) {
+        if self.gateway.directory.borrow().compare_run(server) != RunOrder::Newer {
             return;
         }
         let Some(known) = self.gateway.directory.borrow().get(&server.id).cloned() else {
@@ -403,13 +407,13 @@
             known.incarnation
         );
         self.gateway.metrics.servers_restarted.inc();
-        self.note_gone(&server.id);
-        self.gateway.servers.close_idle(known.address);
+        self.record_exit(&server.id);
+        self.gateway.server_connections.close_idle(known.address);
     }
 
     /// A server whose entry went, and that had not said that it would leave: where connections to it
     /// broke a moment ago, it has ended.
-    fn note_gone(&self, id: &str) {
+    fn record_exit(&self, id: &str) {
         let state = self.gateway.directory.borrow().get(id).map(|server| server.state);
         if state == Some(ServerState::Ready) {
             evidence::note_gone(&self.gateway, id);
@@ -422,7 +426,7 @@
         let gateway = &self.gateway;
         let known: Vec<String> =
             gateway.directory.borrow().all().map(|server| server.id.clone()).collect();
-        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.note_gone(id));
+        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.record_exit(id));
         gateway.directory.borrow_mut().retain(gateway.now(), names);
         self.malformed.borrow_mut().retain(|name| names.contains(name));
     }
@@ -430,7 +434,7 @@
     fn listed(&self) {
         let servers = self.gateway.directory.borrow().all().count();
         log::info!("event=servers_listed servers={servers}");
-        self.gateway.directory_known.set(true);
+        self.gateway.servers_loaded.set(true);
     }
 
     fn put(&self, object: &Object) {
@@ -438,8 +442,8 @@
             Ok(mut server) => {
                 server.revision = object.revision;
                 self.malformed.borrow_mut().remove(&object.name);
-                self.note_draining(&server);
-                self.note_restart(&server);
+                self.log_draining(&server);
+                self.record_restart(&server);
                 self.gateway.directory.borrow_mut().insert(self.gateway.now(), server);
             }
             Err(error) => self.drop_malformed(&object.name, &error),
@@ -448,23 +452,23 @@
 
     fn remove(&self, name: &str) {
         log::info!("event=server_gone server={name}");
-        self.note_gone(name);
+        self.record_exit(name);
         self.malformed.borrow_mut().remove(name);
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
     }
 
     fn applied(&self) {
-        self.gateway.places.changed.notify(usize::MAX);
+        self.gateway.slot_queue.changed.notify(usize::MAX);
         self.gateway.versions.changed.notify(usize::MAX);
     }
 }
 
 /// Logs what was counted, now and then: on-call engineers may have nothing but logs.
-async fn log_counts(gateway: Rc<Gateway>) {
+async fn log_counters_periodically(gateway: Rc<Gateway>) {
     loop {
-        Timer::after(COUNTS_PERIOD).await;
+        Timer::after(COUNTER_LOG_INTERVAL).await;
         count_cold_servers(&gateway);
-        log_count(&gateway);
+        log_counters(&gateway);
     }
 }
 
@@ -478,7 +482,7 @@
     }
 }
 
-fn log_count(gateway: &Gateway) {
+fn log_counters(gateway: &Gateway) {
     if let Some(line) = gateway.metrics.line() {
         log::info!("{line}");
     }
@@ -486,22 +490,22 @@
 
 /// Stops: says so at the entry, serves what still comes, and ends once nothing is under way.
 async fn drain(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
-    let begun = gateway.now();
+    let started_at = gateway.now();
     gateway.draining.set(true);
     callers.start_draining();
     log::info!("event=draining exchanges={}", callers.exchanges());
-    Timer::after(STOP_NOTICE).await;
+    Timer::after(READINESS_DELAY).await;
     callers.close();
-    let limit = begun + gateway.tuning().stop_limit.saturating_sub(STOP_MARGIN);
-    while gateway.now() < limit && (callers.connections() > 0 || runs_jobs(gateway)) {
-        Timer::after(STOP_POLL).await;
+    let limit = started_at + gateway.tuning().stop_limit.saturating_sub(STOP_MARGIN);
+    while gateway.now() < limit && (callers.connections() > 0 || has_running_jobs(gateway)) {
+        Timer::after(STOP_POLL_INTERVAL).await;
     }
     if let Some(book) = &gateway.usage {
         duties::telling::tell_last(gateway, book);
     }
     // The others need not find out by probes, and take its jobs over at once.
-    wait::at_most(LEAVE_LIMIT, gateway.members.leave()).await;
-    log_count(gateway);
+    wait::at_most(LEAVE_TIMEOUT, gateway.members.leave()).await;
+    log_counters(gateway);
     log::info!(
         "event=stopped exchanges_cut={} connections_cut={}",
         callers.exchanges(),
@@ -510,6 +514,6 @@
     log::logger().flush();
 }
 
-fn runs_jobs(gateway: &Gateway) -> bool {
+fn has_running_jobs(gateway: &Gateway) -> bool {
     gateway.jobs.all().iter().any(|job| job.running.get())
 }
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -12,7 +12,7 @@
 
 use crate::duties::book::Terms;
 use crate::gateway::{Identity, Tuning};
-use crate::permits::ColdMargin;
+use crate::permits::ColdStartMargin;
 use crate::service::Addresses;
 
 /// Memory of a process where the file does not say.
@@ -111,7 +111,7 @@
     /// evacuated.
     pub evacuation_notice: Option<Duration>,
     /// How much more than it bears a cold server may get.
-    pub cold_margin: ColdMargin,
+    pub cold_margin: ColdStartMargin,
     /// When requests that end their servers are refused, and tried again.
     pub quarantine: Limits,
 }
@@ -288,8 +288,8 @@
     }
 
     /// How much more than it bears a cold server may get.
-    fn cold_margin(&mut self) -> ColdMargin {
-        let margin = ColdMargin {
+    fn cold_margin(&mut self) -> ColdStartMargin {
+        let margin = ColdStartMargin {
             overshoot: self.number_or("cold.overshoot", 1.0),
             slack: self.number_or("cold.slack", 0.0),
         };
@@ -452,7 +452,7 @@
     /// Time constants.
     pub fn tuning(&self) -> Tuning {
         Tuning {
-            max_held_bytes: self.memory_limit_mb * BYTES_A_MEGABYTE / HELD_SHARE,
+            max_buffered_bytes: self.memory_limit_mb * BYTES_A_MEGABYTE / HELD_SHARE,
             lease_pause: self.lease_pause,
             result_retention: self.result_retention,
             max_object_bytes: self.max_object_bytes,
@@ -461,8 +461,8 @@
             configuration_notice: self.configuration_notice,
             usage: self.usage,
             processor_millis: (self.processor_share * 1e3).round() as u32,
-            scales: self.duties.contains(&Duty::Scale),
-            closes_after: self.revocation_notice.filter(|_| self.fail_closed),
+            scaling_enabled: self.duties.contains(&Duty::Scale),
+            max_configuration_age: self.revocation_notice.filter(|_| self.fail_closed),
             evacuation_notice: self.evacuation_notice,
             cold_margin: self.cold_margin,
             quarantine: self.quarantine,
--- a/crates/heronbend-gateway/src/slot_queue.rs
+++ b/crates/heronbend-gateway/src/slot_queue.rs
@@ -20,7 +20,7 @@
 use smol::channel::Sender;
 use smol::Timer;
 
-use crate::attempt::CountedAttempt;
+use crate::attempt::AttemptGuard;
 use crate::directory::Server;
 use crate::gateway::Gateway;
 use crate::permits;
@@ -28,12 +28,12 @@
 
 /// Longest wait until places are looked for again without news: servers that are avoided, cold or
 /// loading become usable by the mere passing of time.
-const RECHECK: Duration = Duration::from_millis(100);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Texts that waited longer than this are logged with what held them up.
-const LONG_WAIT: Duration = Duration::from_millis(500);
+const LONG_WAIT_LOG_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// A place for a text, which it holds until it is dropped.
-pub struct Placed {
+pub struct AssignedSlot {
     /// The server.
     pub server: Rc<Server>,
     /// Its key.
@@ -41,30 +41,31 @@
     /// Whether the server is known to have the version that is needed.
     pub version_status: VersionStatus,
     /// Counts the text at the server.
-    pub counted: CountedAttempt,
+    pub counted: AttemptGuard,
 }
 
 /// Texts that wait here for places.
 #[derive(Default)]
-pub struct Places {
-    waiting: RefCell<HashMap<TicketKey, Sender<Placed>>>,
-    is_placing: Cell<bool>,
+pub struct SlotQueue {
+    waiting: RefCell<HashMap<TicketKey, Sender<AssignedSlot>>>,
+    is_assigning: Cell<bool>,
     /// Notified when a place may have become free or a server has changed.
     pub changed: Event,
 }
 
-/// What requests to a service need, which hold to `homes`.
-pub fn need(
+/// What requests to a service requirements, which hold to `allowed_regions`.
+pub fn requirements(
     gateway: &Gateway,
     service: &str,
     model: Option<(&str, u64)>,
-    homes: Option<&BTreeSet<String>>,
+    allowed_regions: Option<&BTreeSet<String>>,
 ) -> Requirements {
     let placer = &mut gateway.directory.borrow_mut().placer;
     Requirements {
         service: placer.service(service),
         model: model.map(|(name, min_version)| (placer.model(name), min_version)),
-        allowed_regions: homes.map(|homes| placer.region_set(homes.iter().map(String::as_str))),
+        allowed_regions: allowed_regions
+            .map(|allowed_regions| placer.region_set(allowed_regions.iter().map(String::as_str))),
     }
 }
 
@@ -76,80 +77,80 @@
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        self.gateway.places.waiting.borrow_mut().remove(&self.key);
+        self.gateway.slot_queue.waiting.borrow_mut().remove(&self.key);
         self.gateway.directory.borrow_mut().placer.cancel(self.key);
     }
 }
 
 /// Waits for a place for a text.
-pub async fn text(
+pub async fn acquire_slot(
     gateway: &Rc<Gateway>,
     item: &str,
-    need: Requirements,
+    requirements: Requirements,
     urgency: Urgency,
     history: AttemptHistory,
-) -> Placed {
-    let begun = gateway.now();
+) -> AssignedSlot {
+    let started_at = gateway.now();
     loop {
-        let (ticket, placed) = enqueue(gateway, need, urgency, history.clone());
-        if let Ok(placed) = placed.try_recv() {
-            return placed;
+        let (ticket, assigned) = enqueue(gateway, requirements, urgency, history.clone());
+        if let Ok(assigned) = assigned.try_recv() {
+            return assigned;
         }
-        let obstacle = obstacle(gateway, &need, ticket.key);
-        if let Ok(placed) = placed.recv().await {
-            log_wait(gateway, item, &placed, begun, obstacle);
-            return placed;
+        let delay_cause = delay_cause(gateway, &requirements, ticket.key);
+        if let Ok(assigned) = assigned.recv().await {
+            log_wait(gateway, item, &assigned, started_at, delay_cause);
+            return assigned;
         }
         // The place that was chosen is gone, which is logged there.
-        Timer::after(RECHECK).await;
+        Timer::after(RECHECK_INTERVAL).await;
     }
 }
 
 /// Has a text wait, and gives it a place at once if there is one.
 fn enqueue(
     gateway: &Rc<Gateway>,
-    need: Requirements,
+    requirements: Requirements,
     urgency: Urgency,
     history: AttemptHistory,
-) -> (Ticket<'_>, Receiver<Placed>) {
-    let (sender, placed) = bounded(1);
+) -> (Ticket<'_>, Receiver<AssignedSlot>) {
+    let (sender, assigned) = bounded(1);
     let key = {
         let now = gateway.now();
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.enqueue(now, need, urgency, history)
+        placer.enqueue(now, requirements, urgency, history)
     };
-    gateway.places.waiting.borrow_mut().insert(key, sender);
-    place_waiting(gateway);
-    if !gateway.places.is_placing.replace(true) {
-        gateway.executor.spawn(keep_placing(gateway.clone())).detach();
+    gateway.slot_queue.waiting.borrow_mut().insert(key, sender);
+    assign_free_slots(gateway);
+    if !gateway.slot_queue.is_assigning.replace(true) {
+        gateway.executor.spawn(run_assignment_loop(gateway.clone())).detach();
     }
-    (Ticket { gateway, key }, placed)
+    (Ticket { gateway, key }, assigned)
 }
 
 /// What holds a text up: which servers it cannot have, and how many texts come before it.
-fn obstacle(
+fn delay_cause(
     gateway: &Gateway,
-    need: &Requirements,
+    requirements: &Requirements,
     ticket: TicketKey,
 ) -> (Option<Exclusion>, usize) {
     let placer = &gateway.directory.borrow().placer;
     let behind = placer.queue_position(ticket).unwrap_or(0);
-    (placer.main_exclusion(gateway.now(), need), behind)
+    (placer.main_exclusion(gateway.now(), requirements), behind)
 }
 
 fn log_wait(
     gateway: &Gateway,
     item: &str,
-    placed: &Placed,
-    begun: heronbend::Moment,
+    assigned: &AssignedSlot,
+    started_at: heronbend::Moment,
     (reason, behind): (Option<Exclusion>, usize),
 ) {
-    let waited = gateway.now().saturating_sub(begun);
+    let waited = gateway.now().saturating_sub(started_at);
     gateway.metrics.place_wait.observe(waited.as_secs_f64());
-    if waited >= LONG_WAIT {
+    if waited >= LONG_WAIT_LOG_THRESHOLD {
         log::info!(
             "event=item_waited item={item} server={} waited_ms={} behind={behind} servers={}",
-            placed.server.id,
+            assigned.server.id,
             waited.as_millis(),
             reason.map_or("none", Exclusion::name)
         );
@@ -157,37 +158,41 @@
 }
 
 /// Gives free places to texts while some wait.
-async fn keep_placing(gateway: Rc<Gateway>) {
+async fn run_assignment_loop(gateway: Rc<Gateway>) {
     loop {
-        let changed = gateway.places.changed.listen();
-        place_waiting(&gateway);
-        if gateway.places.waiting.borrow().is_empty() {
-            gateway.places.is_placing.set(false);
+        let changed = gateway.slot_queue.changed.listen();
+        assign_free_slots(&gateway);
+        if gateway.slot_queue.waiting.borrow().is_empty() {
+            gateway.slot_queue.is_assigning.set(false);
             return;
         }
-        wait::at_most(RECHECK, changed).await;
+        wait::at_most(RECHECK_INTERVAL, changed).await;
     }
 }
 
 /// Gives the places that are free now to the most urgent texts.
-fn place_waiting(gateway: &Rc<Gateway>) {
+fn assign_free_slots(gateway: &Rc<Gateway>) {
     loop {
         let now = gateway.now();
-        let next = gateway.directory.borrow_mut().next_placed(now, &gateway.servers);
+        let next = gateway.directory.borrow_mut().place_next(now, &gateway.server_connections);
         let Some((ticket, choice)) = next else {
             break;
         };
-        let server = gateway.directory.borrow().chosen(choice.server);
-        let sender = gateway.places.waiting.borrow_mut().remove(&ticket);
+        let server = gateway.directory.borrow().by_key(choice.server);
+        let sender = gateway.slot_queue.waiting.borrow_mut().remove(&ticket);
         let Some((server, sender)) = server.zip(sender) else {
             log::error!("event=place_without_taker server={:?}", choice.server);
             continue;
         };
-        let counted = CountedAttempt::begin(gateway, &server);
-        let placed =
-            Placed { server, key: choice.server, version_status: choice.version_status, counted };
+        let counted = AttemptGuard::start(gateway, &server);
+        let assigned = AssignedSlot {
+            server,
+            key: choice.server,
+            version_status: choice.version_status,
+            counted,
+        };
         // A text that is gone gives its place back.
-        let _ = sender.try_send(placed);
+        let _ = sender.try_send(assigned);
     }
-    permits::ask(gateway);
+    permits::request_permits(gateway);
 }
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -29,15 +29,15 @@
 
 use crate::attempt;
 use crate::attempt::AttemptFailure;
-use crate::attempt::CountedAttempt;
-use crate::attempt::Outgoing;
+use crate::attempt::AttemptGuard;
+use crate::attempt::OutgoingRequest;
 use crate::configuration::Configuration;
 use crate::directory::Server;
 use crate::events::Event;
 use crate::events::Parser;
-use crate::forward::Allowance;
 use crate::forward::ForwardError;
-use crate::forward::SPENT;
+use crate::forward::RequestLimits;
+use crate::forward::ATTEMPTS_EXHAUSTED;
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::http::client::Exchange;
@@ -54,12 +54,12 @@
 
 /// Silence before the first event after which a resumable stream is moved. A request may wait in
 /// the server's queue.
-const FIRST_SILENCE: Duration = Duration::from_millis(1500);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Silence between events after which it is moved; clients bear two seconds.
-const SILENCE: Duration = Duration::from_millis(1200);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// The answer to a request for a stream.
-pub enum Opened {
+pub enum StreamResponse {
     /// The first events are there, and others follow.
     Events {
         /// Status of the first server.
@@ -70,23 +70,23 @@
         body: AnswerBody,
     },
     /// A server answered without a stream.
-    Whole(WholeAnswer),
+    Complete(WholeAnswer),
 }
 
 /// Why a stream ended before its end.
 #[derive(Debug)]
-enum Break {
+enum StreamError {
     /// A server answered with a failure.
-    Answered(Box<WholeAnswer>),
+    Response(Box<WholeAnswer>),
     /// It failed, or no server took it.
     Failed(ForwardError),
 }
 
 /// One server's part of a stream.
-struct Run {
+struct ServerStream {
     server: Rc<Server>,
     exchange: Exchange,
-    counted: CountedAttempt,
+    guard: AttemptGuard,
     /// Keeps others from the server where the request may end it.
     isolation: Option<Isolation>,
     parser: Parser,
@@ -96,25 +96,25 @@
 }
 
 /// What one look at a server's stream gave.
-enum Piece {
+enum ReadOutcome {
     Events(Vec<Event>),
     End,
     Broken(&'static str),
     /// The time of the request is over.
-    TimeOver,
+    DeadlineExceeded,
 }
 
 /// A stream that is being passed on.
-struct Relay {
+struct StreamRelay {
     gateway: Rc<Gateway>,
-    outgoing: Outgoing,
-    need: Requirements,
-    allowance: Allowance,
+    outgoing: OutgoingRequest,
+    requirements: Requirements,
+    limits: RequestLimits,
     is_resumable: bool,
     /// Number of the last event that was passed on.
     last_event: u64,
     /// Whether an event was passed on.
-    has_begun: bool,
+    has_started: bool,
     /// Version of the weights that made the last event.
     version: Option<u64>,
     /// Servers that were sent the request.
@@ -122,22 +122,22 @@
     /// How it may be sent to servers, for what is known of requests like it.
     passage: Passage,
     /// Servers that may have run it.
-    spent: u32,
-    run: Option<Run>,
+    attempts_used: u32,
+    current: Option<ServerStream>,
     /// Head of the first server.
-    head: Option<(StatusCode, HeaderMap)>,
+    response_head: Option<(StatusCode, HeaderMap)>,
     /// Since when no server could be found.
-    unplaced_since: Option<Moment>,
+    waiting_since: Option<Moment>,
 }
 
 /// Opens a stream; returns once its first events are there.
 pub async fn open(
     gateway: &Rc<Gateway>,
     service: &str,
-    outgoing: Outgoing,
-    allowance: Allowance,
+    outgoing: OutgoingRequest,
+    limits: RequestLimits,
     is_resumable: bool,
-) -> Result<Opened, ForwardError> {
+) -> Result<StreamResponse, ForwardError> {
     let names = gateway.dialect.headers();
     let admitted = Passage::begin(gateway, &outgoing).await;
     let passage = admitted.map_err(ForwardError::Quarantined)?;
@@ -148,39 +148,40 @@
     };
     // Only servers that run models have versions of them.
     let model = model.filter(|_| gateway.configuration().as_deref().is_some_and(is_engine));
-    let need = slot_queue::need(gateway, service, model, allowance.homes.as_ref());
-    let mut relay = Relay {
+    let requirements =
+        slot_queue::requirements(gateway, service, model, limits.allowed_regions.as_ref());
+    let mut relay = StreamRelay {
         gateway: gateway.clone(),
         last_event: last_event.and_then(|value| value.trim().parse().ok()).unwrap_or(0),
         outgoing,
-        need,
-        allowance,
+        requirements,
+        limits,
         is_resumable,
-        has_begun: false,
+        has_started: false,
         version: None,
         history: AttemptHistory::default(),
         passage,
-        spent: 0,
-        run: None,
-        head: None,
-        unplaced_since: None,
+        attempts_used: 0,
+        current: None,
+        response_head: None,
+        waiting_since: None,
     };
     let first = match relay.next().await {
         Ok(first) => first,
-        Err(Break::Answered(answer)) => return Ok(Opened::Whole(*answer)),
-        Err(Break::Failed(error)) => return Err(error),
+        Err(StreamError::Response(response)) => return Ok(StreamResponse::Complete(*response)),
+        Err(StreamError::Failed(error)) => return Err(error),
     };
-    let (status, headers) = relay.head.take().unwrap_or_default();
+    let (status, headers) = relay.response_head.take().unwrap_or_default();
     let body = match first {
         Some(first) => body(first, relay),
         // It ended without an event.
         None => AnswerBody::whole(Bytes::new()),
     };
-    Ok(Opened::Events { status, headers, body })
+    Ok(StreamResponse::Events { status, headers, body })
 }
 
 /// The body of a stream whose first events are `first`.
-fn body(first: Bytes, relay: Relay) -> AnswerBody {
+fn body(first: Bytes, relay: StreamRelay) -> AnswerBody {
     let state = (Some(first), Some(relay));
     AnswerBody::pieces(stream::unfold(state, |(first, relay)| async move {
         let mut relay = relay?;
@@ -195,69 +196,73 @@
     }))
 }
 
-impl Relay {
+impl StreamRelay {
     /// The next events; nothing at the stream's proper end.
-    async fn next(&mut self) -> Result<Option<Bytes>, Break> {
+    async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
-            let mut run = match self.run.take() {
-                Some(run) => run,
+            let mut current = match self.current.take() {
+                Some(current) => current,
                 None => self.start().await?,
             };
-            match self.read(&mut run).await {
-                Piece::Events(events) => match self.take(&mut run, events) {
-                    Ok(bytes) if bytes.is_empty() => self.run = Some(run),
+            match self.read(&mut current).await {
+                ReadOutcome::Events(events) => match self.accept_events(&mut current, events) {
+                    Ok(bytes) if bytes.is_empty() => self.current = Some(current),
                     Ok(bytes) => {
-                        self.note_head(&run);
-                        self.run = Some(run);
+                        self.record_head(&current);
+                        self.current = Some(current);
                         return Ok(Some(bytes));
                     }
-                    Err(reason) => self.leave(run, reason)?,
+                    Err(reason) => self.leave_server(current, reason)?,
                 },
-                Piece::End => {
-                    self.note_head(&run);
-                    self.finish(run);
+                ReadOutcome::End => {
+                    self.record_head(&current);
+                    self.finish(current);
                     return Ok(None);
                 }
-                Piece::Broken(reason) => self.leave(run, reason)?,
-                Piece::TimeOver => {
-                    run.counted.end(AttemptOutcome::Abandoned);
-                    self.log_end("time over");
-                    return Err(Break::Failed(ForwardError::TimedOut));
+                ReadOutcome::Broken(reason) => self.leave_server(current, reason)?,
+                ReadOutcome::DeadlineExceeded => {
+                    current.guard.end(AttemptOutcome::Abandoned);
+                    self.log_stream_end("time over");
+                    return Err(StreamError::Failed(ForwardError::TimedOut));
                 }
             }
         }
     }
 
     /// Waits for what a server sends next.
-    async fn read(&self, run: &mut Run) -> Piece {
+    async fn read(&self, current: &mut ServerStream) -> ReadOutcome {
         let now = self.gateway.now();
-        let left = self.allowance.deadline.saturating_sub(now);
-        let silence = if run.events == 0 { FIRST_SILENCE } else { SILENCE };
-        let may_move = self.may_run_again() && self.has_other(&run.server);
-        let limit = if may_move { silence.min(left) } else { left };
-        let bytes = async { Some(run.exchange.next_bytes().await) };
+        let left = self.limits.deadline.saturating_sub(now);
+        let silence = if current.events == 0 { FIRST_EVENT_TIMEOUT } else { IDLE_TIMEOUT };
+        let may_resume = self.may_attempt() && self.has_alternative(&current.server);
+        let limit = if may_resume { silence.min(left) } else { left };
+        let bytes = async { Some(current.exchange.next_bytes().await) };
         let silent = async {
             wait::until(&self.gateway, now + limit).await;
             None
         };
         match bytes.or(silent).await {
-            None if limit >= left => Piece::TimeOver,
-            None => Piece::Broken("silent"),
-            Some(Ok(Some(bytes))) => match run.parser.push(&bytes) {
-                Ok(events) => Piece::Events(events),
-                Err(_) => Piece::Broken("malformed"),
+            None if limit >= left => ReadOutcome::DeadlineExceeded,
+            None => ReadOutcome::Broken("silent"),
+            Some(Ok(Some(bytes))) => match current.parser.push(&bytes) {
+                Ok(events) => ReadOutcome::Events(events),
+                Err(_) => ReadOutcome::Broken("malformed"),
             },
-            Some(Ok(None)) if run.parser.is_between_events() => Piece::End,
-            Some(Ok(None)) => Piece::Broken(attempt::CUT),
-            Some(Err(_)) => Piece::Broken(attempt::BROKEN_OFF),
+            Some(Ok(None)) if current.parser.is_between_events() => ReadOutcome::End,
+            Some(Ok(None)) => ReadOutcome::Broken(attempt::TRUNCATED),
+            Some(Err(_)) => ReadOutcome::Broken(attempt::CONNECTION_BROKEN),
         }
     }
 
     /// Takes events in; the bytes that go to the client. Of events that are not in turn none counts:
     /// the next server is asked for all of them.
-    fn take(&mut self, run: &mut Run, events: Vec<Event>) -> Result<Bytes, &'static str> {
+    fn accept_events(
+        &mut self,
+        current: &mut ServerStream,
+        events: Vec<Event>,
+    ) -> Result<Bytes, &'static str> {
         let numbers = events.iter().filter_map(|event| event.id);
-        if numbers.zip(self.last_event + 1..).any(|(number, due)| number != due) {
+        if numbers.zip(self.last_event + 1..).any(|(number, expected)| number != expected) {
             return Err("an event is missing or out of turn");
         }
         if let Some(billing) = self.outgoing.billing.as_ref().filter(|_| !events.is_empty()) {
@@ -266,119 +271,127 @@
         let mut bytes = BytesMut::new();
         for event in events {
             self.last_event = event.id.unwrap_or(self.last_event);
-            if event.version.is_none() && self.continues_under_another(run) {
-                bytes.extend_from_slice(self.version_line(run).as_bytes());
+            if event.version.is_none() && self.version_changed_on_resume(current) {
+                bytes.extend_from_slice(self.version_line(current).as_bytes());
             }
-            self.version = event.version.or(run.version.take()).or(self.version);
-            self.has_begun = true;
-            run.events += 1;
-            // It has begun and its server lives: others need not wait for its end.
-            run.isolation = None;
-            run.counted.disarm();
+            self.version = event.version.or(current.version.take()).or(self.version);
+            self.has_started = true;
+            current.events += 1;
+            // It has begun and its server lives: others requirements not wait for its end.
+            current.isolation = None;
+            current.guard.disarm();
             bytes.extend_from_slice(&event.raw);
         }
         Ok(bytes.freeze())
     }
 
     /// Whether the next event is the first of a server whose weights differ from those before.
-    fn continues_under_another(&self, run: &Run) -> bool {
-        self.has_begun && run.version.is_some() && run.version != self.version
+    fn version_changed_on_resume(&self, current: &ServerStream) -> bool {
+        self.has_started && current.version.is_some() && current.version != self.version
     }
 
     /// The line by which an event tells of other weights than the one before.
-    fn version_line(&self, run: &Run) -> String {
+    fn version_line(&self, current: &ServerStream) -> String {
         let field = &self.gateway.dialect.headers().weight_version;
-        format!("{field}: {}\n", run.version.unwrap_or_default())
+        format!("{field}: {}\n", current.version.unwrap_or_default())
     }
 
     /// The first server's head is that of the whole answer.
-    fn note_head(&mut self, run: &Run) {
-        if self.head.is_none() {
-            self.head = Some((run.exchange.status, headers::passed_on(&run.exchange.headers)));
+    fn record_head(&mut self, current: &ServerStream) {
+        if self.response_head.is_none() {
+            self.response_head =
+                Some((current.exchange.status, headers::end_to_end(&current.exchange.headers)));
         }
     }
 
-    fn finish(&mut self, run: Run) {
-        let per_event = run.counted.elapsed() / run.events.max(1);
-        run.counted.end(AttemptOutcome::Succeeded(per_event));
-        quarantine::note_answer(&self.gateway, &self.outgoing, run.exchange.status);
-        run.exchange.keep();
-        self.log_end("whole");
+    fn finish(&mut self, current: ServerStream) {
+        let per_event = current.guard.elapsed() / current.events.max(1);
+        current.guard.end(AttemptOutcome::Succeeded(per_event));
+        quarantine::note_answer(&self.gateway, &self.outgoing, current.exchange.status);
+        current.exchange.keep();
+        self.log_stream_end("whole");
     }
 
     /// Leaves a server whose stream broke; an error when the stream cannot go on.
-    fn leave(&mut self, run: Run, reason: &'static str) -> Result<(), Break> {
+    fn leave_server(
+        &mut self,
+        current: ServerStream,
+        reason: &'static str,
+    ) -> Result<(), StreamError> {
         log::info!(
             "event=stream_left id={} server={} reason=\"{reason}\" last_event={} spent={}",
             self.outgoing.id,
-            run.server.id,
+            current.server.id,
             self.last_event,
-            self.spent
+            self.attempts_used
         );
-        if attempt::is_break(reason) {
-            let events = u64::from(run.events);
-            evidence::note_break(&self.gateway, &run.server, &self.outgoing, events);
+        if attempt::is_connection_loss(reason) {
+            let events = u64::from(current.events);
+            evidence::note_break(&self.gateway, &current.server, &self.outgoing, events);
         }
-        run.counted.fail(&AttemptFailure::Unknown(reason));
-        if self.may_run_again() {
+        current.guard.fail(&AttemptFailure::Unknown(reason));
+        if self.may_attempt() {
             self.gateway.metrics.streams_resumed.inc();
             return Ok(());
         }
-        self.log_end(reason);
-        Err(Break::Failed(ForwardError::Unknown))
+        self.log_stream_end(reason);
+        Err(StreamError::Failed(ForwardError::Unknown))
     }
 
-    fn log_end(&self, outcome: &str) {
+    fn log_stream_end(&self, outcome: &str) {
         log::info!(
             "event=stream_ended id={} outcome=\"{outcome}\" last_event={} servers={}",
             self.outgoing.id,
             self.last_event,
-            self.spent
+            self.attempts_used
         );
     }
 
     /// Whether another server may run it.
-    fn may_run_again(&self) -> bool {
-        let within_budget = self.spent < self.allowance.max_attempts;
+    fn may_attempt(&self) -> bool {
+        let within_budget = self.attempts_used < self.limits.max_attempts;
         within_budget
-            && (self.spent == 0 || self.is_resumable)
+            && (self.attempts_used == 0 || self.is_resumable)
             && self.passage.is_open(&self.gateway, &self.outgoing)
-            && self.gateway.now() < self.allowance.deadline
+            && self.gateway.now() < self.limits.deadline
     }
 
     /// Sends the request to a server, until one has begun to answer.
-    async fn start(&mut self) -> Result<Run, Break> {
+    async fn start(&mut self) -> Result<ServerStream, StreamError> {
         loop {
-            if !self.may_run_again() {
-                let is_late = self.gateway.now() >= self.allowance.deadline;
-                return Err(Break::Failed(self.reason_to_give_up(is_late, SPENT)));
+            if !self.may_attempt() {
+                let deadline_passed = self.gateway.now() >= self.limits.deadline;
+                return Err(StreamError::Failed(
+                    self.final_error(deadline_passed, ATTEMPTS_EXHAUSTED),
+                ));
             }
             self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
             let Choice { server: key, version_status } = match self.decide() {
                 Decision::Place(choice) => choice,
-                Decision::Wait(rest) => {
-                    self.wait_for_server(rest).await;
+                Decision::Wait(delay) => {
+                    self.wait_for_server(delay).await;
                     continue;
                 }
                 Decision::Reject(rejection) => {
-                    let is_late = self.gateway.now() >= self.allowance.deadline;
-                    return Err(Break::Failed(self.reason_to_give_up(is_late, rejection)));
+                    let deadline_passed = self.gateway.now() >= self.limits.deadline;
+                    return Err(StreamError::Failed(self.final_error(deadline_passed, rejection)));
                 }
             };
-            let Some(server) = self.gateway.directory.borrow().chosen(key) else {
+            let Some(server) = self.gateway.directory.borrow().by_key(key) else {
                 log::error!("event=chosen_server_unknown server={key:?}");
-                return Err(Break::Failed(self.reason_to_give_up(false, SPENT)));
+                return Err(StreamError::Failed(self.final_error(false, ATTEMPTS_EXHAUSTED)));
             };
             self.history.tried.push(key);
-            self.spent += 1;
-            let mut counted = CountedAttempt::begin(&self.gateway, &server);
-            let is_alone = self.history.is_isolated;
-            let isolated = passage::isolate(&self.gateway, &server, &self.outgoing, is_alone).await;
+            self.attempts_used += 1;
+            let mut guard = AttemptGuard::start(&self.gateway, &server);
+            let is_isolated = self.history.is_isolated;
+            let isolated =
+                passage::isolate(&self.gateway, &server, &self.outgoing, is_isolated).await;
             let Ok(isolation) = isolated else {
-                self.take_attempt(AttemptFailure::Held, counted)?;
+                self.handle_failed_attempt(AttemptFailure::ServerReserved, guard)?;
                 continue;
             };
-            counted.on_drop({
+            guard.on_drop({
                 let (gateway, server) = (self.gateway.clone(), server.clone());
                 let outgoing = self.outgoing.clone();
                 move || evidence::note_left(&gateway, &server, &outgoing)
@@ -387,27 +400,27 @@
             self.passage.note_attempt(sent.as_ref().err());
             match sent {
                 Ok(exchange) if exchange.status == StatusCode::OK => {
-                    self.unplaced_since = None;
+                    self.waiting_since = None;
                     let field = &self.gateway.dialect.headers().weight_version;
                     let parser = Parser::new(field.as_str());
                     let version = exchange.header(field).and_then(|value| value.parse().ok());
                     let events = 0;
-                    return Ok(Run {
+                    return Ok(ServerStream {
                         server,
                         exchange,
-                        counted,
+                        guard,
                         isolation,
                         parser,
                         events,
                         version,
                     });
                 }
-                Ok(exchange) => self.take_failure(exchange, counted).await?,
+                Ok(exchange) => self.handle_error_response(exchange, guard).await?,
                 Err(failure) => {
-                    if matches!(failure, AttemptFailure::BrokenOff) {
+                    if matches!(failure, AttemptFailure::ConnectionBroken) {
                         evidence::note_break(&self.gateway, &server, &self.outgoing, 0);
                     }
-                    self.take_attempt(failure, counted)?;
+                    self.handle_failed_attempt(failure, guard)?;
                 }
             }
         }
@@ -427,59 +440,61 @@
         if let VersionStatus::Expected(version) = version_status {
             outgoing.headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
-        let left = self.allowance.deadline.saturating_sub(self.gateway.now());
-        let limit = if self.is_resumable { left.min(FIRST_SILENCE) } else { left };
+        let left = self.limits.deadline.saturating_sub(self.gateway.now());
+        let limit = if self.is_resumable { left.min(FIRST_EVENT_TIMEOUT) } else { left };
         let until = self.gateway.now() + limit;
         let late = async {
             wait::until(&self.gateway, until).await;
             Err(AttemptFailure::Unknown("no head in time"))
         };
-        attempt::begin(&self.gateway, server, &outgoing, left).or(late).await
+        attempt::send(&self.gateway, server, &outgoing, left).or(late).await
     }
 
     /// Takes an answer that is not a stream.
-    async fn take_failure(
+    async fn handle_error_response(
         &mut self,
         exchange: Exchange,
-        counted: CountedAttempt,
-    ) -> Result<(), Break> {
+        guard: AttemptGuard,
+    ) -> Result<(), StreamError> {
         let is_retried = exchange.status.is_server_error();
-        let answer = match attempt::read_whole(exchange).await {
-            Ok(answer) => answer,
-            Err(failure) => return self.take_attempt(failure, counted),
+        let response = match attempt::read_response(exchange).await {
+            Ok(response) => response,
+            Err(failure) => return self.handle_failed_attempt(failure, guard),
         };
-        quarantine::note_answer(&self.gateway, &self.outgoing, answer.status);
-        counted.end(AttemptOutcome::Abandoned);
-        if is_retried && self.may_run_again() {
+        quarantine::note_answer(&self.gateway, &self.outgoing, response.status);
+        guard.end(AttemptOutcome::Abandoned);
+        if is_retried && self.may_attempt() {
             return Ok(());
         }
-        Err(Break::Answered(Box::new(answer)))
+        Err(StreamError::Response(Box::new(response)))
     }
 
     /// Takes an attempt that gave no answer.
-    fn take_attempt(
+    fn handle_failed_attempt(
         &mut self,
         failure: AttemptFailure,
-        counted: CountedAttempt,
-    ) -> Result<(), Break> {
-        counted.fail(&failure);
+        guard: AttemptGuard,
+    ) -> Result<(), StreamError> {
+        guard.fail(&failure);
         match failure {
-            AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held => {
-                self.spent -= 1;
+            AttemptFailure::Rejected
+            | AttemptFailure::Unreachable
+            | AttemptFailure::ServerReserved => {
+                self.attempts_used -= 1;
                 Ok(())
             }
-            _ if self.may_run_again() => Ok(()),
-            AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
-                let is_late = self.gateway.now() >= self.allowance.deadline;
-                Err(Break::Failed(self.reason_to_give_up(is_late, SPENT)))
+            _ if self.may_attempt() => Ok(()),
+            AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_) => {
+                let deadline_passed = self.gateway.now() >= self.limits.deadline;
+                Err(StreamError::Failed(self.final_error(deadline_passed, ATTEMPTS_EXHAUSTED)))
             }
         }
     }
 
-    fn reason_to_give_up(&self, is_late: bool, rejection: Rejection) -> ForwardError {
-        if self.spent == 0 && !self.has_begun {
+    fn final_error(&self, deadline_passed: bool, rejection: Rejection) -> ForwardError {
+        if self.attempts_used == 0 && !self.has_started {
             ForwardError::NotRun(rejection)
-        } else if is_late {
+        } else if deadline_passed {
             ForwardError::TimedOut
         } else {
             ForwardError::Unknown
@@ -487,16 +502,16 @@
     }
 
     /// Waits before servers are looked at again.
-    async fn wait_for_server(&mut self, rest: Duration) {
-        self.unplaced_since.get_or_insert(self.gateway.now());
+    async fn wait_for_server(&mut self, delay: Duration) {
+        self.waiting_since.get_or_insert(self.gateway.now());
         // Servers that refused, or broke off a stream that goes on, may be asked again.
         self.history.tried.clear();
-        Timer::after(rest).await;
+        Timer::after(delay).await;
     }
 
-    fn has_other(&self, server: &Server) -> bool {
+    fn has_alternative(&self, server: &Server) -> bool {
         let placer = &self.gateway.directory.borrow().placer;
-        placer.has_alternative(self.gateway.now(), &self.need, &server.id)
+        placer.has_alternative(self.gateway.now(), &self.requirements, &server.id)
     }
 
     /// What becomes of the request now.
@@ -504,16 +519,16 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let wait = WaitState {
-            since: self.unplaced_since.unwrap_or(now),
-            deadline: self.allowance.deadline,
-            target: self.allowance.target_latency,
+            since: self.waiting_since.unwrap_or(now),
+            deadline: self.limits.deadline,
+            target: self.limits.target_latency,
             was_sent: true,
         };
-        let answer = {
+        let decision = {
             let placer = &mut gateway.directory.borrow_mut().placer;
-            placer.place_stream(now, &self.need, &self.history, &wait)
+            placer.place_stream(now, &self.requirements, &self.history, &wait)
         };
-        permits::ask(gateway);
-        answer
+        permits::request_permits(gateway);
+        decision
     }
 }
--- a/crates/heronbend-gateway/src/traffic_split.rs
+++ b/crates/heronbend-gateway/src/traffic_split.rs
@@ -7,41 +7,42 @@
 
 use crate::configuration::Route;
 
-/// Fractional part of the golden ratio.
-const STEP: f64 = 0.618_033_988_749_894_9;
+/// Fractional destination of the golden ratio.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
 /// The sequences of all routes.
 #[derive(Debug, Clone)]
-pub struct Splitter {
+pub struct TrafficSplitter {
     start: f64,
     positions: HashMap<String, f64>,
 }
 
-impl Splitter {
+impl TrafficSplitter {
     /// A splitter whose sequences begin at `start`, between 0 and 1.
     pub fn new(start: f64) -> Self {
         Self { start, positions: HashMap::new() }
     }
 
     /// The service of a route's next request; nothing when the route has no destination.
-    pub fn next<'a>(&mut self, route: &'a Route) -> Option<&'a str> {
-        let total: u64 = route.destinations.iter().map(|part| u64::from(part.weight)).sum();
+    pub fn pick<'a>(&mut self, route: &'a Route) -> Option<&'a str> {
+        let total: u64 =
+            route.destinations.iter().map(|destination| u64::from(destination.weight)).sum();
         if route.destinations.len() <= 1 || total == 0 {
-            return route.destinations.first().map(|part| part.service.as_str());
+            return route.destinations.first().map(|destination| destination.service.as_str());
         }
         if !self.positions.contains_key(&route.name) {
             self.positions.insert(route.name.clone(), self.start);
         }
         let position = self.positions.get_mut(&route.name)?;
-        *position = (*position + STEP).fract();
-        let mut left = *position * total as f64;
-        for part in &route.destinations {
-            left -= f64::from(part.weight);
-            if left < 0.0 {
-                return Some(&part.service);
+        *position = (*position + GOLDEN_RATIO_FRACTION).fract();
+        let mut remaining = *position * total as f64;
+        for destination in &route.destinations {
+            remaining -= f64::from(destination.weight);
+            if remaining < 0.0 {
+                return Some(&destination.service);
             }
         }
-        route.destinations.last().map(|part| part.service.as_str())
+        route.destinations.last().map(|destination| destination.service.as_str())
     }
 
     /// Forgets routes that are no longer configured.
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/duty.rs
@@ -69,7 +69,7 @@
     }
     drop(directory);
     gateway.versions.order_taken(now, holder);
-    gateway.places.changed.notify(usize::MAX);
+    gateway.slot_queue.changed.notify(usize::MAX);
     wake_when_loaded(gateway);
 }
 
@@ -78,7 +78,7 @@
     let waker = gateway.clone();
     let wake = async move {
         Timer::after(EXPECTED_LOAD_TIME).await;
-        waker.places.changed.notify(usize::MAX);
+        waker.slot_queue.changed.notify(usize::MAX);
     };
     gateway.executor.spawn(wake).detach();
 }
@@ -281,7 +281,7 @@
         let newest = named.values().map(|(_, since)| *since).max();
         let takeover = LEASE_DURATION + self.gateway.tuning().lease_pause;
         let holder_acts = versions.lease.last_holder().map(|(_, since)| since + takeover);
-        let store_reached = Some(self.gateway.store_reached_since.get());
+        let store_reached = Some(self.gateway.store_reachable_since.get());
         let begun = [newest, versions.last_order(), holder_acts, store_reached].into_iter().max();
         self.gateway.now().saturating_sub(begun.flatten().unwrap_or_default())
     }
@@ -429,7 +429,7 @@
         }
         directory.insert(self.gateway.now(), updated);
         drop(directory);
-        self.gateway.places.changed.notify(usize::MAX);
+        self.gateway.slot_queue.changed.notify(usize::MAX);
     }
 
     async fn report(&self, server: &Server) -> Option<EngineReport> {
@@ -457,7 +457,7 @@
         headers.insert(http::header::HOST, host);
         headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(names.expected_server.clone(), HeaderValue::from_str(&server.id).ok()?);
-        let pool = &self.gateway.servers;
+        let pool = &self.gateway.server_connections;
         pool.fetch(server.address, request, CALL_TIMEOUT, MAX_REPORT_BYTES).await.ok()
     }
 }
--- a/crates/heronbend-gateway/tests/directory.rs
+++ b/crates/heronbend-gateway/tests/directory.rs
@@ -10,7 +10,7 @@
 use heronbend::placement::AttemptOutcome;
 use heronbend::placement::Requirements;
 use heronbend_gateway::directory::Directory;
-use heronbend_gateway::directory::Run;
+use heronbend_gateway::directory::RunOrder;
 use heronbend_gateway::directory::Server;
 use support::server;
 
@@ -32,14 +32,14 @@
 #[test]
 fn a_server_that_starts_again_is_believed_nothing_of_its_former_run() {
     let mut directory = Directory::new(SEED);
-    assert_eq!(directory.insert(SECOND, run(1, 7)), Run::Same);
+    assert_eq!(directory.insert(SECOND, run(1, 7)), RunOrder::Same);
     let former = directory.placer.request_started(SECOND, "e").unwrap();
     directory.placer.record_load_command(SECOND, "e", "m", 8);
     for _ in 0..3 {
         directory.placer.record_outcome(SECOND, "e", AttemptOutcome::Failed);
     }
     assert!(directory.placer.is_in_backoff(SECOND, "e"));
-    assert_eq!(directory.insert(2 * SECOND, run(2, 1)), Run::Later);
+    assert_eq!(directory.insert(2 * SECOND, run(2, 1)), RunOrder::Newer);
     let placer = &mut directory.placer;
     assert_eq!(placer.in_flight("e"), 0);
     assert!(!placer.is_in_backoff(2 * SECOND, "e"));
@@ -49,8 +49,8 @@
     assert_ne!(present, former);
     placer.request_finished(2 * SECOND, former, AttemptOutcome::Failed);
     assert_eq!(placer.in_flight("e"), 1);
-    assert_eq!(directory.chosen(former), None);
-    assert_eq!(directory.chosen(present).unwrap().incarnation, Incarnation(2));
+    assert_eq!(directory.by_key(former), None);
+    assert_eq!(directory.by_key(present).unwrap().incarnation, Incarnation(2));
     assert_eq!(version(&directory), 1);
 }
 
@@ -58,9 +58,9 @@
 fn an_entry_of_an_earlier_run_never_wins() {
     let mut directory = Directory::new(SEED);
     directory.insert(SECOND, run(2, 1));
-    assert_eq!(directory.insert(SECOND, run(1, 9)), Run::Earlier);
+    assert_eq!(directory.insert(SECOND, run(1, 9)), RunOrder::Older);
     assert_eq!(version(&directory), 1);
-    assert_eq!(directory.insert(SECOND, run(2, 3)), Run::Same);
+    assert_eq!(directory.insert(SECOND, run(2, 3)), RunOrder::Same);
     assert_eq!(version(&directory), 3);
 }
 
@@ -69,7 +69,7 @@
     let mut directory = Directory::new(SEED);
     directory.insert(SECOND, run(0, 1));
     let key = directory.placer.key("e");
-    assert_eq!(directory.insert(SECOND, run(0, 2)), Run::Same);
+    assert_eq!(directory.insert(SECOND, run(0, 2)), RunOrder::Same);
     assert_eq!(directory.placer.key("e"), key);
 }
 
--- a/crates/heronbend-gateway/tests/memory_of_servers.rs
+++ b/crates/heronbend-gateway/tests/memory_of_servers.rs
@@ -11,7 +11,7 @@
 use heronbend_gateway::directory::Directory;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::encoded_object::EncodedObject;
-use heronbend_gateway::interner::Pool;
+use heronbend_gateway::interner::Interner;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::replica::Replica;
 use serde_json::json;
@@ -88,12 +88,12 @@
 }
 
 fn equal_values_are_held_once_and_those_of_nobody_are_dropped() {
-    let mut pool = Pool::default();
-    let first = pool.share(Rc::new(0));
-    assert!(Rc::ptr_eq(&first, &pool.share(Rc::new(0))));
+    let mut interner = Interner::default();
+    let first = interner.intern(Rc::new(0));
+    assert!(Rc::ptr_eq(&first, &interner.intern(Rc::new(0))));
     for value in 1..100_000 {
-        pool.share(Rc::new(value));
-        assert!(pool.len() < 200, "{}", pool.len());
+        interner.intern(Rc::new(value));
+        assert!(interner.len() < 200, "{}", interner.len());
     }
-    assert!(Rc::ptr_eq(&first, &pool.share(Rc::new(0))));
+    assert!(Rc::ptr_eq(&first, &interner.intern(Rc::new(0))));
 }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -10,7 +10,7 @@
 use heronbend::identity::Incarnation;
 use heronbend::quarantine::Crash;
 use heronbend::quarantine::Report;
-use heronbend_gateway::attempt::Outgoing;
+use heronbend_gateway::attempt::OutgoingRequest;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
 use heronbend_gateway::gateway::Gateway;
@@ -52,14 +52,14 @@
     })
 }
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> OutgoingRequest {
+    OutgoingRequest {
         id: "r1".to_owned(),
         method: Method::POST,
         target: "/x".parse().unwrap(),
         headers: Default::default(),
         body: Default::default(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: Default::default(),
     }
--- a/crates/heronbend-gateway/tests/routing.rs
+++ b/crates/heronbend-gateway/tests/routing.rs
@@ -7,7 +7,7 @@
 
 use heronbend_gateway::configuration::{ClientLimits, Configuration, Destination, Route};
 use heronbend_gateway::headers;
-use heronbend_gateway::traffic_split::Splitter;
+use heronbend_gateway::traffic_split::TrafficSplitter;
 use http::HeaderMap;
 use support::route;
 
@@ -45,9 +45,9 @@
         Destination { service: "few".to_owned(), weight: 10 },
     ];
     for start in [0.0, 0.25, 0.7] {
-        let mut splitter = Splitter::new(start);
+        let mut splitter = TrafficSplitter::new(start);
         for _ in 0..20 {
-            let few = (0..50).filter(|_| splitter.next(&split) == Some("few")).count();
+            let few = (0..50).filter(|_| splitter.pick(&split) == Some("few")).count();
             assert!((4..=6).contains(&few), "{few} of 50 from {start}");
         }
     }
@@ -57,7 +57,7 @@
 fn a_route_without_destinations_has_no_service() {
     let mut empty = route("empty", "a.example", "/");
     empty.destinations.clear();
-    assert_eq!(Splitter::new(0.5).next(&empty), None);
+    assert_eq!(TrafficSplitter::new(0.5).pick(&empty), None);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     ] {
         received.append(name, value.parse().unwrap());
     }
-    let passed = headers::passed_on(&received);
+    let passed = headers::end_to_end(&received);
     assert_eq!(passed.len(), 2);
     assert_eq!(passed.get_all("accept").iter().count(), 2);
 }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -129,7 +129,7 @@
             follow(&executor, &gateway, KIND, &names);
             smol::Timer::after(Duration::from_millis(30)).await;
             store.put(KIND, "missed", json!(1));
-            gateway.watches_doubted.notify(usize::MAX);
+            gateway.relist_requested.notify(usize::MAX);
             wait_until("the change is known", || names.contains("missed")).await;
         })
     });
--- a/crates/heronbend-gateway/tests/support/mod.rs
+++ b/crates/heronbend-gateway/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use heronbend_gateway::configuration::{Destination, Route, RouteKind};
 use heronbend_gateway::directory::{Server, ServerState};
 use heronbend_gateway::gateway::{Gateway, Identity, Tuning};
-use heronbend_gateway::permits::ColdMargin;
+use heronbend_gateway::permits::ColdStartMargin;
 use heronbend_gateway::ports::Ports;
 use smol::LocalExecutor;
 
@@ -117,7 +117,7 @@
 }
 
 pub const TUNING: Tuning = Tuning {
-    max_held_bytes: 64_000_000,
+    max_buffered_bytes: 64_000_000,
     lease_pause: Duration::from_secs(3),
     result_retention: Duration::from_secs(120),
     max_object_bytes: 1 << 20,
@@ -125,11 +125,11 @@
     drain_notice: Duration::from_secs(2),
     configuration_notice: Duration::from_secs(2),
     usage: None,
-    closes_after: None,
-    scales: false,
+    max_configuration_age: None,
+    scaling_enabled: false,
     processor_millis: 0,
     evacuation_notice: None,
-    cold_margin: ColdMargin { overshoot: 1.0, slack: 0.0 },
+    cold_margin: ColdStartMargin { overshoot: 1.0, slack: 0.0 },
     quarantine: Limits {
         crash_threshold: 3,
         first_probe_delay: Duration::from_secs(5),
--- a/crates/heronbend-gateway/tests/suspension.rs
+++ b/crates/heronbend-gateway/tests/suspension.rs
@@ -12,13 +12,13 @@
 use futures_lite::FutureExt;
 use heronbend::identity::Incarnation;
 use heronbend::Moment;
-use heronbend_gateway::attempt::Outgoing;
+use heronbend_gateway::attempt::OutgoingRequest;
 use heronbend_gateway::clock::Clock;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
 use heronbend_gateway::forward::forward;
-use heronbend_gateway::forward::Allowance;
 use heronbend_gateway::forward::ForwardError;
+use heronbend_gateway::forward::RequestLimits;
 use heronbend_gateway::ports::ObjectStore;
 use http::Method;
 use smol::Timer;
@@ -35,7 +35,7 @@
 impl Time {
     fn clock(&self) -> Clock {
         let now = self.0.clone();
-        Clock::told(move || now.get())
+        Clock::from_fn(move || now.get())
     }
 
     fn pass(&self, time: Duration) {
@@ -85,22 +85,22 @@
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
             gateway.directory.borrow_mut().insert(gateway.now(), mute_server(&listener));
-            let outgoing = Outgoing {
+            let outgoing = OutgoingRequest {
                 id: "r1".to_owned(),
                 method: Method::POST,
                 target: "/x".parse().unwrap(),
                 headers: Default::default(),
                 body: Default::default(),
-                hold: None,
+                reservation: None,
                 billing: None,
                 fingerprint: Default::default(),
             };
-            let allowance = Allowance {
+            let limits = RequestLimits {
                 deadline: gateway.now() + 600 * SECOND,
-                is_repeatable: false,
+                is_idempotent: false,
                 max_attempts: 1,
                 target_latency: SECOND,
-                homes: None,
+                allowed_regions: None,
             };
             let asked = gateway.clone();
             let answer = executor.spawn(async move {
@@ -108,7 +108,7 @@
                     Timer::after(20 * SECOND).await;
                     panic!("it waits on");
                 };
-                forward(&asked, "app", outgoing, allowance).or(waited_in_vain).await
+                forward(&asked, "app", outgoing, limits).or(waited_in_vain).await
             });
             support::wait_until("it is sent", || gateway.metrics.attempts.get() == 1).await;
             time.pass(601 * SECOND);
