--- a/crates/heronbend-gateway/src/access.rs
+++ b/crates/heronbend-gateway/src/access.rs
@@ -1,4 +1,4 @@
-//! On whose behalf a call is made, by the key that it presents.
+//! Authentication of callers by API key.
 
 use heronbend::access::Caller;
 use heronbend::access::KeyHasher;
@@ -11,22 +11,22 @@
 use crate::configuration::Configuration;
 use crate::configuration::Route;
 
-/// Scheme of the keys in the header for credentials.
+/// Scheme of API keys in the `Authorization` header.
 const SCHEME: &str = "Bearer";
 
-/// Why a call that needs a key is refused.
+/// Why a call is not authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AuthError {
-    /// It presents no key, or more than one.
+    /// No key was presented, or more than one.
     #[error("a key is required")]
     Missing,
-    /// No tenant holds the key, or none does any more.
+    /// The key belongs to no tenant or was revoked.
     #[error("the key is unknown")]
     Unknown,
 }
 
 impl AuthError {
-    /// What the caller is told.
+    /// Message for the caller.
     pub fn message(self) -> &'static str {
         match self {
             Self::Missing => "a key is required: Authorization: Bearer KEY",
@@ -35,7 +35,7 @@
     }
 }
 
-/// Who makes a call that needs a key.
+/// Identifies the caller of a call that requires a key.
 pub fn identify(
     configuration: &Configuration,
     headers: &HeaderMap,
@@ -49,7 +49,8 @@
     Ok(Caller::Tenant(keyring.tenant(tenant).name.clone()))
 }
 
-/// Who makes a call that needs no key: a tenant, if it presents a key of one.
+/// Identifies the caller of a public call: the tenant if a valid key is presented, otherwise
+/// anonymous.
 pub fn identify_public(
     configuration: &Configuration,
     headers: &HeaderMap,
@@ -58,7 +59,7 @@
     identify(configuration, headers, hasher).unwrap_or(Caller::Anonymous)
 }
 
-/// The key that a call presents; none where there are several.
+/// Returns the presented key; `None` if there is none or more than one.
 fn presented_key(headers: &HeaderMap) -> Option<&[u8]> {
     let mut values = headers.get_all(header::AUTHORIZATION).iter();
     let (value, None) = (values.next()?, values.next()) else {
@@ -69,7 +70,7 @@
     (scheme.eq_ignore_ascii_case(SCHEME.as_bytes()) && !key.is_empty()).then_some(key)
 }
 
-/// On whose behalf the items of a job run.
+/// Caller on whose behalf the items of a job are run.
 pub fn job_caller(configuration: &Configuration, tenant: Option<&str>) -> Caller {
     match tenant {
         Some(tenant) => Caller::Tenant(tenant.into()),
@@ -78,15 +79,16 @@
     }
 }
 
-/// Rank of a caller's request, 0 the highest: its tenant's, where that has one, else its route's.
+/// Priority of a request, where 0 is the highest: that of the tenant if set, otherwise that of the
+/// route.
 pub fn priority(configuration: &Configuration, caller: &Caller, route: &Route) -> u8 {
     let tenant = caller.tenant().zip(configuration.access.as_ref());
     let tenant = tenant.and_then(|(name, keyring)| keyring.tenant_by_name(name));
     tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
 }
 
-/// Makes headers fit to be passed on: no key leaves the service, and the tenant is the one that was
-/// found, whatever the caller wrote. Where nobody is told apart, all stays as it came.
+/// Removes the API key and sets the tenant header to the identified tenant, whatever the caller
+/// sent. Headers are unchanged if authentication is disabled.
 pub fn set_tenant_header(headers: &mut HeaderMap, name: &HeaderName, caller: &Caller) {
     if *caller == Caller::AuthDisabled {
         return;
--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one server, with its answer judged.
+//! A single attempt to send a request to a server, with validation of the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -21,32 +21,32 @@
 use crate::ports::HeaderNames;
 use crate::quarantine::evidence;
 
-/// Largest whole answer in bytes.
+/// Maximum size of a complete response, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// A request as it is sent to servers.
+/// A request as sent to servers.
 #[derive(Clone)]
 pub struct OutgoingRequest {
-    /// Its identifier.
+    /// Request id.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
-    /// Headers, without those of one connection and those that an attempt sets.
+    /// Headers, without hop-by-hop headers and those set by each attempt.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// The memory that a client's body takes.
+    /// Reservation of the memory budget for the body; `None` if the body isn't a client's.
     pub reservation: Option<Rc<Reservation>>,
-    /// Where the request is counted, if it is a tenant's.
+    /// Usage record of the request, if a tenant is billed for it.
     pub billing: Option<Rc<Billing>>,
-    /// Found when it is first asked for: most requests never need it.
+    /// Computed on first use, since most requests never need it.
     pub fingerprint: OnceCell<Fingerprint>,
 }
 
 impl OutgoingRequest {
-    /// What tells that the request has come before.
+    /// Fingerprint that identifies repetitions of the request.
     pub fn fingerprint(&self, names: &HeaderNames) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             Fingerprint::of(&FingerprintInput {
@@ -60,34 +60,34 @@
     }
 }
 
-/// Why a stream is left whose connection broke.
+/// Failure reason of a stream whose connection broke.
 pub const CONNECTION_BROKEN: &str = "broken off";
-/// The same, where the connection ended in an orderly way and not between two events.
+/// Failure reason of a stream whose connection was closed in the middle of an event.
 pub const TRUNCATED: &str = "cut within an event";
 
-/// Whether a stream was left because its connection ended, and not for what it said or how slowly.
+/// Whether a stream failed because its connection ended.
 pub fn is_connection_loss(reason: &str) -> bool {
     [CONNECTION_BROKEN, TRUNCATED].contains(&reason)
 }
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum AttemptFailure {
-    /// The server has not run the request and will not.
+    /// The server rejected the request without running it.
     Rejected,
-    /// It could not be reached, and nothing was sent.
+    /// The connection failed and nothing was sent.
     Unreachable,
-    /// Nothing was sent: the server is kept for another request that may end it.
+    /// Nothing was sent, because the server is reserved for an isolated request.
     ServerReserved,
-    /// The connection ended before the whole answer had come: the request may have run.
+    /// The connection ended before the complete response; the request may have run.
     ConnectionBroken,
-    /// What became of the request is unknown for another reason.
+    /// The outcome is unknown for another reason.
     Unknown(&'static str),
 }
 
-/// Sends `outgoing` to `server`; returns once the head of its answer has come and been judged.
+/// Sends `outgoing` to `server` and returns once the response head has arrived and been validated.
 ///
-/// The caller has counted the attempt as started_at and notes its end.
+/// The caller tracks the attempt with an [`AttemptGuard`].
 pub async fn send(
     gateway: &Rc<Gateway>,
     server: &Server,
@@ -120,8 +120,9 @@
     validate_head(gateway, outgoing, exchange)
 }
 
-/// Whether an answer says that another server stands at the address: one that was asked for no version
-/// misdirects a request for nothing else. Its entry may tell of the one that ended for seconds more.
+/// Whether a response shows that another server now uses the address: a server only misdirects a
+/// request without an expected version if the server id does not match. The old registration may
+/// stay in the store for some seconds.
 fn is_replaced_server(gateway: &Gateway, outgoing: &OutgoingRequest, exchange: &Exchange) -> bool {
     let names = gateway.dialect.headers();
     exchange.status == StatusCode::MISDIRECTED_REQUEST
@@ -154,19 +155,19 @@
     Ok(exchange)
 }
 
-/// Counts an attempt at a server for as long as it lives.
+/// Counts an attempt as in flight until it ends or is dropped.
 pub struct AttemptGuard {
     gateway: Rc<Gateway>,
-    /// The run of the server that was sent it; nothing where the server was no longer known.
+    /// Placement key of the server, if it is still known.
     server_key: Option<ServerKey>,
     started_at: heronbend::Moment,
     is_open: bool,
-    /// Called if the attempt is dropped before it ended.
+    /// Called if the attempt is dropped before it ends.
     on_drop: Option<Box<dyn FnOnce()>>,
 }
 
 impl AttemptGuard {
-    /// Notes that an attempt begins.
+    /// Records the start of an attempt.
     pub fn start(gateway: &Rc<Gateway>, server: &Rc<Server>) -> Self {
         let started_at = gateway.now();
         let server_key =
@@ -174,27 +175,27 @@
         Self { gateway: gateway.clone(), server_key, started_at, is_open: true, on_drop: None }
     }
 
-    /// Has something done if the attempt is dropped before it ended.
+    /// Sets the callback for an attempt that is dropped before it ends.
     pub fn on_drop(&mut self, callback: impl FnOnce() + 'static) {
         self.on_drop = Some(Box::new(callback));
     }
 
-    /// Has nothing done any more if the attempt is dropped before it ended.
+    /// Removes the drop callback.
     pub fn disarm(&mut self) {
         self.on_drop = None;
     }
 
-    /// Time since the attempt began.
+    /// Time since the start of the attempt.
     pub fn elapsed(&self) -> Duration {
         self.gateway.now().saturating_sub(self.started_at)
     }
 
-    /// Notes how the attempt ended.
+    /// Records the outcome of the attempt.
     pub fn end(mut self, outcome: AttemptOutcome) {
         self.close(outcome);
     }
 
-    /// Notes a failed attempt.
+    /// Records the failure of the attempt.
     pub fn fail(self, failure: &AttemptFailure) {
         let metrics = &self.gateway.metrics;
         let outcome = match failure {
@@ -232,7 +233,7 @@
     }
 }
 
-/// Reads a whole answer; one that is cut has an unknown outcome.
+/// Reads the complete response.
 pub async fn read_response(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
     exchange.read_whole(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -315,7 +315,7 @@
     }
 
     async fn attempt(&mut self, placed: AssignedSlot, need: Requirements, route: &Route) -> RunEnd {
-        let AssignedSlot { server, version_status, counted, .. } = placed;
+        let AssignedSlot { server, version_status, guard, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(version_status, route) else {
             return RunEnd::Impossible;
@@ -323,7 +323,7 @@
         let is_alone = self.history.is_isolated;
         let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
         let Ok(isolation) = isolated else {
-            counted.fail(&AttemptFailure::ServerReserved);
+            guard.fail(&AttemptFailure::ServerReserved);
             return RunEnd::Again;
         };
         let first_event = self.last_event();
@@ -340,7 +340,7 @@
                 if matches!(failure, AttemptFailure::ConnectionBroken) {
                     evidence::note_break(self.gateway, server, &outgoing, 0);
                 }
-                counted.fail(&failure);
+                guard.fail(&failure);
                 return RunEnd::Again;
             }
         };
@@ -351,7 +351,7 @@
             // A server that fails at all it gets is always free, and would get ever more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
-            counted.end(end);
+            guard.end(end);
             return match status {
                 StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
                 StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
@@ -366,14 +366,14 @@
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
-                let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
-                counted.end(AttemptOutcome::Succeeded(per_event));
+                let per_event = guard.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
+                guard.end(AttemptOutcome::Succeeded(per_event));
                 quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
                 RunEnd::Whole
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
-                counted.end(AttemptOutcome::Abandoned);
+                guard.end(AttemptOutcome::Abandoned);
                 RunEnd::Again
             }
             Err(reason) => {
@@ -381,7 +381,7 @@
                 if attempt::is_connection_loss(reason) {
                     evidence::note_break(self.gateway, server, &outgoing, events);
                 }
-                counted.fail(&AttemptFailure::Unknown(reason));
+                guard.fail(&AttemptFailure::Unknown(reason));
                 RunEnd::Again
             }
         }
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients and trainers: requests by the routes, and the interface of batch jobs.
+//! Handlers for requests of clients and trainers: routed requests and the batch job API.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -32,12 +32,12 @@
 use crate::region_policy;
 use crate::stream::{self, StreamResponse};
 
-/// Longest time that a call of the batch interface tries to reach the store.
+/// Timeout for store operations of the batch job API.
 const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest time that a reader of results may be held.
+/// Maximum duration of a long poll for results.
 const MAX_LONG_POLL: Duration = Duration::from_secs(1);
 
-/// Answers a call.
+/// Handles a call and adds the request id to its response.
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
     let arrived = gateway.now();
     let (head, body) = request.into_parts();
@@ -62,7 +62,7 @@
     answer
 }
 
-/// Answers a call of the batch interface that concerns a job which was handed in before.
+/// Handles a batch API call for an existing job.
 async fn handle_job_call(
     gateway: &Rc<Gateway>,
     call: Call,
@@ -159,19 +159,19 @@
     (name, answer)
 }
 
-/// Why a call ends before anything of it has run.
+/// Why a call is denied before it is run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Denial {
-    /// The caller's key may have been taken away unheard.
+    /// The configuration is too old to tell whether the caller's key is still valid.
     StaleKeys,
-    /// A newer configuration, of which a peer has told, may allow the call.
+    /// A peer has announced a newer configuration, which may allow the call.
     OutdatedConfiguration,
-    /// The caller shows no key that is held.
+    /// The caller presents no valid key.
     Unauthorized(AuthError),
 }
 
 impl Denial {
-    /// Its name among the calls that metrics count.
+    /// Route label of the denial in metrics.
     fn name(self) -> &'static str {
         match self {
             Self::StaleKeys => "closed",
@@ -181,7 +181,7 @@
     }
 }
 
-/// Whether a caller is served by what is known here of keys.
+/// Checks whether the local configuration suffices to serve the caller.
 fn authorize(gateway: &Gateway, identified: Result<Caller, AuthError>) -> Result<Caller, Denial> {
     match identified {
         Ok(Caller::Tenant(_)) if gateway.rejects_keys() => Err(Denial::StaleKeys),
@@ -191,7 +191,7 @@
     }
 }
 
-/// The answer to a call that is denied; `id` and `context` tell which it was.
+/// Response to a denied call. `id` identifies the call in the log and `context` describes it.
 fn denial_response(gateway: &Gateway, denial: Denial, id: &str, context: &str) -> Answer {
     match denial {
         Denial::StaleKeys => reject_stale_keys(gateway, id),
@@ -206,7 +206,7 @@
     }
 }
 
-/// Refuses what a newer configuration, of which a peer has told, may allow.
+/// Rejects a call that a newer configuration, announced by a peer, may allow.
 fn reject_outdated(gateway: &Gateway, id: &str) -> Answer {
     log::info!(
         "event=refused id={id} reason=\"the configuration is behind\" version={} peer_version={}",
@@ -216,7 +216,7 @@
     not_run("the configuration is behind")
 }
 
-/// Refuses a caller whose key may have been taken away unheard.
+/// Rejects a caller whose key may have been revoked.
 fn reject_stale_keys(gateway: &Gateway, id: &str) -> Answer {
     log::info!(
         "event=refused id={id} reason=\"no news of keys\" configuration={} age_ms={}",
@@ -226,7 +226,7 @@
     not_run("it cannot be told whether the key is still held")
 }
 
-/// Who makes a request of a route.
+/// Identifies the caller of a routed request.
 fn route_caller(
     gateway: &Gateway,
     configuration: &Configuration,
@@ -240,7 +240,7 @@
     access::identify(configuration, headers, hasher)
 }
 
-/// A request that is to be response on.
+/// A request whose body has been read and whose caller is known.
 struct AcceptedRequest {
     head: Parts,
     body: Bytes,
@@ -301,7 +301,7 @@
     }
 }
 
-/// Where a caller's request is counted, if it is.
+/// Usage record of the request, if the caller is a tenant and usage is reported.
 fn billing(gateway: &Rc<Gateway>, caller: &Caller) -> Option<Billing> {
     let (book, tenant) = (gateway.usage.clone()?, caller.tenant()?);
     let clock = gateway.clone();
@@ -341,8 +341,8 @@
     }
 }
 
-/// A server's answer as it is response on. A status that not_run_statuses that nothing has run is response on
-/// only where that does not matter.
+/// Converts a server's response for the client. For requests that are not idempotent, statuses that
+/// imply that nothing was run are replaced, since another attempt may have run the request.
 fn server_response(answer: WholeAnswer, route: &Route) -> Answer {
     let not_run_statuses = [
         StatusCode::REQUEST_TIMEOUT,
@@ -359,7 +359,7 @@
     response
 }
 
-/// The answer to a request whose body was not read whole; nothing of it has run.
+/// Response to a request whose body could not be read.
 fn body_error_response(error: &BodyError) -> Answer {
     match error {
         BodyError::TooLarge(_) => {
@@ -371,7 +371,7 @@
     }
 }
 
-/// The answer to a call that needs a key which it does not present; it has not run.
+/// Response to a call without a valid key.
 fn unauthorized(error: AuthError) -> Answer {
     let mut answer = text_answer(StatusCode::UNAUTHORIZED, error.message());
     let scheme = http::HeaderValue::from_static("Bearer");
@@ -379,7 +379,7 @@
     answer
 }
 
-/// The answer to a request that has not run and never will.
+/// Response to a request that was not run and may be retried.
 fn not_run(reason: &'static str) -> Answer {
     not_run_retry_after(reason, DEFAULT_RETRY_AFTER)
 }
@@ -390,13 +390,13 @@
     answer
 }
 
-/// The answer to a request that no server could be sent.
+/// Response to a request for which no server was available.
 fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> Answer {
     gateway.metrics.unplaced(rejection.reason);
     not_run_retry_after("no server took it", rejection.retry_after)
 }
 
-/// The answer to a request that is kept from servers since others like it ended theirs.
+/// Response to a quarantined request.
 fn quarantined(refused: Refused) -> Answer {
     not_run_retry_after(
         "requests like this one ended the servers that ran them",
--- a/crates/heronbend-gateway/src/clock.rs
+++ b/crates/heronbend-gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock that rights and deadlines are judged by.
+//! Clock for leases and deadlines.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,24 +8,24 @@
 use heronbend::Moment;
 use heronbend_net::boot_clock::BootClock;
 
-/// Tells the time since the daemon's start.
+/// Measures the time since the daemon started.
 #[derive(Clone)]
 pub struct Clock(Rc<dyn Fn() -> Moment>);
 
 impl Clock {
-    /// The system's clock, from now on. It counts the time for which the machine is suspended: what
-    /// others may do meanwhile does not wait.
+    /// Creates a clock that starts now. It includes the time during which the machine is suspended,
+    /// since leases expire and peers take over meanwhile.
     pub fn system() -> Self {
         let clock = BootClock::start();
         Self(Rc::new(move || clock.elapsed()))
     }
 
-    /// A clock that is told the time.
+    /// Creates a clock that reads the time from `now`.
     pub fn from_fn(now: impl Fn() -> Moment + 'static) -> Self {
         Self(Rc::new(now))
     }
 
-    /// Time since the start.
+    /// Time since the start of the daemon.
     pub fn now(&self) -> Moment {
         (self.0)()
     }
@@ -37,10 +37,12 @@
     }
 }
 
-/// Longest difference between the two clocks that is no suspension: they are read one after the other.
+/// Maximum difference between the two clocks that is not a suspension; they are not read at the
+/// same instant.
 const MAX_READ_GAP: Duration = Duration::from_millis(200);
 
-/// Notices suspensions: the steady clock, by which waits go, falls behind.
+/// Detects suspensions of the machine, during which the monotonic clock is paused and the boot
+/// clock is not.
 #[derive(Debug)]
 pub struct SuspensionDetector {
     monotonic: Instant,
@@ -48,12 +50,12 @@
 }
 
 impl SuspensionDetector {
-    /// A watch that begins now.
+    /// Creates a detector that starts now.
     pub fn new(clock: &Clock) -> Self {
         Self { monotonic: monotonic_now(), boot: clock.now() }
     }
 
-    /// How long the machine was suspended since the last look, if it was.
+    /// Returns how long the machine was suspended since the last check, if it was.
     pub fn check(&mut self, clock: &Clock) -> Option<Duration> {
         let next = Self::new(clock);
         let monotonic_elapsed = next.monotonic.duration_since(self.monotonic);
@@ -63,7 +65,7 @@
     }
 }
 
-/// The clock of the timers, which stands still while the machine is suspended.
+/// Reads the monotonic clock, which timers use and which is paused while the machine is suspended.
 #[expect(
     clippy::disallowed_methods,
     reason = "it is told apart from the clock that all else goes by"
--- a/crates/heronbend-gateway/src/directory.rs
+++ b/crates/heronbend-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The servers that the store lists, each with what the decisions know of it.
+//! Directory of the registered servers, with their placement state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,73 +24,73 @@
 use crate::http::client::ConnectionPool;
 use crate::interner::Interner;
 
-/// What a server says of itself.
+/// State that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It is about to leave and gets nothing new.
+    /// Shutting down; gets no new requests.
     Draining,
 }
 
-/// One run of a server process.
+/// Registration of one run of a server process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name; a server may start again under the one that it had.
+    /// Name of the server, which is kept across restarts.
     pub id: String,
-    /// Which run of the server this is; zero where servers do not say.
+    /// Incarnation of the process; zero if servers don't report it.
     #[serde(default)]
     pub incarnation: Incarnation,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Where it listens; may belong to another server later.
+    /// Listening address; may be reused by another server later.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Requests that it works on at the same time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// What it says of itself.
+    /// State that the server reports.
     pub state: ServerState,
-    /// Models that it holds, with the version of their weights; one map for all servers that hold the same.
+    /// Loaded models with the versions of their weights; equal maps are shared between servers.
     pub models: Rc<BTreeMap<String, u64>>,
-    /// Orders that it has taken since its start.
+    /// Number of commands that the server has accepted since its start.
     pub sequence: u64,
-    /// Whether it may be taken away.
+    /// Whether the instance is revocable.
     #[serde(default)]
     pub is_revocable: bool,
-    /// How much longer it is cold, counted from when it said so.
+    /// Remaining cold start time, as of the registration.
     #[serde(default)]
     pub cold_for: Duration,
-    /// The store's revision of its entry.
+    /// Store revision of the registration.
     #[serde(default)]
     pub revision: u64,
 }
 
-/// Which run of a server an entry is of, beside the one that was known.
+/// Incarnation of a registration relative to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOrder {
-    /// The same, or the first one.
+    /// The same incarnation, or the server was unknown.
     Same,
-    /// A later one: the server has started again.
+    /// A newer incarnation: the server has restarted.
     Newer,
-    /// An earlier one, which has ended.
+    /// An older incarnation, which has exited.
     Older,
 }
 
-/// All listed servers, and the machine that decides which of them runs what.
+/// All registered servers and the placer.
 pub struct Directory {
     servers: BTreeMap<String, Rc<Server>>,
-    /// Those that the machine may still choose, listed or not.
+    /// Servers that the placer may still choose, including some that are no longer registered.
     by_key: HashMap<ServerKey, Rc<Server>>,
-    /// What servers hold. Of thousands that follow a few models most hold the same.
+    /// Loaded models of the servers; most servers of a fleet hold the same.
     models: Interner<BTreeMap<String, u64>>,
-    /// The machine that decides.
+    /// Placement state machine.
     pub placer: Placer,
 }
 
 impl Directory {
-    /// A directory without servers, which draws among equal ones by `seed`.
+    /// Creates an empty directory; `seed` breaks ties between equally ranked servers.
     pub fn new(seed: u64) -> Self {
         Self {
             servers: BTreeMap::new(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Which run of its server an entry is of.
+    /// Compares the incarnation of a registration with the known one.
     pub fn compare_run(&self, server: &Server) -> RunOrder {
         match self.servers.get(&server.id).map(|known| known.incarnation) {
             Some(known) if known > server.incarnation => RunOrder::Older,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Takes in a server's entry, and tells what it says of the run that was known. One of an earlier
-    /// run changes nothing.
+    /// Adds or updates a server and returns how its incarnation compares with the known one. A
+    /// registration of an older incarnation is ignored.
     pub fn insert(&mut self, now: Moment, mut server: Server) -> RunOrder {
         let order = self.compare_run(&server);
         if order == RunOrder::Older {
@@ -140,7 +140,7 @@
         order
     }
 
-    /// Notes that a server's entry went.
+    /// Removes a server whose registration was deleted.
     pub fn remove(&mut self, now: Moment, id: &str) {
         if self.servers.remove(id).is_some() {
             for removed_key in self.placer.deregister(now, id) {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Keeps only the servers named.
+    /// Removes all servers that are not in `names`.
     pub fn retain(&mut self, now: Moment, names: &BTreeSet<String>) {
         let gone: Vec<String> =
             self.servers.keys().filter(|id| !names.contains(*id)).cloned().collect();
@@ -158,17 +158,17 @@
         }
     }
 
-    /// A listed server.
+    /// Returns a registered server.
     pub fn get(&self, id: &str) -> Option<&Rc<Server>> {
         self.servers.get(id)
     }
 
-    /// The server that was chosen.
+    /// Returns the server that the placer chose.
     pub fn by_key(&self, key: ServerKey) -> Option<Rc<Server>> {
         self.by_key.get(&key).cloned()
     }
 
-    /// The most urgent text that a place is free for, with the place.
+    /// Assigns a free slot to the most urgent queued item that can use one.
     pub fn place_next(
         &mut self,
         now: Moment,
@@ -177,7 +177,7 @@
         self.placer.place_next(now, is_connected(&self.by_key, pool))
     }
 
-    /// What becomes of a call.
+    /// Decides how a call is placed.
     pub fn place_call(
         &mut self,
         now: Moment,
@@ -189,13 +189,13 @@
         self.placer.place_call(now, requirements, history, wait, is_connected(&self.by_key, pool))
     }
 
-    /// All listed servers.
+    /// All registered servers.
     pub fn all(&self) -> impl Iterator<Item = &Rc<Server>> {
         self.servers.values()
     }
 }
 
-/// Whether a connection to a server waits to be used again.
+/// Returns a predicate that tells whether an idle connection to a server exists.
 fn is_connected<'a>(
     servers: &'a HashMap<ServerKey, Rc<Server>>,
     pool: &'a ConnectionPool,
--- a/crates/heronbend-gateway/src/encoded_object.rs
+++ b/crates/heronbend-gateway/src/encoded_object.rs
@@ -1,8 +1,7 @@
-//! Objects of the store as texts: as they travel between daemons, and as a daemon keeps those that others
-//! may ask it for.
+//! Serialized store objects, as exchanged between daemons and kept in replicas.
 //!
-//! A parsed entry of a server takes some 4 KB, its text a tenth of that. A daemon that keeps the entries
-//! of ten thousand servers for others needs the texts alone.
+//! A serialized object takes about a tenth of the memory of the parsed one, which matters in
+//! replicas of many thousand servers.
 
 use musli::Decode;
 use musli::Encode;
@@ -12,7 +11,7 @@
 use crate::ports::Revision;
 use crate::ports::StoreError;
 
-/// An object whose content and status are JSON texts.
+/// An object whose content and status are serialized JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct EncodedObject {
     /// Name, unique within its kind.
@@ -34,8 +33,7 @@
     }
 }
 
-/// A value as a text that takes no more memory than its bytes: one that grows as it is written takes up
-/// to twice as much, and is kept for each server for as long as it is listed.
+/// Serializes a value without spare capacity, since the text may be kept for a long time.
 fn exact_text(value: &Value) -> String {
     let mut text = value.to_string();
     text.shrink_to_fit();
@@ -43,12 +41,16 @@
 }
 
 impl EncodedObject {
-    /// Bytes of its name and its texts.
+    /// Size of the name, content and status, in bytes.
     pub fn bytes(&self) -> usize {
         self.name.len() + self.content.len() + self.status.len()
     }
 
-    /// The object; an error where its texts are not JSON.
+    /// Parses the object.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::Malformed`] if the content or the status is not valid JSON.
     pub fn decode(&self) -> Result<Object, StoreError> {
         let parse = |text: &str| {
             serde_json::from_str(text).map_err(|error| StoreError::Malformed(error.to_string()))
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -1,9 +1,9 @@
-//! Zones that the operator has taken out of service for a while.
+//! Evacuation of zones by the operator.
 //!
-//! The operator keeps one object for each such zone in the store. Daemons follow the kind in the way
-//! of all news, so that also one that the store refuses hears of it from its peers. From then on
-//! nothing new goes to the zone's servers, neither requests nor orders; kept connections are closed,
-//! and texts that run there go on elsewhere as soon as a place is free.
+//! The store holds one object for each evacuated zone. Daemons follow this kind like all others, so
+//! that a daemon without access to the store learns of an evacuation from its peers. From then on
+//! no requests or commands are sent to the zone's servers, idle connections to them are closed, and
+//! batch items that run there move to other zones as slots become free.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,12 +15,12 @@
 use crate::mirror::Source;
 use crate::ports::Object;
 
-/// Evacuations that come within this time cost one call. The whole bound is seconds.
+/// Evacuations that arrive within this time are read in one call.
 const BATCHING_DELAY: Duration = Duration::from_millis(100);
 
 struct EvacuationSink(Rc<Gateway>);
 
-/// Follows the evacuations until the daemon ends.
+/// Applies evacuations until the daemon exits.
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
--- a/crates/heronbend-gateway/src/events.rs
+++ b/crates/heronbend-gateway/src/events.rs
@@ -1,46 +1,46 @@
-//! Events of a server's stream (`text/event-stream`), from bytes that come in any pieces.
+//! Incremental parser for event streams (`text/event-stream`).
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use thiserror::Error;
 
-/// Largest unfinished event in bytes.
+/// Maximum size of an incomplete event, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 const BOUNDARY: &[u8] = b"\n\n";
 
-/// An event cannot be understood.
+/// An event is malformed or too large.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("an event is malformed")]
 pub struct MalformedEvent;
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, where it has one.
+    /// Event number, if given.
     pub id: Option<u64>,
-    /// Its data; nothing for a comment.
+    /// Data, with lines joined by newlines; `None` for a comment.
     pub data: Option<String>,
-    /// The version of the weights from here on, where it tells a change.
+    /// New weight version that applies from this event on, if it changes.
     pub version: Option<u64>,
-    /// Its bytes as they came, with the blank line that ends it.
+    /// Raw bytes, including the blank line at the end.
     pub raw: Bytes,
 }
 
-/// Splits a stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug)]
 pub struct Parser {
-    /// Lower-case name of the field that tells a change of version.
+    /// Lower-case name of the field that announces a new weight version.
     version_field: String,
     buffer: BytesMut,
 }
 
 impl Parser {
-    /// A parser at the start of a stream.
+    /// Creates a parser for the start of a stream.
     pub fn new(version_field: &str) -> Self {
         Self { version_field: version_field.to_owned(), buffer: BytesMut::new() }
     }
 
-    /// Takes in bytes; returns the events that they complete.
+    /// Adds received bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, MalformedEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -54,7 +54,7 @@
         Ok(events)
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether no partial event is buffered.
     pub fn is_between_events(&self) -> bool {
         self.buffer.is_empty()
     }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Passing requests on to servers: attempts, retries and hedges within a request's time.
+//! Request forwarding with retries, backoff and hedging within a request's deadline.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -32,26 +32,26 @@
 use crate::slot_queue;
 use crate::wait;
 
-/// Share of the target latency after which a repeatable request is also sent to a second server.
+/// Fraction of the target latency after which an idempotent request is hedged.
 const HEDGE_DELAY_RATIO: f64 = 0.5;
-/// Retries after failures that each request pays for.
+/// Retry tokens that each request adds to the shared retry budget.
 const RETRY_RATIO: f64 = 0.5;
 
-/// Why a request has no response of a server.
+/// Why a request got no response from a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardError {
-    /// It has not run and never will.
+    /// The request was not run.
     NotRun(Rejection),
-    /// It may have run; no server's response came.
+    /// The request may have run, but no response arrived.
     Unknown,
-    /// Its time is over, and it may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
-    /// It is not sent to servers, since requests like it results those that ran them.
+    /// The request is quarantined because similar requests crashed servers.
     Quarantined(Refused),
 }
 
 impl ForwardError {
-    /// The status that tells a caller.
+    /// HTTP status of the response to the client.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NotRun(_) | Self::Quarantined(_) => StatusCode::SERVICE_UNAVAILABLE,
@@ -61,28 +61,29 @@
     }
 }
 
-/// The refusal of a request for which time or attempts ran out before a server took it.
+/// Rejection of a request whose deadline passed or whose attempts were used up before a server
+/// accepted it.
 pub(crate) const ATTEMPTS_EXHAUSTED: Rejection =
     Rejection { reason: None, retry_after: DEFAULT_RETRY_AFTER };
 
-/// What a request may cost.
+/// Deadline, attempts and placement limits of a request.
 #[derive(Debug, Clone)]
 pub struct RequestLimits {
-    /// When the caller's time is over.
+    /// Time at which the client stops waiting.
     pub deadline: Moment,
-    /// Whether more than one server may run it.
+    /// Whether the request may run on more than one server.
     pub is_idempotent: bool,
-    /// Most servers that may run it.
+    /// Maximum number of servers that may run the request.
     pub max_attempts: u32,
-    /// Time within which an response is of full value.
+    /// Latency objective; determines when the request is hedged.
     pub target_latency: Duration,
-    /// The regions in which it may run; anywhere where there are none.
+    /// Regions in which the request may run; `None` allows all.
     pub allowed_regions: Option<BTreeSet<String>>,
 }
 
 impl RequestLimits {
-    /// The limits of a request that came at `arrived`, whose caller waits for `client_timeout`, and that
-    /// may run in `allowed_regions`.
+    /// Returns the limits of a request that arrived at `arrived`. `client_timeout` can only shorten
+    /// the timeout of the route.
     pub fn for_route(
         route: &Route,
         arrived: Moment,
@@ -107,39 +108,40 @@
     DeadlinePassed,
 }
 
-/// A request that is being passed on.
+/// State of a request that is being forwarded.
 struct ForwardedRequest {
     gateway: Rc<Gateway>,
     outgoing: Rc<OutgoingRequest>,
     requirements: Requirements,
     limits: RequestLimits,
-    /// Servers that have been sent it.
+    /// Servers that were tried.
     history: AttemptHistory,
-    /// When its wait for a server began.
+    /// When the request started to wait for a server.
     started_at: Moment,
-    /// How it may be sent to servers, for what is known of requests like it.
+    /// How the quarantine allows the request to be sent.
     passage: Passage,
-    /// Attempts that may have run it.
+    /// Attempts that may have run the request.
     attempts_used: u32,
     attempt_tasks: Vec<Task<()>>,
-    /// Whether a server has answered: attempts that are dropped then had a caller who did not leave.
+    /// Whether a server has responded. Attempts dropped after that were not cancelled by the
+    /// client.
     is_answered: Rc<Cell<bool>>,
     last_failure: Option<WholeAnswer>,
 }
 
-/// What became of the start of an attempt.
+/// Result of starting an attempt.
 enum StartOutcome {
-    /// It is under way.
+    /// The attempt is in flight.
     Started,
-    /// No server can be sent it for so long.
+    /// No server is available; retry after this delay.
     Wait(Duration),
-    /// None can be in time.
+    /// No server can run the request before its deadline.
     Rejected(Rejection),
 }
 
-/// Passes a request on to the servers of a service until one has answered.
+/// Forwards a request to the servers of a service until one responds.
 ///
-/// Dropping the returned future closes the connections to the servers that work on it.
+/// Dropping the returned future closes the connections of all attempts in flight.
 pub async fn forward(
     gateway: &Rc<Gateway>,
     service: &str,
@@ -235,7 +237,7 @@
         response.or(wake).await
     }
 
-    /// Whether another server may be sent the request.
+    /// Whether another attempt may be started.
     fn may_attempt(&self) -> bool {
         let within_budget = self.attempts_used < self.limits.max_attempts;
         let may_repeat = self.attempts_used == 0 || self.limits.is_idempotent;
@@ -245,7 +247,7 @@
             && self.gateway.now() < self.limits.deadline
     }
 
-    /// Whether the retries that failures cause are still within their budget.
+    /// Takes a token from the retry budget; the first attempt needs none.
     fn take_retry_token(&self) -> bool {
         let within_budget = self.attempts_used == 0 || self.gateway.retries.borrow_mut().withdraw();
         if !within_budget {
@@ -254,7 +256,7 @@
         within_budget
     }
 
-    /// Starts an attempt at the best server that has not been tried.
+    /// Starts an attempt on the best server that has not been tried yet.
     fn start_attempt(
         &mut self,
         sender: &Sender<Result<WholeAnswer, AttemptFailure>>,
@@ -271,7 +273,8 @@
         };
         self.history.tried.push(choice.server);
         self.attempts_used += 1;
-        // Counted from now on: requests that are chosen for before the task has run must see it.
+        // Counted before the task is spawned, so that the next placement decision includes this
+        // attempt.
         let guard = AttemptGuard::start(&self.gateway, &server);
         let attempt = Attempt {
             gateway: self.gateway.clone(),
@@ -290,7 +293,7 @@
         StartOutcome::Started
     }
 
-    /// What becomes of the request now.
+    /// Asks the placement for the next step of the request.
     fn decide(&self) -> Decision {
         let gateway = &self.gateway;
         let wait = WaitState {
@@ -308,7 +311,8 @@
         decision
     }
 
-    /// Takes an attempt's end in; the response if it is to be passed on.
+    /// Processes the result of an attempt; returns the response to send to the client, if there is
+    /// one.
     fn process_result(
         &mut self,
         result: Result<WholeAnswer, AttemptFailure>,
@@ -332,10 +336,11 @@
         }
     }
 
-    /// Waits until it is worth looking for a server again.
+    /// Waits before the next attempt to find a server.
     async fn wait_for_server(&mut self, delay: Duration) {
         if self.attempts_used == 0 || self.limits.is_idempotent {
-            // Servers that refused may be asked again; those that may have run it, only when all did.
+            // Servers that rejected the request may be tried again. Servers that may have run it
+            // are only tried again if it is idempotent.
             self.history.tried.clear();
         }
         Timer::after(delay).await;
@@ -355,20 +360,20 @@
     }
 }
 
-/// One attempt of a request at one server.
+/// One attempt of a request on one server.
 struct Attempt {
     gateway: Rc<Gateway>,
     server: Rc<Server>,
     outgoing: Rc<OutgoingRequest>,
     deadline: Moment,
-    /// Whether the request is kept apart from others.
+    /// Whether the request must run on a server without other requests.
     is_isolated: bool,
-    /// Whether some attempt of the request has been answered.
+    /// Whether any attempt of the request has been answered.
     is_answered: Rc<Cell<bool>>,
 }
 
 impl Attempt {
-    /// Sends the request and notes what its end says of the server and of the request.
+    /// Sends the request and records the outcome for the server, the quarantine and billing.
     async fn run(self, mut guard: AttemptGuard) -> Result<WholeAnswer, AttemptFailure> {
         let (gateway, server) = (&self.gateway, &self.server);
         let isolated = passage::isolate(gateway, server, &self.outgoing, self.is_isolated).await;
@@ -386,7 +391,8 @@
         self.record_outcome(&result);
         self.bill(started_at, &result);
         match &result {
-            // A server that fails at all it gets is fast, and would get ever more.
+            // Error responses must not count as fast successes, or a failing server would attract
+            // more requests.
             Ok(response) if response.status.is_server_error() => guard.end(AttemptOutcome::Failed),
             Ok(_) => {
                 let latency = guard.elapsed();
@@ -403,7 +409,7 @@
         attempt::read_response(exchange.await?).await
     }
 
-    /// What is done if the attempt is dropped before it has results.
+    /// Returns the callback for an attempt that is dropped before it has finished.
     fn disconnect_handler(&self) -> impl FnOnce() + 'static {
         let (gateway, server) = (self.gateway.clone(), self.server.clone());
         let (outgoing, is_answered) = (self.outgoing.clone(), self.is_answered.clone());
@@ -437,13 +443,13 @@
             ) => {
                 billing.not_run(started_at);
             }
-            // It may be answered by another server, which counts as the same request.
+            // Another attempt may succeed, which bills the request once.
             Err(AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_)) => {}
         }
     }
 }
 
-/// The value of a `Retry-After` header, in seconds.
+/// Formats a duration as the value of a `Retry-After` header, in seconds.
 pub fn retry_after(duration: Duration) -> HeaderValue {
     HeaderValue::from_str(&format!("{:.1}", duration.as_secs_f64()))
         .unwrap_or(HeaderValue::from_static("1"))
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
-//! What the parts of one daemon share.
+//! Shared state of one gateway daemon.
 //!
-//! A daemon runs on one thread: on its machines only one thread runs at a time, and each wake-up is
-//! paid for. Nothing is locked; a part borrows what it needs and never holds it across a wait.
+//! A daemon is single-threaded: all tasks run on one local executor, so the state uses `Cell` and
+//! `RefCell` instead of locks. No borrow may be held across an `await`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -53,149 +53,149 @@
 use crate::traffic_split::TrafficSplitter;
 use crate::versions::board::VersionBoard;
 
-/// Longest wait for a connection to a server.
+/// Timeout for connecting to a server.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest wait for a connection to a peer.
+/// Timeout for connecting to a peer.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Who this daemon is.
+/// Identity of a daemon.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Name of the machine's daemon and the run of its process.
+    /// Node name and incarnation of the process.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
 }
 
-/// Time constants that the surroundings set.
+/// Deployment-specific limits and timeouts.
 #[derive(Debug, Clone, Copy)]
 pub struct Tuning {
-    /// Pause between the last order of one holder of the lease and the first of another.
+    /// Delay between the last command of one lease holder and the first command of the next.
     pub lease_pause: Duration,
-    /// How long results stay readable after a job has ended.
+    /// How long the results of a finished job stay readable.
     pub result_retention: Duration,
-    /// Most bytes of clients' bodies that are held at once.
+    /// Maximum total size of buffered client request bodies, in bytes.
     pub max_buffered_bytes: usize,
-    /// Largest object that the store takes, in bytes.
+    /// Maximum size of an object in the store, in bytes.
     pub max_object_bytes: usize,
-    /// Longest time from the signal to stop until the process is gone.
+    /// Maximum time from the stop signal to the exit of the process.
     pub stop_limit: Duration,
-    /// Time within which a server that leaves has to be known everywhere.
+    /// Time within which all daemons must learn that a server is draining.
     pub drain_notice: Duration,
-    /// Time within which a configuration has to be in force everywhere.
+    /// Time within which all daemons must apply a new configuration.
     pub configuration_notice: Duration,
-    /// How usage is to be reported, if it is.
+    /// Schedule of usage reports; `None` if usage isn't reported.
     pub usage: Option<Terms>,
-    /// Time without news of the configuration after which callers with keys are refused; never
-    /// where there is none.
+    /// Age of an unconfirmed configuration beyond which requests with API keys are rejected; `None`
+    /// disables the check.
     pub max_configuration_age: Option<Duration>,
-    /// Thousandths of a core that the process may use; 0 where that is not stated.
+    /// CPU limit of the process in millicores; 0 if unknown.
     pub processor_millis: u32,
-    /// Whether servers are to be ordered.
+    /// Whether this daemon takes part in scaling the fleet.
     pub scaling_enabled: bool,
-    /// Time within which nothing goes to an evacuated zone any more; nothing where zones are never
-    /// evacuated.
+    /// Time within which all daemons must stop sending requests to an evacuated zone; `None` if
+    /// zones are never evacuated.
     pub evacuation_notice: Option<Duration>,
-    /// How much more than it bears a cold server may get.
+    /// How far the request rate of a cold server may exceed its limit.
     pub cold_margin: ColdStartMargin,
-    /// When requests that end their servers are refused, and tried again.
+    /// Thresholds for quarantining requests that crash servers.
     pub quarantine: Limits,
 }
 
 /// Shared state of one daemon.
 pub struct Gateway {
-    /// Who this daemon is.
+    /// Identity of a daemon.
     pub identity: Identity,
-    /// Where everything lasting is kept.
+    /// Persistent object store, reached directly or through a peer.
     pub store: RelayedStore,
-    /// How the surroundings spell things.
+    /// Encoding of calls and objects.
     pub dialect: Rc<dyn Dialect>,
-    /// Who provides the machines, where this daemon has duties towards them.
+    /// Infrastructure provider, if this daemon calls it.
     pub provider: Option<Rc<dyn Provider>>,
-    /// Runs all tasks.
+    /// Executor of all tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Connections to servers.
+    /// Connection pool for servers.
     pub server_connections: ConnectionPool,
-    /// Connections to peers.
+    /// Connection pool for peers.
     pub peer_connections: ConnectionPool,
-    /// Objects of the store that peers may follow here, by kind.
+    /// Local copies of the store's objects that peers may read, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
-    /// News of those as it is told to peers.
+    /// Encoded updates of the replicas for peers.
     pub news_texts: Texts,
-    /// By which way news of each kind comes; by the store where there is none.
+    /// How updates of each kind arrive; kinds without an entry are read from the store.
     pub ways: RefCell<HashMap<&'static str, Way>>,
-    /// Notified when a replica has changed.
+    /// Notified when a replica changes.
     pub replica_changed: Event,
-    /// Digests the keys of tenants.
+    /// Hashes the API keys of tenants.
     pub key_hasher: KeyHasher,
-    /// The newest configuration.
+    /// Active configuration.
     pub configuration: RefCell<Option<Rc<Configuration>>>,
-    /// Known servers, and what decides which of them runs what.
+    /// Registered servers and the placement state.
     pub directory: RefCell<Directory>,
-    /// Whether the list of servers has been read.
+    /// Whether the servers have been listed from the store at least once.
     pub servers_loaded: Cell<bool>,
-    /// Division of requests among destinations.
+    /// Splits the traffic of a route among its destinations.
     pub splitter: RefCell<TrafficSplitter>,
-    /// Texts that wait for places.
+    /// Batch items waiting for a free slot.
     pub slot_queue: SlotQueue,
-    /// Permits for cold servers.
+    /// Permits for sending requests to cold servers.
     pub permits: Permits,
-    /// Requests that servers ended under.
+    /// Quarantine of requests that crash servers.
     pub quarantine: Quarantine,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub evacuated: RefCell<BTreeSet<String>>,
-    /// Whether this daemon is stopping.
+    /// Whether this daemon is draining before it exits.
     pub draining: Cell<bool>,
-    /// The other daemons.
+    /// Other daemons of the fleet.
     pub members: Peers,
-    /// How long texts become.
+    /// Estimates the output length of batch items.
     pub lengths: RefCell<Lengths>,
-    /// What it costs to move a text.
+    /// Cost of migrating a batch item to another server.
     pub move_cost: RefCell<MoveCost>,
-    /// Texts of items that are read here.
+    /// Paces the reads of batch item streams.
     pub crowd: Crowd,
-    /// Reward calls under way.
+    /// Reward calls in flight.
     pub reward_gate: Gate,
     /// Batch jobs.
     pub jobs: JobRegistry,
-    /// What tenants use, where that is to be reported.
+    /// Usage counters per tenant, if usage is reported.
     pub usage: Option<Rc<Book>>,
-    /// The lease for duties towards the provider.
+    /// Lease for calls to the provider.
     pub duty_lease: LeaseNews,
-    /// Named versions and orders under way.
+    /// Published model versions and commands in progress.
     pub versions: VersionBoard,
-    /// Peer addresses of some other daemons, for as long as nobody is known.
+    /// Peer addresses to contact while no other member is known.
     pub seeds: RefCell<Vec<SocketAddr>>,
     tuning: Cell<Tuning>,
-    /// The tree of this daemon's zone, with the version of the members that it is of.
+    /// Overlay tree of this daemon's zone, with the membership version it was built from.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
-    /// What other daemons told last of each kind.
+    /// Last update relayed by a peer, by kind.
     pub last_relayed: RefCell<HashMap<&'static str, Telling>>,
-    /// When another daemon last told anything.
+    /// When a peer last relayed an update.
     pub last_relayed_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
     pub store_reachable_since: Cell<Moment>,
-    /// When a daemon that watches the store last told whether the configuration has changed.
+    /// When the active configuration was last confirmed to be current.
     pub configuration_confirmed_at: Cell<Moment>,
-    /// Newest version of the configuration that a peer has told of.
+    /// Newest configuration version announced by a peer.
     pub newest_announced_configuration: Cell<u64>,
-    /// Notified when watches may hear nothing and lists are to be read.
+    /// Notified when watches may have missed updates and all kinds have to be listed again.
     pub relist_requested: Event,
-    /// What clients' bodies take of the memory.
+    /// Memory budget for client request bodies.
     pub memory: Rc<MemoryBudget>,
-    /// Retries that failures may still cause.
+    /// Retry budget shared by all requests.
     pub retries: RefCell<RetryBudget>,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Notified when the machine goes on after it was suspended: waits are looked at anew.
+    /// Notified when the machine resumes from suspension, so that deadlines are checked again.
     pub resumed: Event,
     clock: Clock,
 }
 
 impl Gateway {
-    /// The state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that uses the system clock.
     pub fn new(
         identity: Identity,
         ports: Ports,
@@ -205,7 +205,7 @@
         Self::with_clock(identity, ports, executor, tuning, Clock::system())
     }
 
-    /// The same, with a clock of its own.
+    /// Creates the state of a daemon that uses `clock`.
     pub fn with_clock(
         identity: Identity,
         ports: Ports,
@@ -283,50 +283,51 @@
         self.clock.now()
     }
 
-    /// The clock that it goes by.
+    /// Clock of this daemon.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Time constants.
+    /// Current limits and timeouts.
     pub fn tuning(&self) -> Tuning {
         self.tuning.get()
     }
 
-    /// Changes the time constants.
+    /// Replaces the limits and timeouts.
     pub fn set_tuning(&self, tuning: Tuning) {
         self.quarantine.set_limits(tuning.quarantine);
         self.tuning.set(tuning);
     }
 
-    /// The configuration in force, if one is known.
+    /// Active configuration, if one has been loaded.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 when none is known.
+    /// Version of the active configuration; 0 if none has been loaded.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.borrow().as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Whether a peer has told of a newer configuration than the one in force here.
+    /// Whether a peer has announced a newer configuration than the active one.
     pub fn is_configuration_behind(&self) -> bool {
         self.newest_announced_configuration.get() > self.configuration_version()
     }
 
-    /// Time for which the configuration in force here may have been replaced unheard.
+    /// Time since the active configuration was last confirmed to be current.
     pub fn configuration_age(&self) -> Duration {
         let told = self.now().saturating_sub(self.configuration_confirmed_at.get());
         told.min(self.store.silent_for())
     }
 
-    /// Whether a key may have been taken away unheard for longer than callers with keys are served.
+    /// Whether the active configuration is too old to accept API keys, which may have been revoked
+    /// meanwhile.
     pub fn rejects_keys(&self) -> bool {
         let limit = self.tuning().max_configuration_age;
         limit.is_some_and(|limit| self.configuration_age() > limit)
     }
 
-    /// Whether requests can be served.
+    /// Whether this daemon can serve requests.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
             && self.servers_loaded.get()
@@ -334,7 +335,7 @@
             && self.configuration.borrow().is_some()
     }
 
-    /// What is told of a lease.
+    /// Known state of a lease.
     pub fn lease_news(&self, lease: LeaseName) -> &LeaseNews {
         match lease {
             LeaseName::Orders => &self.versions.lease,
@@ -342,7 +343,7 @@
         }
     }
 
-    /// The tree by which news of the store reaches this daemon's zone.
+    /// Overlay tree of this daemon's zone, through which store updates are relayed.
     pub fn tree(&self) -> Rc<Tree> {
         let version = self.members.version();
         let mut known = self.tree.borrow_mut();
@@ -356,7 +357,7 @@
         tree
     }
 
-    /// The tree of another zone.
+    /// Overlay tree of another zone.
     pub fn tree_of(&self, zone: &str) -> Tree {
         Tree::new(self.members.overlay_candidates(zone))
     }
@@ -366,7 +367,8 @@
         Candidate { node: self.identity.node.clone(), processor_millis }
     }
 
-    /// The daemons that may run jobs with these homes now, this one among them unless it stops.
+    /// Live daemons that may run jobs restricted to `allowed_regions`; includes this daemon unless
+    /// it is draining.
     pub fn job_candidates(&self, allowed_regions: Option<&BTreeSet<String>>) -> Vec<Candidate> {
         let mut candidates = self.members.alive_candidates(allowed_regions);
         if !self.draining.get() && region_policy::allows(allowed_regions, &self.identity.region) {
@@ -375,23 +377,24 @@
         candidates
     }
 
-    /// Whether this daemon knows of no other although there are some.
+    /// Whether this daemon has seeds configured but sees no live peer.
     pub fn has_lost_all_peers(&self) -> bool {
         self.members.count_alive() == 0 && !self.seeds.borrow().is_empty()
     }
 
-    /// Whether requests of some route or tenant may be in some regions only.
+    /// Whether any route or tenant restricts the regions in which its requests run.
     pub fn has_homes(&self) -> bool {
         self.configuration().is_some_and(|configuration| configuration.has_homes())
     }
 
-    /// Notes the region of each zone.
+    /// Sets the region of each zone.
     pub fn set_zone_regions(&self, zones: &BTreeMap<String, String>) {
         let placer = &mut self.directory.borrow_mut().placer;
         zones.iter().for_each(|(zone, region)| placer.set_region(zone, region));
     }
 
-    /// Brings the limits of services up to date: all daemons that are alive share what a server takes.
+    /// Updates the connection limits of all services: the live daemons share the connections that
+    /// each server accepts.
     pub fn update_service_limits(&self) {
         let own = self.tuning().processor_millis;
         let mut processors = self.members.alive_processors();
--- a/crates/heronbend-gateway/src/headers.rs
+++ b/crates/heronbend-gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only, and typed reads of others.
+//! Hop-by-hop headers, and typed access to header values.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Whether a header concerns one connection only, or is written by the codec.
+/// Whether a header is hop-by-hop or set by the codec.
 fn is_hop_by_hop(name: &HeaderName) -> bool {
     [
         &header::CONNECTION,
@@ -23,7 +23,7 @@
     .contains(&name)
 }
 
-/// The headers that are kept on: all but those of one connection and those that it names.
+/// Returns the end-to-end headers: all except hop-by-hop headers and those listed in `Connection`.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -41,18 +41,18 @@
     kept
 }
 
-/// A header's value, where it is text.
+/// Value of a header, if it is text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A header that holds milliseconds.
+/// Value of a header in milliseconds.
 pub fn millis(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     let value = text(headers, name)?.trim();
     value.parse::<u64>().ok().map(Duration::from_millis)
 }
 
-/// A duration as a header's whole milliseconds.
+/// Formats a duration as a header value in whole milliseconds.
 pub fn millis_value(duration: Duration) -> http::HeaderValue {
     http::HeaderValue::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/heronbend-gateway/src/interner.rs
+++ b/crates/heronbend-gateway/src/interner.rs
@@ -1,17 +1,17 @@
-//! Equal values that are held in memory once.
+//! Interning of equal values, which are stored once.
 
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// Values below which none is looked for that nobody holds any more.
+/// Minimum number of values before unused ones are pruned.
 const MIN_PRUNE_THRESHOLD: usize = 64;
 
-/// Values of which equal ones are shared by all that hold them.
+/// Set of shared values.
 #[derive(Debug)]
 pub struct Interner<T> {
     values: HashSet<Rc<T>>,
-    /// How many values there may be before those that nobody holds are dropped.
+    /// Number of values at which unused ones are pruned.
     prune_threshold: usize,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl<T: Eq + Hash> Interner<T> {
-    /// The value that is equal to this one and held already, or this one.
+    /// Returns the stored value equal to `value`, or stores `value` and returns it.
     pub fn intern(&mut self, value: Rc<T>) -> Rc<T> {
         if let Some(known) = self.values.get(&value) {
             return known.clone();
@@ -34,19 +34,19 @@
         value
     }
 
-    /// Drops the values that nobody else holds. The next time is once as many have come again, so that
-    /// a value costs a bounded number of looks however many there are.
+    /// Drops unused values. The threshold doubles with the number of values in use, so that the
+    /// amortised cost of an insertion is constant.
     fn prune(&mut self) {
         self.values.retain(|value| Rc::strong_count(value) > 1);
         self.prune_threshold = (2 * self.values.len()).max(MIN_PRUNE_THRESHOLD);
     }
 
-    /// Values that are held.
+    /// Number of stored values.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether none is held.
+    /// Whether no value is stored.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
--- a/crates/heronbend-gateway/src/memory.rs
+++ b/crates/heronbend-gateway/src/memory.rs
@@ -1,19 +1,19 @@
-//! A bound on the bytes of requests that a daemon holds at once.
+//! Memory budget for client request bodies.
 //!
-//! Each client may send a body as large as the configuration allows, and many may do so at the same
-//! time. What does not fit is refused at once as not run, with a time to come back.
+//! A body that does not fit into the budget is rejected at once with a retry delay, without being
+//! run.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that may be reserved, and those that are.
+/// Limit and current use of the budget.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit: usize,
     reserved: Cell<usize>,
 }
 
-/// Bytes reserved; given back when dropped.
+/// Reserved bytes, which are released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     budget: Rc<MemoryBudget>,
@@ -21,24 +21,24 @@
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self { limit, reserved: Cell::new(0) })
     }
 
-    /// Bytes that are reserved now.
+    /// Number of bytes reserved.
     pub fn reserved(&self) -> usize {
         self.reserved.get()
     }
 
-    /// A hold of nothing yet.
+    /// Creates an empty reservation.
     pub fn reserve(self: &Rc<Self>) -> Reservation {
         Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
 impl Reservation {
-    /// Holds more bytes; false, and nothing more, where they do not fit.
+    /// Reserves more bytes; returns `false` and reserves nothing if they don't fit.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let reserved = self.budget.reserved.get();
         if bytes > self.budget.limit.saturating_sub(reserved) {
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -1,7 +1,8 @@
-//! Permits to send requests to cold servers: borrowed from whoever lends them, and lent to others.
+//! Permits to send requests to cold servers.
 //!
-//! What a cold server bears is bounded for all daemons together. [`heronbend::rate_limit`] decides who lends
-//! and how much; this module passes the messages.
+//! The total request rate to a cold server is limited across all daemons. One daemon issues the
+//! permits for a server and the others request them. [`heronbend::rate_limit`] decides which daemon
+//! issues permits and how many; this module exchanges the messages.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,20 +24,21 @@
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
 
-/// Rest before a lender is requested_at retry_after that did not answer, or that lends no more.
+/// Delay before permits are requested again from an issuer that did not answer or does not know the
+/// server.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What servers bear beyond what they say, in short.
+/// How far the request rate of a cold server may exceed its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStartMargin {
-    /// A cold server gets no more in a second than this many times what it bears...
+    /// Factor by which the rate limit is multiplied.
     pub overshoot: f64,
-    /// ...and so many requests more.
+    /// Requests per second added to the product.
     pub slack: f64,
 }
 
 impl ColdStartMargin {
-    /// What may be lent for a server that bears so much.
+    /// Rate limit for a server with the given cold start limit.
     fn rate_limit(self, limit: ColdStartLimit) -> rate_limit::RateLimit {
         rate_limit::RateLimit::bounded(
             limit.per_second,
@@ -45,14 +47,14 @@
     }
 }
 
-/// The lender's part, and who lends.
+/// Permits issued by this daemon, and the membership that determines the issuers.
 pub struct Permits {
     view: RefCell<MembershipView>,
     issuer: RefCell<PermitIssuer>,
 }
 
 impl Permits {
-    /// A daemon that has just started.
+    /// Creates the state of a daemon that has just started.
     pub fn new(local: NodeName) -> Self {
         Self {
             view: RefCell::new(MembershipView::new(local, Moment::ZERO)),
@@ -60,13 +62,13 @@
         }
     }
 
-    /// The daemon that lends for a key, as far as is known here.
+    /// Daemon that issues the permits for a key, according to the local membership view.
     pub fn issuer(&self, key: &str) -> NodeName {
         self.view.borrow().issuer(key).clone()
     }
 }
 
-/// Takes in which daemons are alive.
+/// Updates the membership view from the live and departed members.
 pub fn update_members(gateway: &Gateway) {
     let members = gateway.members.all();
     let names = |predicate: &dyn Fn(Liveness) -> bool| -> Vec<NodeName> {
@@ -78,7 +80,7 @@
     gateway.permits.view.borrow_mut().update(gateway.now(), alive, &left);
 }
 
-/// Asks for permits for the cold servers that requests wait for.
+/// Requests permits for the cold servers that requests are waiting for.
 pub fn request_permits(gateway: &Rc<Gateway>) {
     let now = gateway.now();
     let demands = gateway.directory.borrow_mut().placer.take_permit_demand(now);
@@ -99,7 +101,7 @@
     let valid_until = requested_at + rate_limit::PERMIT_VALIDITY;
     let now = gateway.now();
     let (permits, retry_after) = match grant {
-        // Answers that come late are of no use: what they lend is over.
+        // A grant that arrives late has expired.
         Some(grant) if grant.permits > 0 && now < valid_until => (grant.permits, None),
         Some(grant) => (0, Some(grant.retry_after)),
         None => (0, Some(RETRY_DELAY)),
@@ -114,7 +116,7 @@
     }
 }
 
-/// What the lender for a server lends; nothing where it does not answer.
+/// Requests permits from the issuer for a server; `None` if it does not answer.
 async fn request_grant(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
     let issuer = gateway.permits.issuer(server);
     if issuer == gateway.identity.node.name {
@@ -130,7 +132,7 @@
     }
 }
 
-/// Answers a daemon that wants permits.
+/// Handles a permit request of a peer.
 pub fn handle_request(gateway: &Gateway, server: &str, permits: u32) -> PeerReply {
     match issue(gateway, server, permits) {
         Ok(grant) => PeerReply::Lent {
@@ -144,7 +146,7 @@
     }
 }
 
-/// Lends permits for a server, where that falls to this daemon.
+/// Issues permits for a server if this daemon is its issuer.
 fn issue(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
     let now = gateway.now();
     if gateway.has_lost_all_peers() {
@@ -157,15 +159,15 @@
         }
         Err(refusal) => return Err(refusal),
     }
-    let cold = {
+    let cold_limit = {
         let placer = &gateway.directory.borrow().placer;
         placer.key(server).and_then(|key| placer.cold_start_limit(key))
     };
-    // A server that is not known here bears nothing yet.
-    let Some(cold) = cold else {
+    // An unknown server gets no requests yet.
+    let Some(cold_limit) = cold_limit else {
         return Ok(PermitGrant { permits: 0, retry_after: RETRY_DELAY });
     };
-    let limit = gateway.tuning().cold_margin.rate_limit(cold);
+    let limit = gateway.tuning().cold_margin.rate_limit(cold_limit);
     let grant = gateway.permits.issuer.borrow_mut().issue(now, server, permits, limit);
     gateway.metrics.permits_lent.inc_by(u64::from(grant.permits));
     Ok(grant)
--- a/crates/heronbend-gateway/src/region_policy.rs
+++ b/crates/heronbend-gateway/src/region_policy.rs
@@ -1,4 +1,4 @@
-//! In which regions requests may run, and their bodies be.
+//! Regions in which requests may run and their bodies may be stored.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +7,9 @@
 use crate::configuration::Configuration;
 use crate::configuration::Route;
 
-/// The regions in which what a caller sends on a route may run; anywhere where nothing is said. Where
-/// both the route and the tenant name some, only what both name is left, which may be none.
+/// Returns the regions in which a caller's requests on a route may run; `None` allows all regions.
+/// If both the route and the tenant are restricted, the result is the intersection, which may be
+/// empty.
 pub fn allowed_regions(
     configuration: &Configuration,
     route: &Route,
@@ -22,7 +23,7 @@
     }
 }
 
-/// Whether something that is bound to `homes` may be in a region.
+/// Whether a restriction to `allowed_regions` permits a region.
 pub fn allows(allowed_regions: Option<&BTreeSet<String>>, region: &str) -> bool {
     allowed_regions.is_none_or(|regions| regions.contains(region))
 }
--- a/crates/heronbend-gateway/src/retirement.rs
+++ b/crates/heronbend-gateway/src/retirement.rs
@@ -1,6 +1,6 @@
-//! The program on machines that have disks, and signals.
+//! Program that retires machines with local disks, and signal handling.
 //!
-//! Nothing that must last is on these machines' disks, so a request to empty one is met at once.
+//! No persistent data is kept on these machines, so a request to retire one is confirmed at once.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -17,22 +17,22 @@
 use crate::service::StartError;
 
 const BATCHING_DELAY: Duration = Duration::from_millis(200);
-/// How long a machine waits for the one that is meant to answer for itself.
+/// Delay before confirming the retirement of another machine, which normally does so itself.
 const OTHER_MACHINE_DELAY: Duration = Duration::from_millis(1500);
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Waits for one of some signals.
+/// Receives one or more signals.
 pub struct SignalListener(smol::Async<std::os::unix::net::UnixStream>);
 
 impl SignalListener {
-    /// Returns when a signal has come.
+    /// Waits for the next signal.
     pub async fn wait(&self) {
         let mut byte = [0];
         let _ = self.0.read_with(|mut stream| io::Read::read(&mut stream, &mut byte)).await;
     }
 }
 
-/// Takes signals from now on.
+/// Registers handlers for `signals`.
 pub fn listen_for_signals(signals: &[i32]) -> io::Result<SignalListener> {
     let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
     for signal in signals {
@@ -41,8 +41,7 @@
     Ok(SignalListener(smol::Async::new(receiver)?))
 }
 
-/// Notes each request to reload. What the settings file says is fixed for a process's life: a new
-/// address or name comes with a new process.
+/// Logs reload requests. The settings of this program can't be reloaded; a change needs a restart.
 pub async fn log_reloads(reload: SignalListener) {
     loop {
         reload.wait().await;
@@ -50,7 +49,7 @@
     }
 }
 
-/// Runs the program until it is told to stop.
+/// Runs the program until SIGTERM or SIGINT arrives.
 pub fn run(
     identity: Identity,
     tuning: Tuning,
@@ -78,11 +77,11 @@
 
 struct RetirementSink {
     gateway: Rc<Gateway>,
-    /// Machines that are being answered for.
+    /// Machines whose retirement is being recorded.
     pending: RefCell<Vec<String>>,
 }
 
-/// Records that a machine holds nothing any more.
+/// Records that a machine holds no data, and retries until the store accepts it.
 async fn retire(gateway: Rc<Gateway>, machine: String) {
     let kind = gateway.dialect.kinds().retirements;
     if machine != gateway.identity.node.name.0 {
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -1,4 +1,4 @@
-//! The daemon that callers reach: starts the parts, answers calls, and stops without a loss.
+//! The gateway daemon: startup, listeners, background tasks and graceful shutdown.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -35,61 +35,62 @@
 use crate::versions;
 use crate::wait;
 
-/// Share of the time for a change of servers in which further ones are gathered into one call. The
-/// rest is for the store's answer, and for a call that has to be repeated.
+/// Fraction of the drain propagation limit during which server updates are batched. The rest is
+/// left for the store's response and a retry.
 const DIRECTORY_BATCHING_RATIO: f64 = 0.5;
-/// The same for the configuration, of which a storm of changes is to be in force soon.
+/// Fraction of the configuration propagation limit during which configuration updates are batched.
 const CONFIGURATION_BATCHING_RATIO: f64 = 0.15;
-/// Added to the idle timeout of clients before a kept connection is closed.
+/// Added to the idle timeout of clients before an idle connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Time for the entry to stop sending new connections, after the daemon says it is not ready.
+/// Time for the load balancer to stop sending new connections after the daemon reports that it is
+/// not ready.
 const READINESS_DELAY: Duration = Duration::from_millis(3500);
-/// Kept back of the time to stop, for the process to end.
+/// Part of the shutdown limit that is reserved for the exit of the process.
 const STOP_MARGIN: Duration = Duration::from_millis(1200);
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two lines with what was counted.
+/// Interval of the log lines with counters.
 const COUNTER_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Longest time to tell the others that this daemon stops.
+/// Timeout for announcing the departure to the other members.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Addresses that a daemon serves on.
+/// Listening addresses of a daemon.
 #[derive(Debug, Clone)]
 pub struct Addresses {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// The entry's question whether the daemon is ready; may be the callers' address.
+    /// Readiness checks of the load balancer; may equal `callers`.
     pub ready: SocketAddr,
-    /// Peers, by TCP and UDP.
+    /// Peers, over TCP and UDP.
     pub peers: SocketAddr,
-    /// Counters.
+    /// Metrics page.
     pub metrics: Option<SocketAddr>,
-    /// Peer addresses of some other daemons; may be out of date.
+    /// Peer addresses of other daemons; may be outdated.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Path at which the entry asks whether a daemon is ready.
+/// Path of the readiness check.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadyPath(pub &'static str);
 
-/// Why a daemon could not start.
+/// Why a daemon failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address cannot be served on.
+    /// Listening on an address failed.
     #[error("listening on {address} for {purpose}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What it is for.
+        /// Purpose of the listener.
         purpose: &'static str,
-        /// The system's error.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// Signals cannot be taken.
+    /// Registering signal handlers failed.
     #[error("taking signals: {0}")]
     Signals(std::io::Error),
 }
 
-/// Runs a daemon until it is told to stop and has drained.
+/// Runs a daemon until a stop signal arrives and the daemon has drained.
 pub fn run(
     ready_path: ReadyPath,
     source: reload::Source,
@@ -326,7 +327,7 @@
 }
 
 impl ConfigurationSink {
-    /// Routes and tenants whose homes name a region that no zone of the settings is in.
+    /// Finds routes and tenants that are restricted to a region that has no zone.
     fn unknown_regions(&self, configuration: &Configuration) -> Vec<Finding> {
         let placer = &self.gateway.directory.borrow().placer;
         let unknown = |place: String, homes: &BTreeSet<String>| {
@@ -345,7 +346,7 @@
 
 impl MirrorSink for ConfigurationSink {
     fn keep(&self, _names: &BTreeSet<String>) {
-        // A configuration stays in force until there is a later one.
+        // A deleted configuration stays active until it is replaced.
     }
 
     fn put(&self, object: &Object) {
@@ -359,13 +360,13 @@
     }
 
     fn remove(&self, _name: &str) {
-        // The configuration in force stays until there is another one.
+        // A deleted configuration stays active until it is replaced.
     }
 }
 
 struct DirectorySink {
     gateway: Rc<Gateway>,
-    /// Names of entries that cannot be understood: each is logged once.
+    /// Names of malformed registrations, each of which is logged once.
     malformed: RefCell<BTreeSet<String>>,
 }
 
@@ -374,7 +375,7 @@
         Self { gateway, malformed: RefCell::default() }
     }
 
-    /// An entry that cannot be understood names no server to use, whatever it said before.
+    /// Removes the server of a malformed registration.
     fn drop_malformed(&self, name: &str, error: &DialectError) {
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
         if self.malformed.borrow_mut().insert(name.to_owned()) {
@@ -391,8 +392,7 @@
         }
     }
 
-    /// A server that has started again under the id that it had: its former run has ended, with what ran
-    /// there and the connections to it.
+    /// Handles a restarted server: its previous run has exited, with all requests and connections.
     fn record_restart(&self, server: &Server) {
         if self.gateway.directory.borrow().compare_run(server) != RunOrder::Newer {
             return;
@@ -411,8 +411,8 @@
         self.gateway.server_connections.close_idle(known.address);
     }
 
-    /// A server whose entry went, and that had not said that it would leave: where connections to it
-    /// broke a moment ago, it has ended.
+    /// Reports the exit of a server that had not announced that it was draining. Recently broken
+    /// connections to it are then counted as crashes.
     fn record_exit(&self, id: &str) {
         let state = self.gateway.directory.borrow().get(id).map(|server| server.state);
         if state == Some(ServerState::Ready) {
@@ -463,7 +463,7 @@
     }
 }
 
-/// Logs what was counted, now and then: on-call engineers may have nothing but logs.
+/// Logs the metrics periodically, for operators that have only logs.
 async fn log_counters_periodically(gateway: Rc<Gateway>) {
     loop {
         Timer::after(COUNTER_LOG_INTERVAL).await;
@@ -488,7 +488,8 @@
     }
 }
 
-/// Stops: says so at the entry, serves what still comes, and ends once nothing is under way.
+/// Drains the daemon: reports that it is not ready, serves the remaining requests, and returns once
+/// nothing is in flight or the shutdown limit is reached.
 async fn drain(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
     let started_at = gateway.now();
     gateway.draining.set(true);
@@ -503,7 +504,7 @@
     if let Some(book) = &gateway.usage {
         duties::telling::tell_last(gateway, book);
     }
-    // The others need not find out by probes, and take its jobs over at once.
+    // The other members take over its jobs at once instead of waiting for failed probes.
     wait::at_most(LEAVE_TIMEOUT, gateway.members.leave()).await;
     log_counters(gateway);
     log::info!(
--- a/crates/heronbend-gateway/src/slot_queue.rs
+++ b/crates/heronbend-gateway/src/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Carries out what the placement decides: has texts wait for their places, and counts what is sent.
+//! Queue of batch items that wait for a free slot on a server.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,34 +26,35 @@
 use crate::permits;
 use crate::wait;
 
-/// Longest wait until places are looked for again without news: servers that are avoided, cold or
-/// loading become usable by the mere passing of time.
+/// Maximum time between placement attempts. Servers in backoff, cold servers and servers that load
+/// a version become eligible by time alone.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Texts that waited longer than this are logged with what held them up.
+/// Items that waited at least this long are logged with the cause of the delay.
 const LONG_WAIT_LOG_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// A place for a text, which it holds until it is dropped.
+/// A slot on a server, which is occupied until this value is dropped.
 pub struct AssignedSlot {
     /// The server.
     pub server: Rc<Server>,
-    /// Its key.
+    /// Placement key of the server.
     pub key: ServerKey,
-    /// Whether the server is known to have the version that is needed.
+    /// Whether the server is known to hold the required version.
     pub version_status: VersionStatus,
-    /// Counts the text at the server.
-    pub counted: AttemptGuard,
+    /// Counts the item as in flight on the server.
+    pub guard: AttemptGuard,
 }
 
-/// Texts that wait here for places.
+/// Batch items that wait for a slot.
 #[derive(Default)]
 pub struct SlotQueue {
     waiting: RefCell<HashMap<TicketKey, Sender<AssignedSlot>>>,
     is_assigning: Cell<bool>,
-    /// Notified when a place may have become free or a server has changed.
+    /// Notified when a slot may have become free or a server has changed.
     pub changed: Event,
 }
 
-/// What requests to a service requirements, which hold to `allowed_regions`.
+/// Placement requirements of requests to `service`, restricted to `allowed_regions`. `model` is the
+/// name and the minimum version of a model.
 pub fn requirements(
     gateway: &Gateway,
     service: &str,
@@ -69,7 +70,7 @@
     }
 }
 
-/// A text that waits; it leaves the queue when dropped.
+/// A queued item; removed from the queue on drop.
 struct Ticket<'a> {
     gateway: &'a Gateway,
     key: TicketKey,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Waits for a place for a text.
+/// Waits until a slot is assigned to the batch item `item`.
 pub async fn acquire_slot(
     gateway: &Rc<Gateway>,
     item: &str,
@@ -101,12 +102,12 @@
             log_wait(gateway, item, &assigned, started_at, delay_cause);
             return assigned;
         }
-        // The place that was chosen is gone, which is logged there.
+        // The chosen server is unknown, which has been logged; try again.
         Timer::after(RECHECK_INTERVAL).await;
     }
 }
 
-/// Has a text wait, and gives it a place at once if there is one.
+/// Adds an item to the queue and assigns free slots at once.
 fn enqueue(
     gateway: &Rc<Gateway>,
     requirements: Requirements,
@@ -127,7 +128,7 @@
     (Ticket { gateway, key }, assigned)
 }
 
-/// What holds a text up: which servers it cannot have, and how many texts come before it.
+/// Returns the main reason why servers are excluded for the item, and its position in the queue.
 fn delay_cause(
     gateway: &Gateway,
     requirements: &Requirements,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Gives free places to texts while some wait.
+/// Assigns free slots until the queue is empty.
 async fn run_assignment_loop(gateway: Rc<Gateway>) {
     loop {
         let changed = gateway.slot_queue.changed.listen();
@@ -170,7 +171,7 @@
     }
 }
 
-/// Gives the places that are free now to the most urgent texts.
+/// Assigns all free slots, to the most urgent items first.
 fn assign_free_slots(gateway: &Rc<Gateway>) {
     loop {
         let now = gateway.now();
@@ -184,14 +185,14 @@
             log::error!("event=place_without_taker server={:?}", choice.server);
             continue;
         };
-        let counted = AttemptGuard::start(gateway, &server);
+        let guard = AttemptGuard::start(gateway, &server);
         let assigned = AssignedSlot {
             server,
             key: choice.server,
             version_status: choice.version_status,
-            counted,
+            guard,
         };
-        // A text that is gone gives its place back.
+        // If the item was cancelled, dropping the slot frees it.
         let _ = sender.try_send(assigned);
     }
     permits::request_permits(gateway);
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -1,9 +1,9 @@
-//! Streams of events, passed on to a client event by event.
+//! Forwarding of event streams, with resumption on another server.
 //!
-//! Nothing is sent to the client before the first event is there: what fails until then is answered
-//! with a status. A stream that may be resumed goes on at another server when its own breaks off or
-//! falls silent, after the last event that the client was sent. Only whole events are passed on, so
-//! that the continuation fits whatever the first server had begun.
+//! The response head is sent only once the first event has arrived, so that earlier failures can
+//! still be reported with a status. A resumable stream whose connection breaks or stalls continues
+//! on another server after the last event sent to the client. Only complete events are forwarded,
+//! so that the continuation never repeats part of an event.
 
 use std::io;
 use std::rc::Rc;
@@ -52,85 +52,85 @@
 use crate::slot_queue;
 use crate::wait;
 
-/// Silence before the first event after which a resumable stream is moved. A request may wait in
-/// the server's queue.
+/// Maximum time to the first event before a resumable stream moves to another server. It includes
+/// queueing in the server.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Silence between events after which it is moved; clients bear two seconds.
+/// Maximum time between events before a resumable stream moves to another server.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The answer to a request for a stream.
+/// Response to a stream request.
 pub enum StreamResponse {
-    /// The first events are there, and others follow.
+    /// A stream of which the first events have arrived.
     Events {
-        /// Status of the first server.
+        /// Status sent by the first server.
         status: StatusCode,
-        /// Headers of the first server.
+        /// Headers sent by the first server.
         headers: HeaderMap,
-        /// The events.
+        /// Body with all events.
         body: AnswerBody,
     },
-    /// A server answered without a stream.
+    /// A complete response that is not a stream.
     Complete(WholeAnswer),
 }
 
-/// Why a stream ended before its end.
+/// Why a stream failed.
 #[derive(Debug)]
 enum StreamError {
-    /// A server answered with a failure.
+    /// A server sent an error response.
     Response(Box<WholeAnswer>),
-    /// It failed, or no server took it.
+    /// The connection failed or no server was available.
     Failed(ForwardError),
 }
 
-/// One server's part of a stream.
+/// The part of a stream that one server sends.
 struct ServerStream {
     server: Rc<Server>,
     exchange: Exchange,
     guard: AttemptGuard,
-    /// Keeps others from the server where the request may end it.
+    /// Keeps other requests off the server while this one may crash it.
     isolation: Option<Isolation>,
     parser: Parser,
     events: u32,
-    /// Version of the weights that the answer starts under.
+    /// Weight version announced in the response head; taken by the first event.
     version: Option<u64>,
 }
 
-/// What one look at a server's stream gave.
+/// Result of one read from a server's stream.
 enum ReadOutcome {
     Events(Vec<Event>),
     End,
     Broken(&'static str),
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
 }
 
-/// A stream that is being passed on.
+/// State of a stream that is being forwarded.
 struct StreamRelay {
     gateway: Rc<Gateway>,
     outgoing: OutgoingRequest,
     requirements: Requirements,
     limits: RequestLimits,
     is_resumable: bool,
-    /// Number of the last event that was passed on.
+    /// Number of the last event sent to the client.
     last_event: u64,
-    /// Whether an event was passed on.
+    /// Whether any event was sent to the client.
     has_started: bool,
-    /// Version of the weights that made the last event.
+    /// Weight version of the last event.
     version: Option<u64>,
-    /// Servers that were sent the request.
+    /// Servers that were tried.
     history: AttemptHistory,
-    /// How it may be sent to servers, for what is known of requests like it.
+    /// How the quarantine allows the request to be sent.
     passage: Passage,
-    /// Servers that may have run it.
+    /// Attempts that may have run the request.
     attempts_used: u32,
     current: Option<ServerStream>,
-    /// Head of the first server.
+    /// Status and headers of the first server, until they are sent to the client.
     response_head: Option<(StatusCode, HeaderMap)>,
-    /// Since when no server could be found.
+    /// Since when the stream has been waiting for a server.
     waiting_since: Option<Moment>,
 }
 
-/// Opens a stream; returns once its first events are there.
+/// Opens a stream and returns once the first events have arrived.
 pub async fn open(
     gateway: &Rc<Gateway>,
     service: &str,
@@ -146,7 +146,7 @@
     let is_engine = |configuration: &Configuration| {
         configuration.services.get(service).is_some_and(|service| service.is_engine)
     };
-    // Only servers that run models have versions of them.
+    // Only engines have model versions.
     let model = model.filter(|_| gateway.configuration().as_deref().is_some_and(is_engine));
     let requirements =
         slot_queue::requirements(gateway, service, model, limits.allowed_regions.as_ref());
@@ -174,13 +174,13 @@
     let (status, headers) = relay.response_head.take().unwrap_or_default();
     let body = match first {
         Some(first) => body(first, relay),
-        // It ended without an event.
+        // The stream ended without any event.
         None => AnswerBody::whole(Bytes::new()),
     };
     Ok(StreamResponse::Events { status, headers, body })
 }
 
-/// The body of a stream whose first events are `first`.
+/// Builds the response body, which starts with the events in `first`.
 fn body(first: Bytes, relay: StreamRelay) -> AnswerBody {
     let state = (Some(first), Some(relay));
     AnswerBody::pieces(stream::unfold(state, |(first, relay)| async move {
@@ -191,13 +191,13 @@
         match relay.next().await {
             Ok(Some(bytes)) => Some((Ok(bytes), (None, Some(relay)))),
             Ok(None) => None,
-            Err(_) => Some((Err(io::Error::other("the stream broke off")), (None, None))),
+            Err(_) => Some((Err(io::Error::other("stream interrupted")), (None, None))),
         }
     }))
 }
 
 impl StreamRelay {
-    /// The next events; nothing at the stream's proper end.
+    /// Returns the next events, or `None` at the regular end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             let mut current = match self.current.take() {
@@ -229,20 +229,20 @@
         }
     }
 
-    /// Waits for what a server sends next.
+    /// Reads the next events from the server.
     async fn read(&self, current: &mut ServerStream) -> ReadOutcome {
         let now = self.gateway.now();
-        let left = self.limits.deadline.saturating_sub(now);
-        let silence = if current.events == 0 { FIRST_EVENT_TIMEOUT } else { IDLE_TIMEOUT };
+        let time_left = self.limits.deadline.saturating_sub(now);
+        let stall_timeout = if current.events == 0 { FIRST_EVENT_TIMEOUT } else { IDLE_TIMEOUT };
         let may_resume = self.may_attempt() && self.has_alternative(&current.server);
-        let limit = if may_resume { silence.min(left) } else { left };
+        let limit = if may_resume { stall_timeout.min(time_left) } else { time_left };
         let bytes = async { Some(current.exchange.next_bytes().await) };
-        let silent = async {
+        let stalled = async {
             wait::until(&self.gateway, now + limit).await;
             None
         };
-        match bytes.or(silent).await {
-            None if limit >= left => ReadOutcome::DeadlineExceeded,
+        match bytes.or(stalled).await {
+            None if limit >= time_left => ReadOutcome::DeadlineExceeded,
             None => ReadOutcome::Broken("silent"),
             Some(Ok(Some(bytes))) => match current.parser.push(&bytes) {
                 Ok(events) => ReadOutcome::Events(events),
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Takes events in; the bytes that go to the client. Of events that are not in turn none counts:
-    /// the next server is asked for all of them.
+    /// Checks the event numbers and returns the bytes to send to the client. If any event is out of
+    /// sequence, the whole batch is discarded and requested again from the next server.
     fn accept_events(
         &mut self,
         current: &mut ServerStream,
@@ -277,7 +277,7 @@
             self.version = event.version.or(current.version.take()).or(self.version);
             self.has_started = true;
             current.events += 1;
-            // It has begun and its server lives: others requirements not wait for its end.
+            // The server has survived the start of the request; other requests may use it again.
             current.isolation = None;
             current.guard.disarm();
             bytes.extend_from_slice(&event.raw);
@@ -285,18 +285,18 @@
         Ok(bytes.freeze())
     }
 
-    /// Whether the next event is the first of a server whose weights differ from those before.
+    /// Whether the next event comes from a resumed stream with a different weight version.
     fn version_changed_on_resume(&self, current: &ServerStream) -> bool {
         self.has_started && current.version.is_some() && current.version != self.version
     }
 
-    /// The line by which an event tells of other weights than the one before.
+    /// Event field that announces the weight version of the current server.
     fn version_line(&self, current: &ServerStream) -> String {
         let field = &self.gateway.dialect.headers().weight_version;
         format!("{field}: {}\n", current.version.unwrap_or_default())
     }
 
-    /// The first server's head is that of the whole answer.
+    /// Keeps the head of the first server as the head of the whole response.
     fn record_head(&mut self, current: &ServerStream) {
         if self.response_head.is_none() {
             self.response_head =
@@ -312,7 +312,7 @@
         self.log_stream_end("whole");
     }
 
-    /// Leaves a server whose stream broke; an error when the stream cannot go on.
+    /// Records the failure of a server's stream; returns an error if the stream can't be resumed.
     fn leave_server(
         &mut self,
         current: ServerStream,
@@ -347,7 +347,7 @@
         );
     }
 
-    /// Whether another server may run it.
+    /// Whether another attempt may be started.
     fn may_attempt(&self) -> bool {
         let within_budget = self.attempts_used < self.limits.max_attempts;
         within_budget
@@ -356,7 +356,7 @@
             && self.gateway.now() < self.limits.deadline
     }
 
-    /// Sends the request to a server, until one has begun to answer.
+    /// Sends the request to servers until one starts a stream.
     async fn start(&mut self) -> Result<ServerStream, StreamError> {
         loop {
             if !self.may_attempt() {
@@ -440,17 +440,17 @@
         if let VersionStatus::Expected(version) = version_status {
             outgoing.headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
-        let left = self.limits.deadline.saturating_sub(self.gateway.now());
-        let limit = if self.is_resumable { left.min(FIRST_EVENT_TIMEOUT) } else { left };
+        let time_left = self.limits.deadline.saturating_sub(self.gateway.now());
+        let limit = if self.is_resumable { time_left.min(FIRST_EVENT_TIMEOUT) } else { time_left };
         let until = self.gateway.now() + limit;
         let late = async {
             wait::until(&self.gateway, until).await;
             Err(AttemptFailure::Unknown("no head in time"))
         };
-        attempt::send(&self.gateway, server, &outgoing, left).or(late).await
+        attempt::send(&self.gateway, server, &outgoing, time_left).or(late).await
     }
 
-    /// Takes an answer that is not a stream.
+    /// Handles a response that is not a stream.
     async fn handle_error_response(
         &mut self,
         exchange: Exchange,
@@ -469,7 +469,7 @@
         Err(StreamError::Response(Box::new(response)))
     }
 
-    /// Takes an attempt that gave no answer.
+    /// Handles an attempt that got no response.
     fn handle_failed_attempt(
         &mut self,
         failure: AttemptFailure,
@@ -501,10 +501,10 @@
         }
     }
 
-    /// Waits before servers are looked at again.
+    /// Waits before the next attempt to find a server.
     async fn wait_for_server(&mut self, delay: Duration) {
         self.waiting_since.get_or_insert(self.gateway.now());
-        // Servers that refused, or broke off a stream that goes on, may be asked again.
+        // Servers that rejected the request or broke the stream may be tried again.
         self.history.tried.clear();
         Timer::after(delay).await;
     }
@@ -514,7 +514,7 @@
         placer.has_alternative(self.gateway.now(), &self.requirements, &server.id)
     }
 
-    /// What becomes of the request now.
+    /// Asks the placement for the next step of the request.
     fn decide(&self) -> Decision {
         let gateway = &self.gateway;
         let now = gateway.now();
--- a/crates/heronbend-gateway/src/traffic_split.rs
+++ b/crates/heronbend-gateway/src/traffic_split.rs
@@ -1,16 +1,17 @@
-//! Divides a route's requests among its destinations.
+//! Weighted traffic split of a route among its destinations.
 //!
-//! An additive sequence with the golden ratio keeps every stretch of requests close to the weights,
-//! and each daemon begins it at another point, so that few requests at many daemons add up as well.
+//! Uses a low-discrepancy sequence (multiples of the golden ratio modulo 1), which keeps short runs
+//! of requests close to the weights. Each daemon starts at a different point, so that low traffic
+//! spread over many daemons matches the weights as well.
 
 use std::collections::HashMap;
 
 use crate::configuration::Route;
 
-/// Fractional destination of the golden ratio.
+/// Fractional part of the golden ratio.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// The sequences of all routes.
+/// Traffic split state of all routes.
 #[derive(Debug, Clone)]
 pub struct TrafficSplitter {
     start: f64,
@@ -18,12 +19,12 @@
 }
 
 impl TrafficSplitter {
-    /// A splitter whose sequences begin at `start`, between 0 and 1.
+    /// Creates a splitter whose sequences begin at `start`, in the range 0 to 1.
     pub fn new(start: f64) -> Self {
         Self { start, positions: HashMap::new() }
     }
 
-    /// The service of a route's next request; nothing when the route has no destination.
+    /// Picks the service for the next request of a route; `None` if the route has no destination.
     pub fn pick<'a>(&mut self, route: &'a Route) -> Option<&'a str> {
         let total: u64 =
             route.destinations.iter().map(|destination| u64::from(destination.weight)).sum();
@@ -45,7 +46,7 @@
         route.destinations.last().map(|destination| destination.service.as_str())
     }
 
-    /// Forgets routes that are no longer configured.
+    /// Drops the state of routes that are no longer configured.
     pub fn retain(&mut self, is_configured: impl Fn(&str) -> bool) {
         self.positions.retain(|name, _| is_configured(name));
     }
--- a/crates/heronbend-gateway/src/wait.rs
+++ b/crates/heronbend-gateway/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits that end by themselves.
+//! Waits with a time limit.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::gateway::Gateway;
 
-/// Waits until an event is notified, or for as long as `limit`.
+/// Waits until `notified` completes, for at most `limit`.
 pub async fn at_most(limit: Duration, notified: impl Future<Output = ()>) {
     let over = async {
         Timer::after(limit).await;
@@ -17,8 +17,8 @@
     notified.or(over).await;
 }
 
-/// Waits until a time. Timers stand still while the machine is suspended, so that the wait is looked at
-/// anew when it goes on.
+/// Sleeps until `time` on the daemon's clock. Timers are paused while the machine is suspended, so
+/// the remaining time is checked again on resumption.
 pub async fn until(gateway: &Gateway, time: Moment) {
     loop {
         let resumed = gateway.resumed.listen();
