--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -54,7 +54,7 @@
     let mut failures = 0;
     let mut is_asked = false;
     loop {
-        let doubted = gateway.relist_requested.listen();
+        let doubted = gateway.restart_watches.listen();
         let asked = gateway.jobs.list_wanted.listen();
         match learn_ownerships(&gateway, is_asked).await {
             Ok(()) => {
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -211,7 +211,7 @@
     log::info!(
         "event=refused id={id} reason=\"the configuration is behind\" version={} peer_version={}",
         gateway.configuration_version(),
-        gateway.newest_announced_configuration.get()
+        gateway.newest_peer_configuration.get()
     );
     not_run("the configuration is behind")
 }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -123,9 +123,9 @@
     /// Local copies of the store's objects that peers may read, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
     /// Encoded updates of the replicas for peers.
-    pub news_texts: Texts,
+    pub compressed_updates: Texts,
     /// How updates of each kind arrive; kinds without an entry are read from the store.
-    pub ways: RefCell<HashMap<&'static str, Way>>,
+    pub upstreams: RefCell<HashMap<&'static str, Way>>,
     /// Notified when a replica changes.
     pub replica_changed: Event,
     /// Hashes the API keys of tenants.
@@ -172,17 +172,17 @@
     /// Overlay tree of this daemon's zone, with the membership version it was built from.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
     /// Last update relayed by a peer, by kind.
-    pub last_relayed: RefCell<HashMap<&'static str, Telling>>,
+    pub update_ages: RefCell<HashMap<&'static str, Telling>>,
     /// When a peer last relayed an update.
-    pub last_relayed_at: Cell<Moment>,
+    pub last_update_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
     pub store_reachable_since: Cell<Moment>,
     /// When the active configuration was last confirmed to be current.
     pub configuration_confirmed_at: Cell<Moment>,
     /// Newest configuration version announced by a peer.
-    pub newest_announced_configuration: Cell<u64>,
+    pub newest_peer_configuration: Cell<u64>,
     /// Notified when watches may have missed updates and all kinds have to be listed again.
-    pub relist_requested: Event,
+    pub restart_watches: Event,
     /// Memory budget for client request bodies.
     pub memory: Rc<MemoryBudget>,
     /// Retry budget shared by all requests.
@@ -234,8 +234,8 @@
             peer_connections: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
             replicas: RefCell::default(),
-            news_texts: Texts::default(),
-            ways: RefCell::default(),
+            compressed_updates: Texts::default(),
+            upstreams: RefCell::default(),
             replica_changed: Event::new(),
             key_hasher: KeyHasher::random(),
             configuration: RefCell::default(),
@@ -262,12 +262,12 @@
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
             tree: RefCell::default(),
-            last_relayed: RefCell::default(),
-            last_relayed_at: Cell::new(Moment::ZERO),
+            update_ages: RefCell::default(),
+            last_update_at: Cell::new(Moment::ZERO),
             store_reachable_since: Cell::new(Moment::ZERO),
             configuration_confirmed_at: Cell::new(Moment::ZERO),
-            newest_announced_configuration: Cell::new(0),
-            relist_requested: Event::new(),
+            newest_peer_configuration: Cell::new(0),
+            restart_watches: Event::new(),
             memory: MemoryBudget::new(tuning.max_buffered_bytes),
             retries: RefCell::default(),
             metrics,
@@ -311,7 +311,7 @@
 
     /// Whether a peer has announced a newer configuration than the active one.
     pub fn is_configuration_behind(&self) -> bool {
-        self.newest_announced_configuration.get() > self.configuration_version()
+        self.newest_peer_configuration.get() > self.configuration_version()
     }
 
     /// Time since the active configuration was last confirmed to be current.
@@ -336,7 +336,7 @@
     }
 
     /// Known state of a lease.
-    pub fn lease_news(&self, lease: LeaseName) -> &LeaseNews {
+    pub fn lease_state(&self, lease: LeaseName) -> &LeaseNews {
         match lease {
             LeaseName::Orders => &self.versions.lease,
             LeaseName::Duties => &self.duty_lease,
--- a/crates/heronbend-gateway/src/lease_keeper.rs
+++ b/crates/heronbend-gateway/src/lease_keeper.rs
@@ -36,7 +36,7 @@
     }
 
     fn news(&self) -> &LeaseNews {
-        self.gateway.lease_news(self.lease)
+        self.gateway.lease_state(self.lease)
     }
 
     /// The fencing token, if this daemon may act now.
