--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -44,7 +44,7 @@
     let id = headers::text(&head.headers, &gateway.dialect.headers().request_id);
     let id = id.unwrap_or_default().to_owned();
     let call = gateway.dialect.call(&head.method, head.uri.path(), head.uri.query());
-    let (name, mut answer) = match call {
+    let (name, mut response) = match call {
         Call::Forward => handle_routed_request(&gateway, &id, head, body, arrived).await,
         Call::Malformed(problem) => {
             ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, problem))
@@ -53,13 +53,13 @@
     };
     let names = gateway.dialect.headers();
     if let Ok(value) = http::HeaderValue::from_str(&id) {
-        if !id.is_empty() && !answer.headers().contains_key(&names.request_id) {
-            answer.headers_mut().insert(names.request_id.clone(), value);
+        if !id.is_empty() && !response.headers().contains_key(&names.request_id) {
+            response.headers_mut().insert(names.request_id.clone(), value);
         }
     }
     let latency = gateway.now().saturating_sub(arrived);
-    gateway.metrics.answered(&name, answer.status().as_u16(), latency);
-    answer
+    gateway.metrics.answered(&name, response.status().as_u16(), latency);
+    response
 }
 
 /// Handles a batch API call for an existing job.
@@ -77,8 +77,8 @@
         Ok(caller) => caller,
         Err(denial) => {
             let path = head.uri.path();
-            let answer = denial_response(gateway, denial, path, &format!("path={path}"));
-            return (denial.name().to_owned(), answer);
+            let response = denial_response(gateway, denial, path, &format!("path={path}"));
+            return (denial.name().to_owned(), response);
         }
     };
     match call {
@@ -101,7 +101,7 @@
             ("end_job".to_owned(), end_job_response(ended))
         }
         Call::Forward | Call::Malformed(_) => {
-            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, "not a call of a job"))
+            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, "not a batch job call"))
         }
     }
 }
@@ -127,15 +127,15 @@
             head.uri.path(),
             configuration.version
         );
-        return ("none".to_owned(), text_answer(StatusCode::NOT_FOUND, "no such route"));
+        return ("none".to_owned(), text_answer(StatusCode::NOT_FOUND, "no matching route"));
     };
     let name = route.name.clone();
     let identified = route_caller(gateway, &configuration, &route, &head);
     let caller = match authorize(gateway, identified) {
         Ok(caller) => caller,
         Err(denial) => {
-            let answer = denial_response(gateway, denial, id, &format!("id={id} route={name}"));
-            return (name, answer);
+            let response = denial_response(gateway, denial, id, &format!("id={id} route={name}"));
+            return (name, response);
         }
     };
     let limits = BodyLimits {
@@ -150,13 +150,13 @@
             return (name, body_error_response(&error));
         }
     };
-    let answer = if route.kind == RouteKind::Rollout {
+    let response = if route.kind == RouteKind::Rollout {
         submit_job(gateway, id, &caller, &head, &bytes, arrived).await
     } else {
         let request = AcceptedRequest { head, body: bytes, reservation, caller, arrived };
         forward_request(gateway, id, request, &route, &configuration).await
     };
-    (name, answer)
+    (name, response)
 }
 
 /// Why a call is denied before it is run.
@@ -201,7 +201,7 @@
                 "event=unauthorized {context} reason=\"{error}\" configuration={}",
                 gateway.configuration_version()
             );
-            unauthorized(error)
+            unauthorized_response(error)
         }
     }
 }
@@ -213,7 +213,7 @@
         gateway.configuration_version(),
         gateway.newest_peer_configuration.get()
     );
-    not_run("the configuration is behind")
+    not_run("the configuration is outdated")
 }
 
 /// Rejects a caller whose key may have been revoked.
@@ -223,7 +223,7 @@
         gateway.configuration_version(),
         gateway.configuration_age().as_millis()
     );
-    not_run("it cannot be told whether the key is still held")
+    not_run("API keys cannot be verified because the configuration is stale")
 }
 
 /// Identifies the caller of a routed request.
@@ -259,7 +259,7 @@
     let AcceptedRequest { head, body, reservation, caller, arrived } = request;
     let service = gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
     let Some(service) = service else {
-        return not_run("the route has no service");
+        return not_run("the route has no destination");
     };
     let names = gateway.dialect.headers();
     let client_timeout = headers::millis(&head.headers, &names.deadline_millis);
@@ -284,7 +284,7 @@
     let result = forward(gateway, &service, outgoing, limits).await;
     let millis = gateway.now().saturating_sub(arrived).as_millis();
     let outcome = match &result {
-        Ok(answer) => answer.status.as_str().to_owned(),
+        Ok(response) => response.status.as_str().to_owned(),
         Err(error) => format!("{error:?}"),
     };
     log::info!(
@@ -294,10 +294,10 @@
         configuration.version
     );
     match result {
-        Ok(answer) => server_response(answer, route),
+        Ok(response) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
-        Err(ForwardError::Quarantined(refused)) => quarantined(refused),
-        Err(error) => text_answer(error.status(), "no answer of a server"),
+        Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
+        Err(error) => text_answer(error.status(), "no response from a server"),
     }
 }
 
@@ -319,7 +319,7 @@
     let opened = stream::open(gateway, service, outgoing, limits, route.resumable).await;
     let outcome = match &opened {
         Ok(StreamResponse::Events { status, .. }) => status.as_str().to_owned(),
-        Ok(StreamResponse::Complete(answer)) => answer.status.as_str().to_owned(),
+        Ok(StreamResponse::Complete(response)) => response.status.as_str().to_owned(),
         Err(error) => format!("{error:?}"),
     };
     log::info!(
@@ -329,33 +329,33 @@
     );
     match opened {
         Ok(StreamResponse::Events { status, headers, body }) => {
-            let mut answer = Answer::new(body);
-            *answer.status_mut() = status;
-            *answer.headers_mut() = headers;
-            answer
+            let mut response = Answer::new(body);
+            *response.status_mut() = status;
+            *response.headers_mut() = headers;
+            response
         }
-        Ok(StreamResponse::Complete(answer)) => server_response(answer, route),
+        Ok(StreamResponse::Complete(response)) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
-        Err(ForwardError::Quarantined(refused)) => quarantined(refused),
-        Err(error) => text_answer(error.status(), "no answer of a server"),
+        Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
+        Err(error) => text_answer(error.status(), "no response from a server"),
     }
 }
 
 /// Converts a server's response for the client. For requests that are not idempotent, statuses that
 /// imply that nothing was run are replaced, since another attempt may have run the request.
-fn server_response(answer: WholeAnswer, route: &Route) -> Answer {
+fn server_response(upstream: WholeAnswer, route: &Route) -> Answer {
     let not_run_statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if !route.is_repeatable() && not_run_statuses.contains(&answer.status) {
+    if !route.is_repeatable() && not_run_statuses.contains(&upstream.status) {
         return text_answer(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
-    let mut response = Answer::new(AnswerBody::whole(answer.body));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = headers::end_to_end(&answer.headers);
+    let mut response = Answer::new(AnswerBody::whole(upstream.body));
+    *response.status_mut() = upstream.status;
+    *response.headers_mut() = headers::end_to_end(&upstream.headers);
     response
 }
 
@@ -363,20 +363,22 @@
 fn body_error_response(error: &BodyError) -> Answer {
     match error {
         BodyError::TooLarge(_) => {
-            text_answer(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
+            text_answer(StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large")
+        }
+        BodyError::NoRoom => not_run("no memory available for the request body"),
+        BodyError::Slow => {
+            text_answer(StatusCode::REQUEST_TIMEOUT, "timed out reading the request body")
         }
-        BodyError::NoRoom => not_run("no memory for the body"),
-        BodyError::Slow => text_answer(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
-        BodyError::Cut(_) => text_answer(StatusCode::BAD_REQUEST, "the body was cut"),
+        BodyError::Cut(_) => text_answer(StatusCode::BAD_REQUEST, "the request body is incomplete"),
     }
 }
 
 /// Response to a call without a valid key.
-fn unauthorized(error: AuthError) -> Answer {
-    let mut answer = text_answer(StatusCode::UNAUTHORIZED, error.message());
+fn unauthorized_response(error: AuthError) -> Answer {
+    let mut response = text_answer(StatusCode::UNAUTHORIZED, error.message());
     let scheme = http::HeaderValue::from_static("Bearer");
-    answer.headers_mut().insert(http::header::WWW_AUTHENTICATE, scheme);
-    answer
+    response.headers_mut().insert(http::header::WWW_AUTHENTICATE, scheme);
+    response
 }
 
 /// Response to a request that was not run and may be retried.
@@ -385,21 +387,21 @@
 }
 
 fn not_run_retry_after(reason: &'static str, delay: Duration) -> Answer {
-    let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
-    answer.headers_mut().insert(http::header::RETRY_AFTER, retry_after(delay));
-    answer
+    let mut response = text_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
+    response.headers_mut().insert(http::header::RETRY_AFTER, retry_after(delay));
+    response
 }
 
 /// Response to a request for which no server was available.
 fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> Answer {
     gateway.metrics.unplaced(rejection.reason);
-    not_run_retry_after("no server took it", rejection.retry_after)
+    not_run_retry_after("no server available", rejection.retry_after)
 }
 
 /// Response to a quarantined request.
-fn quarantined(refused: Refused) -> Answer {
+fn quarantined_response(refused: Refused) -> Answer {
     not_run_retry_after(
-        "requests like this one ended the servers that ran them",
+        "the request is quarantined because similar requests crashed servers",
         refused.retry_after,
     )
 }
@@ -424,9 +426,9 @@
     specification.path = head.uri.path().to_owned();
     specification.tenant = caller.tenant().map(str::to_owned);
     let (items, step) = (specification.items.len(), specification.step.clone());
-    let taken = hand_in::hand_in(gateway, specification, arrived + STORE_TIMEOUT).await;
+    let submitted = hand_in::hand_in(gateway, specification, arrived + STORE_TIMEOUT).await;
     log::info!(
-        "event=job_handed_in job={id} tenant={} items={items} step={} outcome={taken:?} ms={}",
+        "event=job_handed_in job={id} tenant={} items={items} step={} outcome={submitted:?} ms={}",
         caller.tenant().unwrap_or("none"),
         step.map_or_else(
             || "none".to_owned(),
@@ -437,10 +439,10 @@
         ),
         gateway.now().saturating_sub(arrived).as_millis()
     );
-    match taken {
+    match submitted {
         Ok(()) => text_answer(StatusCode::ACCEPTED, "accepted"),
-        Err(HandInError::NotTaken) => not_run("not taken"),
-        Err(error) => text_answer(error.status(), "not accepted"),
+        Err(HandInError::NotTaken) => not_run("the job could not be stored"),
+        Err(error) => text_answer(error.status(), "the job was rejected"),
     }
 }
 
@@ -473,15 +475,15 @@
 
 fn read_error_response(error: ReadError) -> Answer {
     match error {
-        ReadError::NotFound => text_answer(StatusCode::NOT_FOUND, "there is no such thing"),
-        ReadError::Unavailable => not_run("it cannot be told now"),
+        ReadError::NotFound => text_answer(StatusCode::NOT_FOUND, "not found"),
+        ReadError::Unavailable => not_run("temporarily unavailable"),
     }
 }
 
 fn end_job_response(ended: Result<(), EndError>) -> Answer {
     match ended {
         Ok(()) => text_answer(StatusCode::OK, "ended"),
-        Err(EndError::NoSuchJob) => text_answer(StatusCode::NOT_FOUND, "there is no such job"),
-        Err(EndError::Unavailable) => not_run("the end could not be recorded"),
+        Err(EndError::NoSuchJob) => text_answer(StatusCode::NOT_FOUND, "job not found"),
+        Err(EndError::Unavailable) => not_run("the end of the job could not be stored"),
     }
 }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -124,7 +124,7 @@
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
     /// Encoded updates of the replicas for peers.
     pub compressed_updates: Texts,
-    /// How updates of each kind arrive; kinds without an entry are read from the store.
+    /// Upstream of the updates of each kind; kinds without an entry are read from the store.
     pub upstreams: RefCell<HashMap<&'static str, Way>>,
     /// Notified when a replica changes.
     pub replica_changed: Event,
@@ -171,9 +171,9 @@
     tuning: Cell<Tuning>,
     /// Overlay tree of this daemon's zone, with the membership version it was built from.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
-    /// Last update relayed by a peer, by kind.
+    /// When a peer last confirmed each kind as current, and the age of its state.
     pub update_ages: RefCell<HashMap<&'static str, Telling>>,
-    /// When a peer last relayed an update.
+    /// When a peer last sent an update of any kind.
     pub last_update_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
     pub store_reachable_since: Cell<Moment>,
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -1,27 +1,28 @@
-//! The rollout service over ports: it passes calls on to servers, keeps and runs batch jobs, and
-//! brings servers to the versions of weights that trainers name.
+//! Gateway daemon of the rollout service: forwards requests to servers, stores and runs batch jobs,
+//! and updates servers to the model versions that trainers publish.
 //!
-//! It stands between callers and servers on every machine alike. Whatever must last is in an object
-//! store, reached through [`ports::ObjectStore`]; how calls and objects are spelled is behind
-//! [`ports::Dialect`]. An adapter implements both and starts [`service::run`].
+//! An identical daemon runs on every machine, between callers and servers. Persistent data is kept
+//! in an object store behind [`ports::ObjectStore`]; the encoding of calls and objects is behind
+//! [`ports::Dialect`]. An adapter implements both ports and calls [`service::run`].
 //!
-//! - [`duties`], [`lease_keeper`], [`lease_news`]: what one daemon at a time does for all.
-//! - [`access`]: on whose behalf a call is made.
-//! - [`calls`], [`forward`], [`stream`], [`attempt`], [`traffic_split`]: requests passed on.
-//! - [`directory`], [`slot_queue`], [`permits`], [`evacuations`], [`region_policy`]: what decides where they go.
-//! - [`events`]: the events of a server's stream.
-//! - [`quarantine`]: requests that end the servers that run them.
-//! - [`clock`]: the time that rights and deadlines are judged by.
-//! - [`memory`]: the bound on what clients make a daemon hold.
+//! - [`gateway`]: shared state of a daemon.
+//! - [`calls`], [`forward`], [`stream`], [`attempt`], [`traffic_split`]: request forwarding.
+//! - [`directory`], [`slot_queue`], [`permits`], [`evacuations`], [`region_policy`]: placement of
+//!   requests on servers.
+//! - [`access`]: authentication of callers.
+//! - [`events`]: parser for event streams.
+//! - [`quarantine`]: quarantine of requests that crash servers.
 //! - [`batch`]: batch jobs.
-//! - [`versions`]: versions of weights.
-//! - [`peers`]: the daemons among themselves.
-//! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`],
-//!   [`news_way`], [`dissemination`], [`configuration`]:
-//!   the store and what it says.
-//! - [`service`], [`retirement`], [`settings`], [`reload`]: the programs and their settings.
-//! - [`logging`], [`metrics`]: what they tell.
-//! - [`explain`], [`steps`], [`day`], [`day_plot`]: what their logs tell afterwards.
+//! - [`versions`]: rollout of model versions.
+//! - [`duties`], [`lease_keeper`], [`lease_news`]: tasks that one lease holder runs for the fleet.
+//! - [`peers`]: membership and messages between daemons.
+//! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`], [`news_way`], [`dissemination`],
+//!   [`configuration`]: access to the store and distribution of its updates.
+//! - [`clock`], [`wait`]: time and timeouts.
+//! - [`memory`]: memory budget for request bodies.
+//! - [`service`], [`retirement`], [`settings`], [`reload`]: programs and their settings.
+//! - [`logging`], [`metrics`]: logs and metrics.
+//! - [`explain`], [`steps`], [`day`], [`day_plot`]: log analysis.
 
 pub mod access;
 pub mod attempt;
