--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -383,7 +383,7 @@
     }
 
     /// Whether any route or tenant restricts the regions in which its requests run.
-    pub fn has_homes(&self) -> bool {
+    pub fn restricts_regions(&self) -> bool {
         self.configuration().is_some_and(|configuration| configuration.has_homes())
     }
 
--- a/crates/heronbend-gateway/src/relayed_store.rs
+++ b/crates/heronbend-gateway/src/relayed_store.rs
@@ -112,7 +112,7 @@
     async fn relay(&self, call: StoreCall) -> Option<StoreReply> {
         let gateway = self.gateway.borrow().upgrade()?;
         // A call may carry a request's body, which may not be in any region.
-        let alive = if gateway.has_homes() {
+        let alive = if gateway.restricts_regions() {
             gateway.members.alive_in_region(&gateway.identity.region)
         } else {
             gateway.members.alive()
