--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -1,4 +1,4 @@
-//! Writes a job's results to the store, chunk by chunk.
+//! Appends chunks of results to the log of a job in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 use smol::Timer;
 
+use super::batching_window;
 use super::checkpoint;
-use super::gathering;
 use super::registry::{chunk_name, results_kind, Job, OWNERSHIPS};
 use super::result_log::{Chunk, ItemResult};
 use crate::gateway::Gateway;
@@ -15,39 +15,39 @@
 use crate::ports::{Object, ObjectStore, StoreError};
 use crate::wait;
 
-/// Rest between two looks whether this daemon owns the job again.
-const OWNER_LOOK: Duration = Duration::from_millis(500);
+/// Delay before ownership is checked again.
+const OWNERSHIP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Who wrote the chunk that a write found or made.
+/// Writer of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Writer {
     /// This run of this daemon.
-    Here,
-    /// Another daemon, or an earlier run: it owns the job, or did when it wrote.
-    Another,
+    Own,
+    /// Another daemon, or an earlier run of this one, that owns the job or owned it at that time.
+    Other,
 }
 
-/// Appends results for as long as this daemon runs the job.
+/// Appends results while this daemon runs the job.
 ///
-/// A chunk of another writer means that the job may have changed hands: nothing more is appended
-/// until the store confirms that this daemon owns it.
+/// A chunk by another writer means that the owner may have changed. Nothing is appended after it
+/// until the store confirms that this daemon is the owner.
 pub async fn run(gateway: Rc<Gateway>, job: Rc<Job>) {
     let mut failures = 0;
     loop {
-        if job.owner_in_doubt.get() {
+        if job.owner_unconfirmed.get() {
             confirm_owner(&gateway, &job).await;
             continue;
         }
-        let waits = job.result_waits.listen();
+        let result_pending = job.result_pending.listen();
         if job.log.borrow().pending() == 0 {
-            waits.await;
+            result_pending.await;
             continue;
         }
-        // A chunk whose outcome is unknown is written, or read, before anything else.
+        // A chunk whose write may have succeeded is retried without delay.
         if !job.log.borrow().is_in_doubt() {
-            gather(&gateway, &job).await;
+            wait_for_batch(&gateway, &job).await;
         }
-        let Some(chunk) = job.log.borrow_mut().start_writing() else {
+        let Some(chunk) = job.log.borrow_mut().start_write() else {
             continue;
         };
         match write(&gateway, &job, &chunk).await {
@@ -67,11 +67,11 @@
     }
 }
 
-/// Asks the store whether this daemon owns the job; rests where it does not, or cannot be told.
+/// Reads the ownership from the store. Waits before returning unless this daemon is the owner.
 async fn confirm_owner(gateway: &Gateway, job: &Job) {
     let read = gateway.store.get(OWNERSHIPS, &job.id).await;
     if let Ok(Some(object)) = &read {
-        gateway.jobs.learn_object(object);
+        gateway.jobs.upsert_object(object);
     }
     let is_owner = matches!(read, Ok(Some(_))) && job.owner() == gateway.identity.node;
     log::info!(
@@ -81,81 +81,82 @@
         read.as_ref().map_or_else(ToString::to_string, |_| "read".to_owned())
     );
     if is_owner {
-        job.owner_in_doubt.set(false);
+        job.owner_unconfirmed.set(false);
     } else {
-        Timer::after(OWNER_LOOK).await;
+        Timer::after(OWNERSHIP_RETRY_DELAY).await;
     }
 }
 
-/// Appends a chunk without results, so that no write of a former owner can be done any more: one
-/// that is still under way finds its number taken, and a former owner that finds this chunk asks
-/// who owns the job. Until then the log here may lack what a former owner shows to readers.
+/// Appends an empty chunk, which fences off former owners: their in-flight writes conflict with it,
+/// and they confirm the owner before writing again. Until then the local log may be missing results
+/// that a former owner has committed.
 pub async fn seal(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     loop {
-        if job.owner_in_doubt.get() {
-            // The chunks that were found may be those of a daemon that took the job over since.
+        if job.owner_unconfirmed.get() {
+            // A chunk found by the write may belong to a newer owner.
             confirm_owner(gateway, job).await;
             continue;
         }
         let number = job.log.borrow().chunks();
         let chunk = Chunk { number, results: Vec::new() };
-        if write(gateway, job, &chunk).await? == Writer::Here {
+        if write(gateway, job, &chunk).await? == Writer::Own {
             log::info!("event=log_sealed job={} chunk={number}", job.id);
             return Ok(());
         }
     }
 }
 
-/// Waits for further results for as long as those that wait may wait.
-async fn gather(gateway: &Gateway, job: &Job) {
-    let begun = gateway.now();
+/// Waits until the pending results are to be committed.
+async fn wait_for_batch(gateway: &Gateway, job: &Job) {
+    let started = gateway.now();
     loop {
-        let waits = job.result_waits.listen();
-        let step = step(gateway, job);
-        let is_full = is_full(job);
-        let waited = gateway.now().saturating_sub(begun);
-        let left = gathering::wait(step.as_ref(), waited).filter(|_| !is_full);
+        let result_pending = job.result_pending.listen();
+        let step_progress = step_progress(gateway, job);
+        let is_batch_full = is_batch_full(job);
+        let waited = gateway.now().saturating_sub(started);
+        let left = batching_window::remaining_wait(step_progress.as_ref(), waited)
+            .filter(|_| !is_batch_full);
         let Some(left) = left.filter(|left| !left.is_zero()) else {
             return;
         };
-        wait::at_most(left, waits).await;
+        wait::at_most(left, result_pending).await;
     }
 }
 
-/// Whether there is nothing to wait for: the last result waits, or enough for a chunk.
-fn is_full(job: &Job) -> bool {
+/// Whether the pending results include the last one or fill half a chunk.
+fn is_batch_full(job: &Job) -> bool {
     let log = job.log.borrow();
     log.len() + log.pending() >= job.total || log.is_chunk_half_full()
 }
 
-/// How far the step is that a job is for, if a trainer handed it in.
-fn step(gateway: &Gateway, job: &Job) -> Option<gathering::Step> {
+/// Progress of the training step of a job; `None` if the job is not part of a step.
+fn step_progress(gateway: &Gateway, job: &Job) -> Option<batching_window::StepProgress> {
     let specification = job.specification.borrow();
     let specification = specification.as_deref()?;
-    let desired = specification.step.as_ref()?.desired_groups;
+    let desired_groups = specification.step.as_ref()?.desired_groups;
     let log = job.log.borrow();
-    let listed = specification.whole_groups(|item| log.is_listed(item));
-    let whole = specification.whole_groups(|item| log.has_result(item));
-    let required = job.required.borrow();
+    let committed_groups = specification.complete_groups(|item| log.is_committed(item));
+    let complete_groups = specification.complete_groups(|item| log.has_result(item));
+    let required = job.required_items.borrow();
     let required_missing = required.iter().filter(|item| !log.has_result(item)).count();
-    let required_unlisted = required.iter().filter(|item| !log.is_listed(item)).count();
-    let age = gateway.now().saturating_sub(job.known_since);
-    let due = gateway.configuration().and_then(|configuration| {
+    let required_uncommitted = required.iter().filter(|item| !log.is_committed(item)).count();
+    let age = gateway.now().saturating_sub(job.first_seen);
+    let deadline = gateway.configuration().and_then(|configuration| {
         configuration.route(&specification.host, &specification.path)?.result_deadline
     });
-    let due = due.map(|due| match due.checked_sub(age) {
-        Some(left) => gathering::Due::In(left),
-        None => gathering::Due::Since(age - due),
+    let deadline = deadline.map(|deadline| match deadline.checked_sub(age) {
+        Some(left) => batching_window::Deadline::Remaining(left),
+        None => batching_window::Deadline::Overdue(age - deadline),
     });
-    let held_for = job.read_held_until.get().saturating_sub(gateway.now());
-    Some(gathering::Step {
-        desired,
-        listed,
-        whole,
+    let long_poll_left = job.long_poll_until.get().saturating_sub(gateway.now());
+    Some(batching_window::StepProgress {
+        desired_groups,
+        committed_groups,
+        complete_groups,
         required_missing,
-        required_unlisted,
-        due,
-        held_for,
+        required_uncommitted,
+        deadline,
+        long_poll_left,
     })
 }
 
@@ -166,26 +167,26 @@
     let content = json!({ "results": chunk.results, "writer": writer });
     match gateway.store.create(&kind, &name, content).await {
         Ok(_) => {
-            settle(gateway, job, chunk.number, chunk.results.clone());
-            Ok(Writer::Here)
+            commit(gateway, job, chunk.number, chunk.results.clone());
+            Ok(Writer::Own)
         }
-        // Written before, by this daemon or by another one that runs the job.
-        Err(StoreError::Conflict(Some(object))) => settle_object(gateway, job, &object),
+        // The chunk exists: an earlier attempt succeeded, or another daemon runs the job.
+        Err(StoreError::Conflict(Some(object))) => commit_object(gateway, job, &object),
         Err(StoreError::Conflict(None)) => match gateway.store.get(&kind, &name).await? {
-            Some(object) => settle_object(gateway, job, &object),
-            None => Err(StoreError::NotDone("the chunk is gone".to_owned())),
+            Some(object) => commit_object(gateway, job, &object),
+            None => Err(StoreError::NotDone("the conflicting chunk no longer exists".to_owned())),
         },
         Err(error) => Err(error),
     }
 }
 
-fn settle_object(gateway: &Gateway, job: &Job, object: &Object) -> Result<Writer, StoreError> {
+fn commit_object(gateway: &Gateway, job: &Job, object: &Object) -> Result<Writer, StoreError> {
     let (number, results) = parse_chunk(object)?;
-    settle(gateway, job, number, results);
+    commit(gateway, job, number, results);
     let writer = writer_of(gateway, object);
-    if writer == Writer::Another {
-        // Only the store's word on the owner ends a doubt.
-        job.owner_in_doubt.set(true);
+    if writer == Writer::Other {
+        // Cleared once the store has confirmed the owner.
+        job.owner_unconfirmed.set(true);
     }
     Ok(writer)
 }
@@ -193,33 +194,33 @@
 fn writer_of(gateway: &Gateway, chunk: &Object) -> Writer {
     let writer = chunk.content.get("writer").and_then(Value::as_str);
     if writer == Some(gateway.identity.node.to_string().as_str()) {
-        Writer::Here
+        Writer::Own
     } else {
-        Writer::Another
+        Writer::Other
     }
 }
 
-fn settle(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
-    let age = gateway.now().saturating_sub(job.known_since);
+fn commit(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
+    let age = gateway.now().saturating_sub(job.first_seen);
     for _ in &results {
         gateway.metrics.items_listed.inc();
         gateway.metrics.item_age.observe(age.as_secs_f64());
     }
     let mut log = job.log.borrow_mut();
     let from = log.len();
-    log.settle(number, results);
-    let settled = log.len();
+    log.commit(number, results);
+    let committed = log.len();
     drop(log);
     log::info!(
-        "event=results_listed job={} chunk={number} positions={from}..{settled} total={} age_ms={}",
+        "event=results_listed job={} chunk={number} positions={from}..{committed} total={} age_ms={}",
         job.id,
         job.total,
         age.as_millis()
     );
-    job.grew.notify(usize::MAX);
+    job.log_changed.notify(usize::MAX);
 }
 
-/// A chunk's number and results, from its object.
+/// Decodes a chunk object into its number and results.
 pub fn parse_chunk(object: &Object) -> Result<(u32, Vec<Rc<ItemResult>>), StoreError> {
     let malformed = |error: &dyn ToString| {
         StoreError::Malformed(format!("chunk {}: {}", object.name, error.to_string()))
@@ -231,7 +232,7 @@
     Ok((number, results.into_iter().map(Rc::new).collect()))
 }
 
-/// Reads from the store all chunks that are not known here yet.
+/// Reads all chunks from the store that are missing in the local log.
 pub async fn catch_up(gateway: &Gateway, job: &Job) -> Result<(), StoreError> {
     let kind = results_kind(&job.id);
     loop {
@@ -240,14 +241,14 @@
         let page = gateway.store.list(&kind, after.as_deref()).await?;
         for object in &page.objects {
             let (number, results) = parse_chunk(object)?;
-            let is_news = number >= job.log.borrow().chunks();
-            if is_news && writer_of(gateway, object) == Writer::Another {
-                job.owner_in_doubt.set(true);
+            let is_new = number >= job.log.borrow().chunks();
+            if is_new && writer_of(gateway, object) == Writer::Other {
+                job.owner_unconfirmed.set(true);
             }
-            job.log.borrow_mut().settle(number, results);
+            job.log.borrow_mut().commit(number, results);
         }
         if !page.objects.is_empty() {
-            job.grew.notify(usize::MAX);
+            job.log_changed.notify(usize::MAX);
         }
         if !page.more || page.objects.is_empty() {
             return Ok(());
@@ -255,7 +256,7 @@
     }
 }
 
-/// Removes everything that the store keeps of a job.
+/// Removes all objects of a job from the store.
 pub async fn remove_all(gateway: &Gateway, job: &str) -> Result<(), StoreError> {
     for kind in [results_kind(job), checkpoint::kind(job)] {
         for object in list_all(gateway, &kind).await?.0 {
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -16,8 +16,8 @@
 use crate::access;
 use crate::access::AuthError;
 use crate::attempt::OutgoingRequest;
-use crate::batch::hand_in::{self, EndError, HandInError};
-use crate::batch::reading::{self, ReadError};
+use crate::batch::results_reader::{self, ReadError};
+use crate::batch::submission::{self, EndError, SubmitError};
 use crate::configuration::{Configuration, Route, RouteKind};
 use crate::duties::billing::Billing;
 use crate::forward::{forward, retry_after, ForwardError, RequestLimits};
@@ -85,15 +85,15 @@
         Call::ReadResults { job, from } => {
             let wait = headers::millis(&head.headers, &gateway.dialect.headers().wait_millis);
             let wait = wait.unwrap_or_default().min(MAX_LONG_POLL);
-            let page = reading::results(gateway, &job, &caller, from, arrived + wait).await;
+            let page = results_reader::results(gateway, &job, &caller, from, arrived + wait).await;
             ("read_results".to_owned(), results_response(gateway, &job, from, page))
         }
         Call::ReadItem { job, item } => {
-            let body = reading::item(gateway, &job, &caller, &item).await;
+            let body = results_reader::item(gateway, &job, &caller, &item).await;
             ("read_item".to_owned(), item_response(&job, &item, body))
         }
         Call::EndJob { job } => {
-            let ended = hand_in::end(gateway, &job, &caller, arrived + STORE_TIMEOUT).await;
+            let ended = submission::end(gateway, &job, &caller, arrived + STORE_TIMEOUT).await;
             log::info!(
                 "event=job_end_asked job={job} outcome={ended:?} ms={}",
                 gateway.now().saturating_sub(arrived).as_millis()
@@ -426,7 +426,7 @@
     specification.path = head.uri.path().to_owned();
     specification.tenant = caller.tenant().map(str::to_owned);
     let (items, step) = (specification.items.len(), specification.step.clone());
-    let submitted = hand_in::hand_in(gateway, specification, arrived + STORE_TIMEOUT).await;
+    let submitted = submission::submit(gateway, specification, arrived + STORE_TIMEOUT).await;
     log::info!(
         "event=job_handed_in job={id} tenant={} items={items} step={} outcome={submitted:?} ms={}",
         caller.tenant().unwrap_or("none"),
@@ -441,7 +441,7 @@
     );
     match submitted {
         Ok(()) => text_answer(StatusCode::ACCEPTED, "accepted"),
-        Err(HandInError::NotTaken) => not_run("the job could not be stored"),
+        Err(SubmitError::Unavailable) => not_run("the job could not be stored"),
         Err(error) => text_answer(error.status(), "the job was rejected"),
     }
 }
