--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -74,13 +74,13 @@
 #[derive(Debug)]
 pub enum AttemptFailure {
     /// The server rejected the request without running it.
-    Rejected,
+    NotRun,
     /// The connection failed and nothing was sent.
-    Unreachable,
+    NotSent,
     /// Nothing was sent, because the server is reserved for an isolated request.
-    ServerReserved,
+    Held,
     /// The connection ended before the complete response; the request may have run.
-    ConnectionBroken,
+    BrokenOff,
     /// The outcome is unknown for another reason.
     Unknown(&'static str),
 }
@@ -109,9 +109,9 @@
         Ok(exchange) => exchange,
         Err(error) if error.is_not_sent() => {
             evidence::look_at(gateway, server);
-            return Err(AttemptFailure::Unreachable);
+            return Err(AttemptFailure::NotSent);
         }
-        Err(_) => return Err(AttemptFailure::ConnectionBroken),
+        Err(_) => return Err(AttemptFailure::BrokenOff),
     };
     if is_replaced_server(gateway, outgoing, &exchange) {
         log::info!("event=server_replaced server={} id={}", server.id, outgoing.id);
@@ -144,7 +144,7 @@
         || exchange.headers.contains_key(&names.not_run);
     if is_rejected {
         gateway.server_connections.reuse(exchange);
-        return Err(AttemptFailure::Rejected);
+        return Err(AttemptFailure::NotRun);
     }
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
     let is_encoded = exchange.headers.contains_key(http::header::CONTENT_ENCODING);
@@ -199,13 +199,13 @@
     pub fn fail(self, failure: &AttemptFailure) {
         let metrics = &self.gateway.metrics;
         let outcome = match failure {
-            AttemptFailure::Rejected => {
+            AttemptFailure::NotRun => {
                 metrics.refusals.inc();
                 AttemptOutcome::Rejected
             }
-            AttemptFailure::Unreachable => AttemptOutcome::Unreachable,
-            AttemptFailure::ServerReserved => AttemptOutcome::Abandoned,
-            AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_) => {
+            AttemptFailure::NotSent => AttemptOutcome::Unreachable,
+            AttemptFailure::Held => AttemptOutcome::Abandoned,
+            AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
                 metrics.failures.inc();
                 AttemptOutcome::Failed
             }
@@ -237,6 +237,6 @@
 pub async fn read_response(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
     exchange.read_whole(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
-        _ => AttemptFailure::ConnectionBroken,
+        _ => AttemptFailure::BrokenOff,
     })
 }
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -342,7 +342,7 @@
         let is_isolated = self.history.is_isolated;
         let isolated = passage::isolate(self.gateway, server, &outgoing, is_isolated).await;
         let Ok(isolation) = isolated else {
-            guard.fail(&AttemptFailure::ServerReserved);
+            guard.fail(&AttemptFailure::Held);
             return AttemptResult::Retry;
         };
         let first_event = self.last_event();
@@ -356,7 +356,7 @@
             Ok(exchange) => exchange,
             Err(failure) => {
                 self.log_attempt(server, &format!("{failure:?}"), 0);
-                if matches!(failure, AttemptFailure::ConnectionBroken) {
+                if matches!(failure, AttemptFailure::BrokenOff) {
                     evidence::note_break(self.gateway, server, &outgoing, 0);
                 }
                 guard.fail(&failure);
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -324,15 +324,11 @@
                 None
             }
             Ok(response) => Some(response),
-            Err(
-                AttemptFailure::Rejected
-                | AttemptFailure::Unreachable
-                | AttemptFailure::ServerReserved,
-            ) => {
+            Err(AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held) => {
                 self.attempts_used -= 1;
                 None
             }
-            Err(AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_)) => None,
+            Err(AttemptFailure::BrokenOff | AttemptFailure::Unknown(_)) => None,
         }
     }
 
@@ -378,8 +374,8 @@
         let (gateway, server) = (&self.gateway, &self.server);
         let isolated = passage::isolate(gateway, server, &self.outgoing, self.is_isolated).await;
         let Ok(isolation) = isolated else {
-            guard.fail(&AttemptFailure::ServerReserved);
-            return Err(AttemptFailure::ServerReserved);
+            guard.fail(&AttemptFailure::Held);
+            return Err(AttemptFailure::Held);
         };
         guard.on_drop(self.disconnect_handler());
         let started_at = gateway.now();
@@ -423,7 +419,7 @@
     fn record_outcome(&self, result: &Result<WholeAnswer, AttemptFailure>) {
         match result {
             Ok(response) => quarantine::note_answer(&self.gateway, &self.outgoing, response.status),
-            Err(AttemptFailure::ConnectionBroken) => {
+            Err(AttemptFailure::BrokenOff) => {
                 evidence::note_break(&self.gateway, &self.server, &self.outgoing, 0);
             }
             Err(_) => {}
@@ -436,15 +432,11 @@
         };
         match result {
             Ok(_) => billing.began(started_at),
-            Err(
-                AttemptFailure::Rejected
-                | AttemptFailure::Unreachable
-                | AttemptFailure::ServerReserved,
-            ) => {
+            Err(AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held) => {
                 billing.not_run(started_at);
             }
             // Another attempt may succeed, which bills the request once.
-            Err(AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_)) => {}
+            Err(AttemptFailure::BrokenOff | AttemptFailure::Unknown(_)) => {}
         }
     }
 }
--- a/crates/heronbend-gateway/src/quarantine/passage.rs
+++ b/crates/heronbend-gateway/src/quarantine/passage.rs
@@ -50,8 +50,7 @@
 
     /// Notes how an attempt ended.
     pub fn note_attempt(&mut self, failure: Option<&AttemptFailure>) {
-        let is_unsent =
-            matches!(failure, Some(AttemptFailure::Unreachable | AttemptFailure::ServerReserved));
+        let is_unsent = matches!(failure, Some(AttemptFailure::NotSent | AttemptFailure::Held));
         self.has_reached |= !is_unsent;
     }
 }
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -388,7 +388,7 @@
             let isolated =
                 passage::isolate(&self.gateway, &server, &self.outgoing, is_isolated).await;
             let Ok(isolation) = isolated else {
-                self.handle_failed_attempt(AttemptFailure::ServerReserved, guard)?;
+                self.handle_failed_attempt(AttemptFailure::Held, guard)?;
                 continue;
             };
             guard.on_drop({
@@ -417,7 +417,7 @@
                 }
                 Ok(exchange) => self.handle_error_response(exchange, guard).await?,
                 Err(failure) => {
-                    if matches!(failure, AttemptFailure::ConnectionBroken) {
+                    if matches!(failure, AttemptFailure::BrokenOff) {
                         evidence::note_break(&self.gateway, &server, &self.outgoing, 0);
                     }
                     self.handle_failed_attempt(failure, guard)?;
@@ -477,14 +477,12 @@
     ) -> Result<(), StreamError> {
         guard.fail(&failure);
         match failure {
-            AttemptFailure::Rejected
-            | AttemptFailure::Unreachable
-            | AttemptFailure::ServerReserved => {
+            AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held => {
                 self.attempts_used -= 1;
                 Ok(())
             }
             _ if self.may_attempt() => Ok(()),
-            AttemptFailure::ConnectionBroken | AttemptFailure::Unknown(_) => {
+            AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
                 let deadline_passed = self.gateway.now() >= self.limits.deadline;
                 Err(StreamError::Failed(self.final_error(deadline_passed, ATTEMPTS_EXHAUSTED)))
             }
