--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -106,7 +106,7 @@
 
 /// Shared state of one daemon.
 pub struct Gateway {
-    /// Identity of a daemon.
+    /// Identity of this daemon.
     pub identity: Identity,
     /// Persistent object store, reached directly or through a peer.
     pub store: RelayedStore,
