--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -25,19 +25,19 @@
 use super::specification::{Item, JobSpecification};
 use super::throughput::ThroughputMeter;
 use crate::access;
+use crate::attempt::{self, AttemptFailure, OutgoingRequest};
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
-use crate::exchange::{self, AttemptFailure, Outgoing};
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::http::client::{Exchange, ExchangeError};
-use crate::places;
-use crate::places::Placed;
 use crate::quarantine;
 use crate::quarantine::admitted_request;
 use crate::quarantine::crash_detection;
 use crate::quarantine::Isolation;
 use crate::quarantine::SendMode;
+use crate::region_policy;
+use crate::slot_queue;
+use crate::slot_queue::AssignedSlot;
 
 /// Timeout for the first event, including time in the server's queue.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -151,8 +151,14 @@
             };
             self.restrict_servers(mode, &route);
             let history = self.history.clone();
-            let placed =
-                places::text(self.gateway, &self.item.id, requirements, urgency, history).await;
+            let placed = slot_queue::acquire_slot(
+                self.gateway,
+                &self.item.id,
+                requirements,
+                urgency,
+                history,
+            )
+            .await;
             // The item may have been quarantined while it waited for a slot.
             if mode != SendMode::Probe && self.is_quarantined(&route) {
                 continue;
@@ -282,7 +288,7 @@
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
         };
         if !self.service.as_ref().is_some_and(is_current) {
-            let selected = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+            let selected = self.gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
             self.service = selected;
         }
         self.service.clone()
@@ -299,16 +305,16 @@
         route: &Route,
         service: &str,
     ) -> Requirements {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let allowed_regions = homes::of(configuration, route, &owner);
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
+        let allowed_regions = region_policy::allowed_regions(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        places::need(self.gateway, service, model, allowed_regions.as_ref())
+        slot_queue::requirements(self.gateway, service, model, allowed_regions.as_ref())
     }
 
     /// Queueing priority of the item.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
         let remaining =
             self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
@@ -324,11 +330,11 @@
 
     async fn attempt(
         &mut self,
-        placed: Placed,
+        placed: AssignedSlot,
         requirements: Requirements,
         route: &Route,
     ) -> AttemptResult {
-        let Placed { server, version_status, counted, .. } = placed;
+        let AssignedSlot { server, version_status, guard, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(version_status, route) else {
             return AttemptResult::Unsendable;
@@ -337,12 +343,12 @@
         let isolated =
             admitted_request::isolate(self.gateway, server, &outgoing, is_isolated).await;
         let Ok(isolation) = isolated else {
-            counted.fail(&AttemptFailure::Held);
+            guard.fail(&AttemptFailure::Held);
             return AttemptResult::Retry;
         };
         let first_event = self.last_event();
         let sent_at = self.gateway.now();
-        let answer = exchange::begin(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
+        let answer = attempt::send(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
         let answer = answer.or(async {
             Timer::after(FIRST_EVENT_TIMEOUT).await;
             Err(AttemptFailure::Unknown("no head in time"))
@@ -354,7 +360,7 @@
                 if matches!(failure, AttemptFailure::BrokenOff) {
                     crash_detection::note_broken_connection(self.gateway, server, &outgoing, 0);
                 }
-                counted.fail(&failure);
+                guard.fail(&failure);
                 return AttemptResult::Retry;
             }
         };
@@ -366,7 +372,7 @@
             // more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
-            counted.end(end);
+            guard.end(end);
             return match status {
                 StatusCode::UNPROCESSABLE_ENTITY => AttemptResult::Unsendable,
                 StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::Failed,
@@ -381,19 +387,19 @@
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
-                let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
-                counted.end(AttemptOutcome::Succeeded(per_event));
+                let per_event = guard.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
+                guard.end(AttemptOutcome::Succeeded(per_event));
                 quarantine::note_response(self.gateway, &outgoing, StatusCode::OK);
                 AttemptResult::Complete
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
-                counted.end(AttemptOutcome::Abandoned);
+                guard.end(AttemptOutcome::Abandoned);
                 AttemptResult::Retry
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
-                if exchange::is_break(reason) {
+                if attempt::is_connection_loss(reason) {
                     crash_detection::note_broken_connection(
                         self.gateway,
                         server,
@@ -401,7 +407,7 @@
                         events,
                     );
                 }
-                counted.fail(&AttemptFailure::Unknown(reason));
+                guard.fail(&AttemptFailure::Unknown(reason));
                 AttemptResult::Retry
             }
         }
@@ -417,7 +423,7 @@
         );
     }
 
-    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<Outgoing> {
+    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<OutgoingRequest> {
         let names = self.gateway.dialect.headers();
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -426,8 +432,8 @@
         }
         let configuration = self.gateway.configuration()?;
         let tenant = self.specification.tenant.as_deref();
-        let owner = access::owner_of_job(&configuration, tenant);
-        access::set_tenant(&mut headers, &names.tenant, &owner);
+        let owner = access::job_caller(&configuration, tenant);
+        access::set_tenant_header(&mut headers, &names.tenant, &owner);
         let priority = access::priority(&configuration, &owner, route).min(MAX_SERVER_PRIORITY);
         headers.insert(names.priority.clone(), HeaderValue::from(u16::from(priority)));
         headers.insert(names.request_id.clone(), HeaderValue::from_str(&self.item.id).ok()?);
@@ -439,13 +445,13 @@
         if let VersionStatus::Expected(version) = version_status {
             headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
-        Some(Outgoing {
+        Some(OutgoingRequest {
             id: self.item.id.clone(),
             method: Method::POST,
             target: self.item.path.parse().ok()?,
             headers,
             body: self.item.decoded_body(),
-            hold: None,
+            reservation: None,
             billing: None,
             fingerprint: OnceCell::new(),
         })
@@ -505,9 +511,9 @@
                 }
                 Ok(None) if self.last_event() == 0 => break Err("no events"),
                 Ok(None) if reader.is_between_events() => break Ok(()),
-                Ok(None) => break Err(exchange::CUT),
+                Ok(None) => break Err(attempt::TRUNCATED),
                 Err(ExchangeError::Timeout) => break Err("silent"),
-                Err(_) => break Err(exchange::BROKEN_OFF),
+                Err(_) => break Err(attempt::CONNECTION_BROKEN),
             }
             if !self.satisfies_versions(route) {
                 break Err("versions do not fit");
--- a/crates/heronbend-gateway/src/batch/ownership_manager.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_manager.rs
@@ -21,11 +21,11 @@
 use super::runner::start_owned_jobs;
 use crate::dissemination;
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::mirror::{list_all, wait_for_store};
 use crate::news_way::Way;
 use crate::peers::{client, introduction, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::region_policy;
 use crate::wait;
 
 /// Interval between checks for jobs without a live owner.
@@ -54,7 +54,7 @@
     let mut failures = 0;
     let mut was_requested = false;
     loop {
-        let doubted = gateway.watches_doubted.listen();
+        let doubted = gateway.restart_watches.listen();
         let requested = gateway.jobs.reload_requested.listen();
         match load_ownerships(&gateway, was_requested).await {
             Ok(()) => {
@@ -265,7 +265,7 @@
 /// Takes over a job unless its ownership has changed concurrently.
 pub async fn adopt(gateway: &Rc<Gateway>, job: &Rc<Job>, reason: AdoptionReason) {
     let (former, revision) = job.ownership.borrow().clone();
-    if !homes::allow(former.homes.as_ref(), &gateway.identity.region) {
+    if !region_policy::allows(former.homes.as_ref(), &gateway.identity.region) {
         log::warn!("event=job_not_adopted job={} reason=outside_homes", job.id);
         return;
     }
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -11,11 +11,11 @@
 use super::reward_limit;
 use super::specification::RewardCall;
 use crate::access;
-use crate::exchange::Outgoing;
-use crate::forward::{forward, Allowance, ForwardError};
+use crate::attempt::OutgoingRequest;
+use crate::forward::{forward, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::http::client::WholeAnswer;
+use crate::region_policy;
 
 /// Maximum number of servers tried in one round.
 const ATTEMPTS_PER_ROUND: u32 = 2;
@@ -40,19 +40,17 @@
 pub async fn score(gateway: &Rc<Gateway>, job: &Job, item: &str, call: &RewardCall) -> Score {
     let mut failures = 0;
     loop {
-        let Some((outgoing, service, mut allowance, max_failures)) =
-            prepare_call(gateway, job, call)
+        let Some((outgoing, service, mut limits, max_failures)) = prepare_call(gateway, job, call)
         else {
             Timer::after(RETRY_DELAY).await;
             continue;
         };
         let _permit = reward_limit::acquire(gateway, &service).await;
-        let round_timeout =
-            (allowance.target_latency * ROUND_TARGET_MULTIPLE).max(MIN_ROUND_TIMEOUT);
-        allowance.deadline = gateway.now() + round_timeout;
-        allowance.is_repeatable = true;
-        allowance.max_attempts = ATTEMPTS_PER_ROUND;
-        let answer = forward(gateway, &service, outgoing, allowance).await;
+        let round_timeout = (limits.target_latency * ROUND_TARGET_MULTIPLE).max(MIN_ROUND_TIMEOUT);
+        limits.deadline = gateway.now() + round_timeout;
+        limits.is_idempotent = true;
+        limits.max_attempts = ATTEMPTS_PER_ROUND;
+        let answer = forward(gateway, &service, outgoing, limits).await;
         if let Ok(answer) = &answer {
             let signature = gateway.dialect.headers().signature.clone();
             let signature = answer.headers.get(signature).and_then(|value| value.to_str().ok());
@@ -91,27 +89,27 @@
     gateway: &Gateway,
     job: &Job,
     call: &RewardCall,
-) -> Option<(Outgoing, String, Allowance, u32)> {
+) -> Option<(OutgoingRequest, String, RequestLimits, u32)> {
     let configuration = gateway.configuration()?;
     let path = call.path.split('?').next().unwrap_or_default();
     let route = configuration.route(&call.host, path)?;
-    let service = gateway.splitter.borrow_mut().next(route)?.to_owned();
+    let service = gateway.splitter.borrow_mut().pick(route)?.to_owned();
     let names = gateway.dialect.headers();
     let mut headers = HeaderMap::new();
     headers.insert(names.request_id.clone(), HeaderValue::from_str(&call.id).ok()?);
     headers.insert(http::header::HOST, HeaderValue::from_str(&call.host).ok()?);
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         id: call.id.clone(),
         method: Method::POST,
         target: call.path.parse().ok()?,
         headers,
         body: call.decoded_body(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: OnceCell::new(),
     };
-    let owner = access::owner_of_job(&configuration, job.ownership.borrow().0.tenant.as_deref());
-    let allowed_regions = homes::of(&configuration, route, &owner);
-    let allowance = Allowance::of_route(route, gateway.now(), None, allowed_regions);
-    Some((outgoing, service, allowance, route.max_attempts.max(1)))
+    let owner = access::job_caller(&configuration, job.ownership.borrow().0.tenant.as_deref());
+    let allowed_regions = region_policy::allowed_regions(&configuration, route, &owner);
+    let limits = RequestLimits::for_route(route, gateway.now(), None, allowed_regions);
+    Some((outgoing, service, limits, route.max_attempts.max(1)))
 }
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -106,7 +106,7 @@
         if now < self.yielded_until {
             position = order.len();
         }
-        let since = self.ready_at().max(gateway.store_reached_since.get());
+        let since = self.ready_at().max(gateway.store_reachable_since.get());
         if position == 0 {
             return now >= since;
         }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Passing requests on to servers: attempts, retries and hedges within a request's time.
+//! Request forwarding with retries, backoff and hedging within a request's deadline.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -18,40 +18,40 @@
 use smol::channel::{bounded, Sender};
 use smol::{Task, Timer};
 
+use crate::attempt::{self, AttemptFailure, AttemptGuard, OutgoingRequest};
 use crate::configuration::Route;
 use crate::directory::Server;
-use crate::exchange::{self, AttemptFailure, CountedAttempt, Outgoing};
 use crate::gateway::Gateway;
 use crate::http::client::WholeAnswer;
 use crate::permits;
-use crate::places;
 use crate::quarantine;
 use crate::quarantine::admitted_request;
 use crate::quarantine::crash_detection;
 use crate::quarantine::AdmittedRequest;
 use crate::quarantine::Refused;
+use crate::slot_queue;
 use crate::wait;
 
-/// Share of the target latency after which a repeatable request is also sent to a second server.
-const HEDGE_SHARE: f64 = 0.5;
-/// Retries after failures that each request pays for.
-const RETRY_SHARE: f64 = 0.5;
+/// Fraction of the target latency after which an idempotent request is hedged.
+const HEDGE_DELAY_RATIO: f64 = 0.5;
+/// Retry tokens that each request adds to the shared retry budget.
+const RETRY_RATIO: f64 = 0.5;
 
-/// Why a request has no answer of a server.
+/// Why a request got no response from a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardError {
-    /// It has not run and never will.
+    /// The request was not run.
     NotRun(Rejection),
-    /// It may have run; no server's answer came.
+    /// The request may have run, but no response arrived.
     Unknown,
-    /// Its time is over, and it may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
-    /// It is not sent to servers, since requests like it ended those that ran them.
+    /// The request is quarantined because similar requests crashed servers.
     Quarantined(Refused),
 }
 
 impl ForwardError {
-    /// The status that tells a caller.
+    /// HTTP status of the response to the client.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NotRun(_) | Self::Quarantined(_) => StatusCode::SERVICE_UNAVAILABLE,
@@ -61,141 +61,150 @@
     }
 }
 
-/// The refusal of a request for which time or attempts ran out before a server took it.
-pub(crate) const SPENT: Rejection = Rejection { reason: None, retry_after: DEFAULT_RETRY_AFTER };
+/// Rejection of a request whose deadline passed or whose attempts were used up before a server
+/// accepted it.
+pub(crate) const ATTEMPTS_EXHAUSTED: Rejection =
+    Rejection { reason: None, retry_after: DEFAULT_RETRY_AFTER };
 
-/// What a request may cost.
+/// Deadline, attempts and placement limits of a request.
 #[derive(Debug, Clone)]
-pub struct Allowance {
-    /// When the caller's time is over.
+pub struct RequestLimits {
+    /// Time at which the client stops waiting.
     pub deadline: Moment,
-    /// Whether more than one server may run it.
-    pub is_repeatable: bool,
-    /// Most servers that may run it.
+    /// Whether the request may run on more than one server.
+    pub is_idempotent: bool,
+    /// Maximum number of servers that may run the request.
     pub max_attempts: u32,
-    /// Time within which an answer is of full value.
+    /// Latency objective; determines when the request is hedged.
     pub target_latency: Duration,
-    /// The regions in which it may run; anywhere where there are none.
-    pub homes: Option<BTreeSet<String>>,
+    /// Regions in which the request may run; `None` allows all.
+    pub allowed_regions: Option<BTreeSet<String>>,
 }
 
-impl Allowance {
-    /// The allowance of a request that came at `arrived`, whose caller waits for `patience`, and that
-    /// may run in `homes`.
-    pub fn of_route(
+impl RequestLimits {
+    /// Returns the limits of a request that arrived at `arrived`. `client_timeout` can only shorten
+    /// the timeout of the route.
+    pub fn for_route(
         route: &Route,
         arrived: Moment,
-        patience: Option<Duration>,
-        homes: Option<BTreeSet<String>>,
+        client_timeout: Option<Duration>,
+        allowed_regions: Option<BTreeSet<String>>,
     ) -> Self {
-        let held = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
+        let timeout = client_timeout
+            .map_or(route.timeout, |client_timeout| client_timeout.min(route.timeout));
         Self {
-            deadline: arrived + held,
-            is_repeatable: route.is_repeatable(),
+            deadline: arrived + timeout,
+            is_idempotent: route.is_repeatable(),
             max_attempts: route.max_attempts.max(1),
             target_latency: route.target_latency,
-            homes,
+            allowed_regions,
         }
     }
 }
 
 enum Event {
-    Ended(Result<WholeAnswer, AttemptFailure>),
+    AttemptEnded(Result<WholeAnswer, AttemptFailure>),
     HedgeDue,
     DeadlinePassed,
 }
 
-/// A request that is being passed on.
-struct Forwarding {
+/// State of a request that is being forwarded.
+struct ForwardedRequest {
     gateway: Rc<Gateway>,
-    outgoing: Rc<Outgoing>,
-    need: Requirements,
-    allowance: Allowance,
-    /// Servers that have been sent it.
+    outgoing: Rc<OutgoingRequest>,
+    requirements: Requirements,
+    limits: RequestLimits,
+    /// Servers that were tried.
     history: AttemptHistory,
-    /// When its wait for a server began.
-    begun: Moment,
-    /// How it may be sent to servers, for what is known of requests like it.
+    /// When the request started to wait for a server.
+    started_at: Moment,
+    /// How the quarantine allows the request to be sent.
     admitted_request: AdmittedRequest,
-    /// Attempts that may have run it.
-    spent: u32,
-    open: Vec<Task<()>>,
-    /// Whether a server has answered: attempts that are dropped then had a caller who did not leave.
+    /// Attempts that may have run the request.
+    attempts_used: u32,
+    attempt_tasks: Vec<Task<()>>,
+    /// Whether a server has responded. Attempts dropped after that were not cancelled by the
+    /// client.
     is_answered: Rc<Cell<bool>>,
     last_failure: Option<WholeAnswer>,
 }
 
-/// What became of the start of an attempt.
-enum Start {
-    /// It is under way.
-    Begun,
-    /// No server can be sent it for so long.
+/// Result of starting an attempt.
+enum StartOutcome {
+    /// The attempt is in flight.
+    Started,
+    /// No server is available; retry after this delay.
     Wait(Duration),
-    /// None can be in time.
-    Refused(Rejection),
+    /// No server can run the request before its deadline.
+    Rejected(Rejection),
 }
 
-/// Passes a request on to the servers of a service until one has answered.
+/// Forwards a request to the servers of a service until one responds.
 ///
-/// Dropping the returned future closes the connections to the servers that work on it.
+/// Dropping the returned future closes the connections of all attempts in flight.
 pub async fn forward(
     gateway: &Rc<Gateway>,
     service: &str,
-    outgoing: Outgoing,
-    allowance: Allowance,
+    outgoing: OutgoingRequest,
+    limits: RequestLimits,
 ) -> Result<WholeAnswer, ForwardError> {
-    gateway.retries.borrow_mut().deposit(RETRY_SHARE);
+    gateway.retries.borrow_mut().deposit(RETRY_RATIO);
     let admitted = AdmittedRequest::admit(gateway, &outgoing).await;
     let admitted_request = admitted.map_err(ForwardError::Quarantined)?;
-    let forwarding = Forwarding {
+    let request = ForwardedRequest {
         gateway: gateway.clone(),
         outgoing: Rc::new(outgoing),
-        need: places::need(gateway, service, None, allowance.homes.as_ref()),
-        allowance,
+        requirements: slot_queue::requirements(
+            gateway,
+            service,
+            None,
+            limits.allowed_regions.as_ref(),
+        ),
+        limits,
         history: AttemptHistory::default(),
-        begun: gateway.now(),
+        started_at: gateway.now(),
         admitted_request,
-        spent: 0,
-        open: Vec::new(),
+        attempts_used: 0,
+        attempt_tasks: Vec::new(),
         is_answered: Rc::default(),
         last_failure: None,
     };
-    forwarding.run().await
+    request.run().await
 }
 
-impl Forwarding {
+impl ForwardedRequest {
     async fn run(mut self) -> Result<WholeAnswer, ForwardError> {
-        let (sender, ended) = bounded(16);
-        let mut hedge_at = self.begun + self.allowance.target_latency.mul_f64(HEDGE_SHARE);
-        let mut open = 0_usize;
+        let (sender, results) = bounded(16);
+        let mut hedge_at = self.started_at + self.limits.target_latency.mul_f64(HEDGE_DELAY_RATIO);
+        let mut in_flight = 0_usize;
         loop {
-            if open == 0 {
-                if !self.may_try_again() || !self.may_retry() {
-                    return self.give_up(SPENT);
+            if in_flight == 0 {
+                if !self.may_attempt() || !self.take_retry_token() {
+                    return self.give_up(ATTEMPTS_EXHAUSTED);
                 }
-                match self.start_one(&sender) {
-                    Start::Begun => open += 1,
-                    Start::Refused(rejection) => return self.give_up(rejection),
-                    Start::Wait(rest) => {
-                        self.wait_for_server(rest).await;
+                match self.start_attempt(&sender) {
+                    StartOutcome::Started => in_flight += 1,
+                    StartOutcome::Rejected(rejection) => return self.give_up(rejection),
+                    StartOutcome::Wait(delay) => {
+                        self.wait_for_server(delay).await;
                         continue;
                     }
                 }
             }
-            match self.next_event(&ended, hedge_at).await {
-                Event::DeadlinePassed => return self.time_out(),
+            match self.next_event(&results, hedge_at).await {
+                Event::DeadlinePassed => return self.deadline_result(),
                 Event::HedgeDue => {
-                    hedge_at = self.allowance.deadline;
-                    if matches!(self.start_one(&sender), Start::Begun) {
+                    hedge_at = self.limits.deadline;
+                    if matches!(self.start_attempt(&sender), StartOutcome::Started) {
                         self.gateway.metrics.hedges.inc();
-                        open += 1;
+                        in_flight += 1;
                     }
                 }
-                Event::Ended(result) => {
-                    open -= 1;
-                    if let Some(answer) = self.take(result) {
+                Event::AttemptEnded(result) => {
+                    in_flight -= 1;
+                    if let Some(response) = self.process_result(result) {
                         self.is_answered.set(true);
-                        return Ok(answer);
+                        return Ok(response);
                     }
                 }
             }
@@ -204,191 +213,201 @@
 
     async fn next_event(
         &self,
-        ended: &smol::channel::Receiver<Result<WholeAnswer, AttemptFailure>>,
+        results: &smol::channel::Receiver<Result<WholeAnswer, AttemptFailure>>,
         hedge_at: Moment,
     ) -> Event {
         let may_hedge =
-            self.allowance.is_repeatable && !self.history.is_isolated && self.may_try_again();
-        let hedges = may_hedge && hedge_at < self.allowance.deadline;
-        let wake_at = if hedges { hedge_at } else { self.allowance.deadline };
-        let answer = async {
-            match ended.recv().await {
-                Ok(result) => Event::Ended(result),
+            self.limits.is_idempotent && !self.history.is_isolated && self.may_attempt();
+        let hedge_pending = may_hedge && hedge_at < self.limits.deadline;
+        let wake_at = if hedge_pending { hedge_at } else { self.limits.deadline };
+        let response = async {
+            match results.recv().await {
+                Ok(result) => Event::AttemptEnded(result),
                 Err(_) => Event::DeadlinePassed,
             }
         };
         let wake = async {
             wait::until(&self.gateway, wake_at).await;
-            if hedges {
+            if hedge_pending {
                 Event::HedgeDue
             } else {
                 Event::DeadlinePassed
             }
         };
-        answer.or(wake).await
+        response.or(wake).await
     }
 
-    /// Whether another server may be sent the request.
-    fn may_try_again(&self) -> bool {
-        let within_budget = self.spent < self.allowance.max_attempts;
-        let may_repeat = self.spent == 0 || self.allowance.is_repeatable;
+    /// Whether another attempt may be started.
+    fn may_attempt(&self) -> bool {
+        let within_budget = self.attempts_used < self.limits.max_attempts;
+        let may_repeat = self.attempts_used == 0 || self.limits.is_idempotent;
         within_budget
             && may_repeat
             && self.admitted_request.may_send(&self.gateway, &self.outgoing)
-            && self.gateway.now() < self.allowance.deadline
+            && self.gateway.now() < self.limits.deadline
     }
 
-    /// Whether the retries that failures cause are still within their budget.
-    fn may_retry(&self) -> bool {
-        let within_budget = self.spent == 0 || self.gateway.retries.borrow_mut().withdraw();
+    /// Takes a token from the retry budget; the first attempt needs none.
+    fn take_retry_token(&self) -> bool {
+        let within_budget = self.attempts_used == 0 || self.gateway.retries.borrow_mut().withdraw();
         if !within_budget {
             self.gateway.metrics.retries_withheld.inc();
         }
         within_budget
     }
 
-    /// Starts an attempt at the best server that has not been tried.
-    fn start_one(&mut self, sender: &Sender<Result<WholeAnswer, AttemptFailure>>) -> Start {
+    /// Starts an attempt on the best server that has not been tried yet.
+    fn start_attempt(
+        &mut self,
+        sender: &Sender<Result<WholeAnswer, AttemptFailure>>,
+    ) -> StartOutcome {
         self.admitted_request.set_isolation(&self.gateway, &self.outgoing, &mut self.history);
         let choice = match self.decide() {
             Decision::Place(choice) => choice,
-            Decision::Wait(rest) => return Start::Wait(rest),
-            Decision::Reject(rejection) => return Start::Refused(rejection),
+            Decision::Wait(delay) => return StartOutcome::Wait(delay),
+            Decision::Reject(rejection) => return StartOutcome::Rejected(rejection),
         };
-        let Some(server) = self.gateway.directory.borrow().chosen(choice.server) else {
+        let Some(server) = self.gateway.directory.borrow().by_key(choice.server) else {
             log::error!("event=chosen_server_unknown server={:?}", choice.server);
-            return Start::Refused(SPENT);
+            return StartOutcome::Rejected(ATTEMPTS_EXHAUSTED);
         };
         self.history.tried.push(choice.server);
-        self.spent += 1;
-        // Counted from now on: requests that are chosen for before the task has run must see it.
-        let counted = CountedAttempt::begin(&self.gateway, &server);
+        self.attempts_used += 1;
+        // Counted before the task is spawned, so that the next placement decision includes this
+        // attempt.
+        let guard = AttemptGuard::start(&self.gateway, &server);
         let attempt = Attempt {
             gateway: self.gateway.clone(),
             server,
             outgoing: self.outgoing.clone(),
-            deadline: self.allowance.deadline,
-            is_alone: self.history.is_isolated,
+            deadline: self.limits.deadline,
+            is_isolated: self.history.is_isolated,
             is_answered: self.is_answered.clone(),
         };
         let sender = sender.clone();
         let task = self.gateway.executor.spawn(async move {
-            let result = attempt.run(counted).await;
+            let result = attempt.run(guard).await;
             let _ = sender.send(result).await;
         });
-        self.open.push(task);
-        Start::Begun
+        self.attempt_tasks.push(task);
+        StartOutcome::Started
     }
 
-    /// What becomes of the request now.
+    /// Asks the placement for the next step of the request.
     fn decide(&self) -> Decision {
         let gateway = &self.gateway;
         let wait = WaitState {
-            since: self.begun,
-            deadline: self.allowance.deadline,
-            target: self.allowance.target_latency,
+            since: self.started_at,
+            deadline: self.limits.deadline,
+            target: self.limits.target_latency,
             was_sent: !self.history.tried.is_empty(),
         };
-        let answer = {
+        let decision = {
             let mut directory = gateway.directory.borrow_mut();
-            let pool = &gateway.servers;
-            directory.place_call(gateway.now(), pool, &self.need, &self.history, &wait)
+            let pool = &gateway.server_connections;
+            directory.place_call(gateway.now(), pool, &self.requirements, &self.history, &wait)
         };
-        permits::ask(gateway);
-        answer
+        permits::request_permits(gateway);
+        decision
     }
 
-    /// Takes an attempt's end in; the answer if it is to be passed on.
-    fn take(&mut self, result: Result<WholeAnswer, AttemptFailure>) -> Option<WholeAnswer> {
+    /// Processes the result of an attempt; returns the response to send to the client, if there is
+    /// one.
+    fn process_result(
+        &mut self,
+        result: Result<WholeAnswer, AttemptFailure>,
+    ) -> Option<WholeAnswer> {
         self.admitted_request.note_attempt(result.as_ref().err());
         match result {
-            Ok(answer) if answer.status.is_server_error() && self.allowance.is_repeatable => {
-                self.last_failure = Some(answer);
+            Ok(response) if response.status.is_server_error() && self.limits.is_idempotent => {
+                self.last_failure = Some(response);
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(response) => Some(response),
             Err(AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held) => {
-                self.spent -= 1;
+                self.attempts_used -= 1;
                 None
             }
             Err(AttemptFailure::BrokenOff | AttemptFailure::Unknown(_)) => None,
         }
     }
 
-    /// Waits until it is worth looking for a server again.
-    async fn wait_for_server(&mut self, rest: Duration) {
-        if self.spent == 0 || self.allowance.is_repeatable {
-            // Servers that refused may be asked again; those that may have run it, only when all did.
+    /// Waits before the next attempt to find a server.
+    async fn wait_for_server(&mut self, delay: Duration) {
+        if self.attempts_used == 0 || self.limits.is_idempotent {
+            // Servers that rejected the request may be tried again. Servers that may have run it
+            // are only tried again if it is idempotent.
             self.history.tried.clear();
         }
-        Timer::after(rest).await;
+        Timer::after(delay).await;
     }
 
     fn give_up(self, rejection: Rejection) -> Result<WholeAnswer, ForwardError> {
         match self.last_failure {
-            Some(answer) => Ok(answer),
-            None if self.spent == 0 => Err(ForwardError::NotRun(rejection)),
-            None if self.gateway.now() >= self.allowance.deadline => Err(ForwardError::TimedOut),
+            Some(response) => Ok(response),
+            None if self.attempts_used == 0 => Err(ForwardError::NotRun(rejection)),
+            None if self.gateway.now() >= self.limits.deadline => Err(ForwardError::TimedOut),
             None => Err(ForwardError::Unknown),
         }
     }
 
-    fn time_out(self) -> Result<WholeAnswer, ForwardError> {
+    fn deadline_result(self) -> Result<WholeAnswer, ForwardError> {
         self.last_failure.ok_or(ForwardError::TimedOut)
     }
 }
 
-/// One attempt of a request at one server.
+/// One attempt of a request on one server.
 struct Attempt {
     gateway: Rc<Gateway>,
     server: Rc<Server>,
-    outgoing: Rc<Outgoing>,
+    outgoing: Rc<OutgoingRequest>,
     deadline: Moment,
-    /// Whether the request is kept apart from others.
-    is_alone: bool,
-    /// Whether some attempt of the request has been answered.
+    /// Whether the request must run on a server without other requests.
+    is_isolated: bool,
+    /// Whether any attempt of the request has been answered.
     is_answered: Rc<Cell<bool>>,
 }
 
 impl Attempt {
-    /// Sends the request and notes what its end says of the server and of the request.
-    async fn run(self, mut counted: CountedAttempt) -> Result<WholeAnswer, AttemptFailure> {
+    /// Sends the request and records the outcome for the server, the quarantine and billing.
+    async fn run(self, mut guard: AttemptGuard) -> Result<WholeAnswer, AttemptFailure> {
         let (gateway, server) = (&self.gateway, &self.server);
         let isolated =
-            admitted_request::isolate(gateway, server, &self.outgoing, self.is_alone).await;
+            admitted_request::isolate(gateway, server, &self.outgoing, self.is_isolated).await;
         let Ok(isolation) = isolated else {
-            counted.fail(&AttemptFailure::Held);
+            guard.fail(&AttemptFailure::Held);
             return Err(AttemptFailure::Held);
         };
-        counted.on_drop(self.leaving());
-        let begun = gateway.now();
+        guard.on_drop(self.disconnect_handler());
+        let started_at = gateway.now();
         if let Some(billing) = self.outgoing.billing.as_deref() {
-            billing.mark_sent(begun);
+            billing.mark_sent(started_at);
         }
-        let result = self.exchange().await;
+        let result = self.send_and_read().await;
         drop(isolation);
-        self.note_evidence(&result);
-        self.bill(begun, &result);
+        self.record_outcome(&result);
+        self.bill(started_at, &result);
         match &result {
-            // A server that fails at all it gets is fast, and would get ever more.
-            Ok(answer) if answer.status.is_server_error() => counted.end(AttemptOutcome::Failed),
+            // Error responses must not count as fast successes, or a failing server would attract
+            // more requests.
+            Ok(response) if response.status.is_server_error() => guard.end(AttemptOutcome::Failed),
             Ok(_) => {
-                let latency = counted.elapsed();
-                counted.end(AttemptOutcome::Succeeded(latency));
+                let latency = guard.elapsed();
+                guard.end(AttemptOutcome::Succeeded(latency));
             }
-            Err(failure) => counted.fail(failure),
+            Err(failure) => guard.fail(failure),
         }
         result
     }
 
-    async fn exchange(&self) -> Result<WholeAnswer, AttemptFailure> {
+    async fn send_and_read(&self) -> Result<WholeAnswer, AttemptFailure> {
         let time_left = self.deadline.saturating_sub(self.gateway.now());
-        let begun = exchange::begin(&self.gateway, &self.server, &self.outgoing, time_left);
-        exchange::read_whole(begun.await?).await
+        let exchange = attempt::send(&self.gateway, &self.server, &self.outgoing, time_left);
+        attempt::read_response(exchange.await?).await
     }
 
-    /// What is done if the attempt is dropped before it has ended.
-    fn leaving(&self) -> impl FnOnce() + 'static {
+    /// Returns the callback for an attempt that is dropped before it has finished.
+    fn disconnect_handler(&self) -> impl FnOnce() + 'static {
         let (gateway, server) = (self.gateway.clone(), self.server.clone());
         let (outgoing, is_answered) = (self.outgoing.clone(), self.is_answered.clone());
         move || {
@@ -398,9 +417,11 @@
         }
     }
 
-    fn note_evidence(&self, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn record_outcome(&self, result: &Result<WholeAnswer, AttemptFailure>) {
         match result {
-            Ok(answer) => quarantine::note_response(&self.gateway, &self.outgoing, answer.status),
+            Ok(response) => {
+                quarantine::note_response(&self.gateway, &self.outgoing, response.status)
+            }
             Err(AttemptFailure::BrokenOff) => {
                 crash_detection::note_broken_connection(
                     &self.gateway,
@@ -413,22 +434,22 @@
         }
     }
 
-    fn bill(&self, begun: Moment, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn bill(&self, started_at: Moment, result: &Result<WholeAnswer, AttemptFailure>) {
         let Some(billing) = self.outgoing.billing.as_deref() else {
             return;
         };
         match result {
-            Ok(_) => billing.mark_started(begun),
+            Ok(_) => billing.mark_started(started_at),
             Err(AttemptFailure::NotRun | AttemptFailure::NotSent | AttemptFailure::Held) => {
-                billing.mark_not_run(begun);
+                billing.mark_not_run(started_at);
             }
-            // It may be answered by another server, which counts as the same request.
+            // Another attempt may succeed, which bills the request once.
             Err(AttemptFailure::BrokenOff | AttemptFailure::Unknown(_)) => {}
         }
     }
 }
 
-/// The value of a `Retry-After` header, in seconds.
+/// Formats a duration as the value of a `Retry-After` header, in seconds.
 pub fn retry_after(duration: Duration) -> HeaderValue {
     HeaderValue::from_str(&format!("{:.1}", duration.as_secs_f64()))
         .unwrap_or(HeaderValue::from_static("1"))
--- a/crates/heronbend-gateway/src/quarantine/admitted_request.rs
+++ b/crates/heronbend-gateway/src/quarantine/admitted_request.rs
@@ -8,9 +8,9 @@
 use super::Isolation;
 use super::Refused;
 use super::SendMode;
+use crate::attempt::AttemptFailure;
+use crate::attempt::OutgoingRequest;
 use crate::directory::Server;
-use crate::exchange::AttemptFailure;
-use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 
 /// A request that the quarantine has admitted.
@@ -23,7 +23,7 @@
 
 impl AdmittedRequest {
     /// Admits a request, or returns when to retry it.
-    pub async fn admit(gateway: &Rc<Gateway>, outgoing: &Outgoing) -> Result<Self, Refused> {
+    pub async fn admit(gateway: &Rc<Gateway>, outgoing: &OutgoingRequest) -> Result<Self, Refused> {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
         let mode = super::admit(gateway, fingerprint).await?;
         Ok(Self { mode, was_sent: false })
@@ -31,7 +31,7 @@
 
     /// Whether the request may be sent to another server, given the current state of its
     /// fingerprint.
-    pub fn may_send(&self, gateway: &Gateway, outgoing: &Outgoing) -> bool {
+    pub fn may_send(&self, gateway: &Gateway, outgoing: &OutgoingRequest) -> bool {
         if self.mode == SendMode::Probe {
             return !self.was_sent;
         }
@@ -42,7 +42,7 @@
     pub fn set_isolation(
         &self,
         gateway: &Gateway,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         history: &mut AttemptHistory,
     ) {
         let fingerprint = || outgoing.fingerprint(gateway.dialect.headers());
@@ -60,7 +60,7 @@
 pub async fn isolate(
     gateway: &Rc<Gateway>,
     server: &Server,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     is_alone: bool,
 ) -> Result<Option<Isolation>, Busy> {
     if !is_alone {
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -15,8 +15,8 @@
 
 use super::on_change;
 use super::Origin;
+use crate::attempt::OutgoingRequest;
 use crate::directory::Server;
-use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
 use crate::http::client::Reach;
 
@@ -32,7 +32,7 @@
 pub fn note_broken_connection(
     gateway: &Rc<Gateway>,
     server: &Rc<Server>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     events: u64,
 ) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
@@ -55,7 +55,7 @@
 
 /// Records that the caller of a request disconnected while a server ran it. The connection to the
 /// server is closed, so a crash can only be detected in other ways.
-pub fn note_caller_disconnect(gateway: &Rc<Gateway>, server: &Server, outgoing: &Outgoing) {
+pub fn note_caller_disconnect(gateway: &Rc<Gateway>, server: &Server, outgoing: &OutgoingRequest) {
     let request = outgoing.fingerprint(gateway.dialect.headers());
     gateway.quarantine.table.borrow_mut().note_caller_disconnect(
         gateway.now(),
@@ -75,7 +75,7 @@
 async fn run_probes(gateway: Rc<Gateway>, server: String, address: SocketAddr) {
     for delay in PROBE_DELAYS {
         Timer::after(delay).await;
-        let reach = gateway.servers.probe(address).await;
+        let reach = gateway.server_connections.probe(address).await;
         log::info!("event=server_looked_at server={server} new_connection={}", reach.name());
         if reach == Reach::Refused {
             note_server_gone(&gateway, &server);
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -99,7 +99,7 @@
 
 /// The daemon that coordinates reservations of a server, or `None` if it is the local one.
 fn remote_coordinator(gateway: &Gateway, server: &str) -> Option<NodeId> {
-    let name = gateway.permits.lender(server);
+    let name = gateway.permits.issuer(server);
     if name == gateway.identity.node.name {
         return None;
     }
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -31,7 +31,7 @@
 use smol::Timer;
 
 use self::isolation::Reservations;
-use crate::exchange::Outgoing;
+use crate::attempt::OutgoingRequest;
 use crate::gateway::Gateway;
 
 pub use self::admitted_request::AdmittedRequest;
@@ -151,7 +151,7 @@
 }
 
 /// Records a complete response, which shows that the request did not cause the crashes.
-pub fn note_response(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
+pub fn note_response(gateway: &Rc<Gateway>, outgoing: &OutgoingRequest, status: StatusCode) {
     if gateway.quarantine.is_empty() || !proves_execution(status) {
         return;
     }
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -71,7 +71,7 @@
     }
     drop(directory);
     gateway.versions.note_command_accepted(now, holder);
-    gateway.places.changed.notify(usize::MAX);
+    gateway.slot_queue.changed.notify(usize::MAX);
     wake_when_loaded(gateway);
 }
 
@@ -80,7 +80,7 @@
     let waker = gateway.clone();
     let wake = async move {
         Timer::after(EXPECTED_LOAD_TIME).await;
-        waker.places.changed.notify(usize::MAX);
+        waker.slot_queue.changed.notify(usize::MAX);
     };
     gateway.executor.spawn(wake).detach();
 }
@@ -289,7 +289,7 @@
         let newest = newest.values().map(|(_, since)| *since).max();
         let takeover = LEASE_DURATION + self.gateway.tuning().lease_pause;
         let holder_active = versions.lease.last_holder().map(|(_, since)| since + takeover);
-        let store_reached = Some(self.gateway.store_reached_since.get());
+        let store_reached = Some(self.gateway.store_reachable_since.get());
         let started =
             [newest, versions.last_command(), holder_active, store_reached].into_iter().max();
         self.gateway.now().saturating_sub(started.flatten().unwrap_or_default())
@@ -439,7 +439,7 @@
         }
         directory.insert(self.gateway.now(), updated);
         drop(directory);
-        self.gateway.places.changed.notify(usize::MAX);
+        self.gateway.slot_queue.changed.notify(usize::MAX);
     }
 
     async fn fetch_report(&self, server: &Server) -> Option<EngineReport> {
@@ -467,7 +467,7 @@
         headers.insert(http::header::HOST, host);
         headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(names.expected_server.clone(), HeaderValue::from_str(&server.id).ok()?);
-        let pool = &self.gateway.servers;
+        let pool = &self.gateway.server_connections;
         pool.fetch(server.address, request, CALL_TIMEOUT, MAX_REPORT_BYTES).await.ok()
     }
 }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -10,9 +10,9 @@
 use heronbend::identity::Incarnation;
 use heronbend::quarantine::Crash;
 use heronbend::quarantine::Report;
+use heronbend_gateway::attempt::OutgoingRequest;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
-use heronbend_gateway::exchange::Outgoing;
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::quarantine;
 use heronbend_gateway::quarantine::crash_detection;
@@ -52,14 +52,14 @@
     })
 }
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> OutgoingRequest {
+    OutgoingRequest {
         id: "r1".to_owned(),
         method: Method::POST,
         target: "/x".parse().unwrap(),
         headers: Default::default(),
         body: Default::default(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: Default::default(),
     }
