--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -15,13 +15,13 @@
 use serde::{Deserialize, Serialize};
 use smol::net::TcpListener;
 
-use crate::duties::register::RegisterCall;
-use crate::duties::settings::{edit_settings, EditError};
-use crate::duties::shards::needs_placing;
-use crate::duties::Executor;
 use crate::failpoints::Faults;
 use crate::front::readiness;
 use crate::shared::{shard_epochs, BackendsInput, Shared, StepStatus};
+use crate::tasks::register::RegisterCall;
+use crate::tasks::settings::{edit_settings, EditError};
+use crate::tasks::shards::needs_placing;
+use crate::tasks::Executor;
 
 const MAX_BODY_BYTES: u64 = 4 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/heronbend-daemon/src/cli/settings.rs
+++ b/crates/heronbend-daemon/src/cli/settings.rs
@@ -12,7 +12,7 @@
 use super::check::read_tree;
 use super::{Target, EXIT_CONFLICT, EXIT_FAILED, EXIT_FINDINGS, EXIT_UNKNOWN};
 use crate::admin::EditAccepted;
-use crate::duties::settings::{EditError, EditRequest};
+use crate::tasks::settings::{EditError, EditRequest};
 
 const SETTINGS_PATH: &str = "/admin/settings";
 
--- a/crates/heronbend-daemon/src/front/application.rs
+++ b/crates/heronbend-daemon/src/front/application.rs
@@ -6,7 +6,7 @@
 use heronbend_http::http_types::{Request, Response, StatusCode};
 use heronbend_http::{read_body, Outcome};
 
-use super::answer::{refuse, Refusal};
+use super::rejection::{refuse, Refusal};
 use super::{Admitted, Front};
 use crate::dispatch::{ApplicationAnswer, ApplicationRequest};
 
--- a/crates/heronbend-daemon/src/front/claims.rs
+++ b/crates/heronbend-daemon/src/front/claims.rs
@@ -9,11 +9,11 @@
 use heronbend_http::http_types::StatusCode;
 use heronbend_http::Outcome;
 
-use super::answer::{refuse, refuse_with_retry, Refusal};
+use super::rejection::{refuse, refuse_with_retry, Refusal};
 use super::Front;
 use crate::dispatch::{ApplicationAnswer, ApplicationRequest, DispatchError};
-use crate::duties::register::{change_register, RegisterError};
 use crate::shared::epoch_seconds;
+use crate::tasks::register::{change_register, RegisterError};
 
 const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
 /// Largest answer that is kept in a register; a larger one is answered once and kept as unknown.
--- a/crates/heronbend-daemon/src/front/completions.rs
+++ b/crates/heronbend-daemon/src/front/completions.rs
@@ -15,7 +15,7 @@
 
 use smol::channel::Sender;
 
-use super::answer::{refuse, Refusal};
+use super::rejection::{refuse, Refusal};
 use super::{Admitted, Front};
 use crate::dispatch::DispatchError;
 use crate::generation::{generate, GenerationError, GenerationRequest, NoSink, Piece, PieceSink};
--- a/crates/heronbend-daemon/src/front/mod.rs
+++ b/crates/heronbend-daemon/src/front/mod.rs
@@ -1,9 +1,9 @@
 //! The HTTP front: what callers and trainers talk to. Several threads, each with its own state.
 
-mod answer;
 mod application;
 mod claims;
 mod completions;
+mod rejection;
 mod rollouts;
 
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 use smol::Timer;
 
 use crate::dispatch::Dispatcher;
-use crate::duties::Executor;
 use crate::shared::{SettingsInForce, Shared};
+use crate::tasks::Executor;
 use crate::telemetry::AnswerLabels;
-use answer::{refuse, refuse_with_retry, Refusal};
+use rejection::{refuse, refuse_with_retry, Refusal};
 
 /// Largest body that any setting may allow, in bytes; the settings' own limit is checked later.
 const MAX_BODY_BYTES: u64 = 256 << 20;
--- a/crates/heronbend-daemon/src/front/answer.rs
+++ b/crates/heronbend-daemon/src/front/rejection.rs
@@ -6,7 +6,7 @@
 use heronbend_http::{error_response, Outcome};
 
 use crate::dispatch::{retry_after, DispatchError};
-use crate::duties::register::RegisterError;
+use crate::tasks::register::RegisterError;
 
 /// A request that is not served, with its answer.
 pub struct Refusal(Box<Response>);
--- a/crates/heronbend-daemon/src/front/rollouts.rs
+++ b/crates/heronbend-daemon/src/front/rollouts.rs
@@ -8,9 +8,9 @@
 use heronbend_http::http_types::{Method, Response, StatusCode};
 use heronbend_http::{json_response, read_body, Outcome};
 
-use super::answer::{refuse, refuse_with_retry, Refusal};
+use super::rejection::{refuse, refuse_with_retry, Refusal};
 use super::{Admitted, Front};
-use crate::duties::rollout::{call_rollout, RolloutCall, RolloutError, StepName};
+use crate::tasks::rollout::{call_rollout, RolloutCall, RolloutError, StepName};
 
 const RETRY: Duration = Duration::from_secs(1);
 
--- a/crates/heronbend-daemon/src/main.rs
+++ b/crates/heronbend-daemon/src/main.rs
@@ -3,7 +3,6 @@
 mod admin;
 mod cli;
 mod dispatch;
-mod duties;
 mod failpoints;
 mod front;
 mod generation;
@@ -12,6 +11,7 @@
 mod quarantine;
 mod serve;
 mod shared;
+mod tasks;
 mod telemetry;
 
 use std::process::ExitCode;
--- a/crates/heronbend-daemon/src/serve.rs
+++ b/crates/heronbend-daemon/src/serve.rs
@@ -13,8 +13,8 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::duties::{self, shards, spawn_duty, Polling};
 use crate::shared::{Identity, MembershipInput, Shared};
+use crate::tasks::{self, shards, spawn_thread, Polling};
 use crate::{admin, front};
 
 /// Longest time that a stop waits for requests under way.
@@ -144,12 +144,12 @@
         admin.local_addr()?
     );
     let shared = Shared::new(identity, arguments.allow_failpoints);
-    start_duties(&shared, peer, datagrams, arguments.seed_peers)?;
+    start_tasks(&shared, peer, datagrams, arguments.seed_peers)?;
     let front_threads = arguments.front_threads.unwrap_or(1).max(1);
     for number in 0..front_threads {
         let listener = http.try_clone()?;
         let shared = shared.clone();
-        spawn_duty(&format!("front-{number}"), Polling::Reactor, move |executor| async move {
+        spawn_thread(&format!("front-{number}"), Polling::Reactor, move |executor| async move {
             match asynchronous(listener) {
                 Ok(listener) => front::run(shared, executor, listener).await,
                 Err(error) => log::error!("event=listener_failed error={error}"),
@@ -158,7 +158,7 @@
     }
     drop(http);
     let admin_shared = shared.clone();
-    spawn_duty("admin", Polling::Parked, move |executor| async move {
+    spawn_thread("admin", Polling::Parked, move |executor| async move {
         match asynchronous(admin) {
             Ok(listener) => admin::run(admin_shared, executor, listener).await,
             Err(error) => log::error!("event=listener_failed error={error}"),
@@ -168,44 +168,44 @@
     Ok(())
 }
 
-fn start_duties(
+fn start_tasks(
     shared: &Arc<Shared>,
     peer: TcpListener,
     datagrams: UdpSocket,
     seeds: Vec<SocketAddr>,
 ) -> anyhow::Result<()> {
     let for_membership = shared.clone();
-    spawn_duty("membership", Polling::Parked, move |_| async move {
+    spawn_thread("membership", Polling::Parked, move |_| async move {
         match smol::Async::new(datagrams) {
-            Ok(socket) => duties::membership::run(for_membership, socket.into()).await,
+            Ok(socket) => tasks::membership::run(for_membership, socket.into()).await,
             Err(error) => log::error!("event=peer_socket_failed error={error}"),
         }
     })?;
     let for_register = shared.clone();
-    spawn_duty("register", Polling::Parked, move |executor| async move {
+    spawn_thread("register", Polling::Parked, move |executor| async move {
         match asynchronous(peer) {
-            Ok(listener) => duties::register::run(for_register, executor, listener).await,
+            Ok(listener) => tasks::register::run(for_register, executor, listener).await,
             Err(error) => log::error!("event=peer_listener_failed error={error}"),
         }
     })?;
     let for_settings = shared.clone();
-    spawn_duty("settings", Polling::Parked, move |executor| {
-        duties::settings::run(for_settings, executor, seeds)
+    spawn_thread("settings", Polling::Parked, move |executor| {
+        tasks::settings::run(for_settings, executor, seeds)
     })?;
     let for_backends = shared.clone();
-    spawn_duty("backends", Polling::Parked, move |executor| {
-        duties::backends::run(for_backends, executor)
+    spawn_thread("backends", Polling::Parked, move |executor| {
+        tasks::backends::run(for_backends, executor)
     })?;
     let for_rollout = shared.clone();
-    spawn_duty("rollout", Polling::Parked, move |executor| {
-        duties::rollout::run(for_rollout, executor)
+    spawn_thread("rollout", Polling::Parked, move |executor| {
+        tasks::rollout::run(for_rollout, executor)
     })?;
     let for_weights = shared.clone();
-    spawn_duty("weights", Polling::Parked, move |executor| {
-        duties::weights::run(for_weights, executor)
+    spawn_thread("weights", Polling::Parked, move |executor| {
+        tasks::weights::run(for_weights, executor)
     })?;
     let for_telemetry = shared.clone();
-    spawn_duty("telemetry", Polling::Parked, move |_| duties::telemetry::run(for_telemetry))?;
+    spawn_thread("telemetry", Polling::Parked, move |_| tasks::telemetry::run(for_telemetry))?;
     Ok(())
 }
 
--- a/crates/heronbend-daemon/src/shared.rs
+++ b/crates/heronbend-daemon/src/shared.rs
@@ -20,10 +20,10 @@
 use serde::{Deserialize, Serialize};
 use smol::channel::{bounded, Receiver, Sender};
 
-use crate::duties::register::RegisterCall;
-use crate::duties::rollout::RolloutCall;
-use crate::duties::settings::SettingsCall;
 use crate::failpoints::Failpoints;
+use crate::tasks::register::RegisterCall;
+use crate::tasks::rollout::RolloutCall;
+use crate::tasks::settings::SettingsCall;
 use crate::telemetry::Metrics;
 
 /// Messages that may wait in a ring.
--- a/crates/heronbend-daemon/src/duties/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's duties: one thread each, driving the library's state machines.
+//! The daemon's tasks: one thread each, driving the library's state machines.
 
 pub mod backends;
 pub mod membership;
@@ -21,7 +21,7 @@
 /// Whether a thread looks for I/O events itself while it has nothing to do.
 ///
 /// All threads share one reactor, and an event found by another thread costs a wake-up. So only the
-/// threads that serve callers look for events; the duties are woken by them.
+/// threads that serve callers look for events; the tasks are woken by them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Polling {
     /// Looks for events.
@@ -31,7 +31,7 @@
 }
 
 /// Starts a duty's thread, which runs until the process ends.
-pub fn spawn_duty<F, D>(name: &str, polling: Polling, duty: D) -> std::io::Result<JoinHandle<()>>
+pub fn spawn_thread<F, D>(name: &str, polling: Polling, duty: D) -> std::io::Result<JoinHandle<()>>
 where
     D: FnOnce(Executor) -> F + Send + 'static,
     F: Future<Output = ()>,
--- a/crates/heronbend-daemon/src/duties/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! - [`messages`]: what callers ask.
 //! - [`step`]: a step that this daemon coordinates.
-//! - [`drawing`]: its samples.
+//! - [`sampling`]: its samples.
 
-mod drawing;
 mod messages;
+mod sampling;
 mod step;
 
 pub use messages::{call_rollout, RolloutCall, RolloutError, StepName};
