--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -20,7 +20,7 @@
 use crate::shared::{shard_epochs, BackendsInput, Shared, StepStatus};
 use crate::tasks::register::RegisterCall;
 use crate::tasks::settings::{edit_settings, EditError};
-use crate::tasks::shards::needs_placing;
+use crate::tasks::shards::needs_placement;
 use crate::tasks::Executor;
 
 const MAX_BODY_BYTES: u64 = 4 << 20;
@@ -119,7 +119,7 @@
         (Method::Get, "/readyz") => readiness(&shared),
         (Method::Get, "/metrics") => {
             let mut response = Response::new(StatusCode::Ok);
-            response.set_body(shared.metrics.render());
+            response.set_body(shared.metrics.encode());
             response.insert_header("content-type", "application/openmetrics-text; version=1.0.0");
             response
         }
@@ -129,26 +129,26 @@
             None => json_response(StatusCode::Ok, &heronbend::settings::SettingsObject::default()),
         },
         (Method::Post, "/admin/settings") => match read_json(&mut request).await {
-            Ok(edit) => answer_edit(edit_settings(&shared, edit).await),
+            Ok(edit) => edit_response(edit_settings(&shared, edit).await),
             Err(response) => response,
         },
         (Method::Post, "/admin/drain") => match read_json(&mut request).await {
-            Ok(order) => drain(&shared, &order),
+            Ok(body) => drain(&shared, &body),
             Err(response) => response,
         },
         (Method::Post, "/admin/shards/rebuild") => match read_json(&mut request).await {
-            Ok(order) => rebuild(&shared, &order).await,
+            Ok(body) => rebuild(&shared, &body).await,
             Err(response) => response,
         },
         (Method::Post, "/admin/failpoints") => match read_json::<Faults>(&mut request).await {
             Ok(faults) => set_failpoints(&shared, faults),
             Err(response) => response,
         },
-        _ => refuse(StatusCode::NotFound, "not_found"),
+        _ => reject(StatusCode::NotFound, "not_found"),
     }
 }
 
-fn refuse(status: StatusCode, code: &str) -> Response {
+fn reject(status: StatusCode, code: &str) -> Response {
     error_response(status, code, code.replace('_', " "), Outcome::NotRun)
 }
 
@@ -165,11 +165,11 @@
     if shared.failpoints.set(faults) {
         Response::new(StatusCode::NoContent)
     } else {
-        refuse(StatusCode::Forbidden, "failpoints_not_allowed")
+        reject(StatusCode::Forbidden, "failpoints_not_allowed")
     }
 }
 
-fn answer_edit(result: Result<u64, EditError>) -> Response {
+fn edit_response(result: Result<u64, EditError>) -> Response {
     match result {
         Ok(revision) => json_response(StatusCode::Ok, &EditAccepted { revision }),
         Err(error) => {
@@ -184,44 +184,44 @@
 }
 
 /// Opens shards that have lost a majority; only for an operator who accepts the loss.
-async fn rebuild(shared: &Shared, order: &RebuildRequest) -> Response {
-    if !order.accept_loss {
-        return refuse(StatusCode::BadRequest, "loss_not_accepted");
+async fn rebuild(shared: &Shared, body: &RebuildRequest) -> Response {
+    if !body.accept_loss {
+        return reject(StatusCode::BadRequest, "loss_not_accepted");
     }
     let (reply, result) = smol::channel::bounded(1);
     if shared.register.sender.try_send(RegisterCall::Rebuild { reply }).is_err() {
-        return refuse(StatusCode::ServiceUnavailable, "busy");
+        return reject(StatusCode::ServiceUnavailable, "busy");
     }
     match result.recv().await {
         Ok(Ok(shards)) => json_response(StatusCode::Ok, &Rebuilt { shards }),
         Ok(Err(error)) => {
             log::warn!("event=rebuild_failed error={error}");
-            refuse(StatusCode::ServiceUnavailable, "platform_failed")
+            reject(StatusCode::ServiceUnavailable, "platform_failed")
         }
-        Err(_) => refuse(StatusCode::ServiceUnavailable, "busy"),
+        Err(_) => reject(StatusCode::ServiceUnavailable, "busy"),
     }
 }
 
 /// Drains this daemon, or tells everybody that a back end leaves.
-fn drain(shared: &Shared, order: &DrainRequest) -> Response {
-    if order.node == shared.identity.node.name.0 {
+fn drain(shared: &Shared, body: &DrainRequest) -> Response {
+    if body.node == shared.identity.node.name.0 {
         shared.draining.store(true, Ordering::Release);
         return Response::new(StatusCode::Accepted);
     }
     let table = shared.backends.load();
-    let known = table.backends.iter().find(|known| known.backend.name.0 == order.node);
+    let known = table.backends.iter().find(|known| known.backend.name.0 == body.node);
     let Some(known) = known else {
-        return refuse(StatusCode::NotFound, "unknown_node");
+        return reject(StatusCode::NotFound, "unknown_node");
     };
     let stated = BackendPhase {
-        name: BackendName(order.node.clone()),
+        name: BackendName(body.node.clone()),
         incarnation: known.backend.incarnation,
         phase: Phase::Leaving,
     };
     let signal = Signal { source: SignalSource::Operator, stated };
-    match shared.backends_ring.sender.try_send(BackendsInput::Signal(signal)) {
+    match shared.backends_channel.sender.try_send(BackendsInput::Signal(signal)) {
         Ok(()) => Response::new(StatusCode::Accepted),
-        Err(_) => refuse(StatusCode::ServiceUnavailable, "busy"),
+        Err(_) => reject(StatusCode::ServiceUnavailable, "busy"),
     }
 }
 
@@ -233,12 +233,12 @@
         zone: shared.identity.zone.clone(),
         region: shared.identity.region.clone(),
         draining: shared.is_draining(),
-        serves: shared.serves(),
-        settings_revision: shared.head().settings_revision,
+        serves: shared.can_serve(),
+        settings_revision: shared.control_versions().settings_revision,
         shard_epochs: shard_epochs(&shard_map),
-        shards_need_placing: needs_placing(shared),
+        shards_need_placing: needs_placement(shared),
         steps: shared.steps.load_full().as_ref().clone(),
-        exchanges: shared.exchanges.load(Ordering::Relaxed),
+        exchanges: shared.in_flight.load(Ordering::Relaxed),
         members: shared.members.load_full().as_ref().clone(),
         backends: table
             .backends
--- a/crates/heronbend-daemon/src/cli/drain.rs
+++ b/crates/heronbend-daemon/src/cli/drain.rs
@@ -18,8 +18,8 @@
 
 /// Drains a node.
 pub fn run(arguments: &DrainArguments) -> anyhow::Result<ExitCode> {
-    let order = DrainRequest { node: arguments.node.clone() };
-    let (status, bytes) = arguments.target.post("/admin/drain", &order)?;
+    let request_body = DrainRequest { node: arguments.node.clone() };
+    let (status, bytes) = arguments.target.post("/admin/drain", &request_body)?;
     anyhow::ensure!(
         status.is_success(),
         "the daemon answered {status}: {}",
--- a/crates/heronbend-daemon/src/cli/shards.rs
+++ b/crates/heronbend-daemon/src/cli/shards.rs
@@ -29,8 +29,8 @@
 /// Runs a subcommand.
 pub fn run(command: &ShardsCommand) -> anyhow::Result<ExitCode> {
     let ShardsCommand::Rebuild(arguments) = command;
-    let order = RebuildRequest { accept_loss: arguments.accept_loss };
-    let (status, bytes) = arguments.target.post("/admin/shards/rebuild", &order)?;
+    let request_body = RebuildRequest { accept_loss: arguments.accept_loss };
+    let (status, bytes) = arguments.target.post("/admin/shards/rebuild", &request_body)?;
     anyhow::ensure!(
         status.is_success(),
         "the daemon answered {status}: {}",
--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Sends requests to back ends: choice, attempts, retries, and what is known of each outcome.
+//! Request dispatch: backend selection, attempts, retries and outcome classification.
 //!
-//! One [`Dispatcher`] for each thread that sends. It takes the published table over when that has
-//! changed, so that a leaving back end gets nothing new from the next choice on.
+//! Each sending thread has its own [`Dispatcher`]. Before every selection it refreshes its router from
+//! the published [`BackendTable`](crate::shared::BackendTable), so leaving backends get no new requests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,34 +25,34 @@
 use crate::quarantine::Quarantine;
 use crate::shared::{BackendsInput, Shared};
 
-/// Largest answer of an application server in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Interval at which a request that found the pool full looks again.
+/// Maximum size of an application server's response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Interval at which a request retries selection while no backend has a free slot.
 const RECOVERY_POLL: Duration = Duration::from_millis(2);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Why a request got no answer from a back end.
+/// Errors of dispatching a request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DispatchError {
-    /// No back end of the pool is live, or none has the version asked for.
+    /// No backend of the pool is live, or none has the requested weight version.
     #[error("no back end of pool {0} is available")]
     NoBackend(String),
-    /// Every back end of the pool is at its limit.
+    /// Every backend of the pool is at its in-flight limit.
     #[error("every back end of pool {0} is at its limit")]
     Full(String),
-    /// Every attempt was refused or never arrived; nothing was run.
+    /// Every attempt was rejected or could not be delivered; the request did not run.
     #[error("no back end took the request: {0}")]
     NotRun(String),
-    /// Requests like this one ended the back ends that ran them: it is not sent to any for so long.
+    /// Requests with the same fingerprint crashed backends; holds the time until a retry is allowed.
     #[error("requests like this one ended the back ends that ran them")]
     Quarantined(Duration),
-    /// A back end may have run the request, or part of it.
+    /// A backend may have run the request, entirely or in part.
     #[error("the outcome is unknown: {0}")]
     Unknown(String),
 }
 
 impl DispatchError {
-    /// Whether the request was run.
+    /// Returns whether the request may have run.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Unknown(_) => Outcome::Unknown,
@@ -66,22 +66,22 @@
 /// A request to an application server.
 #[derive(Debug, Clone)]
 pub struct ApplicationRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub target: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// The caller and its identifier of the request.
+    /// Caller name and the caller's request id, sent as `CALLER_REQUEST_HEADER`.
     pub caller_request: String,
-    /// Whether it may run more than once.
-    pub repeatable: bool,
+    /// Whether the request may run more than once.
+    pub idempotent: bool,
 }
 
 impl ApplicationRequest {
-    /// What tells that the request has come before.
+    /// Returns the fingerprint that identifies repetitions of this request.
     fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&FingerprintInput {
             method: self.method.as_ref(),
@@ -93,28 +93,28 @@
     }
 }
 
-/// A whole answer of an application server.
+/// A fully read response of an application server.
 #[derive(Debug, Clone)]
-pub struct ApplicationAnswer {
-    /// Status.
+pub struct ApplicationResponse {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Content type.
+    /// Value of the `content-type` header; empty if absent.
     pub content_type: String,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// How one attempt failed.
+/// Failure of a single attempt.
 pub enum AttemptFailure {
-    /// Nothing was run.
+    /// The request did not run.
     NotRun(String),
-    /// The connection ended before the answer had come: something may have been run.
-    BrokenOff(String),
-    /// Something may have been run.
+    /// The connection was lost before the response was complete; the request may have run.
+    ConnectionBroken(String),
+    /// The request may have run.
     Unknown(String),
 }
 
-/// Sends requests for one thread. Clones share everything.
+/// Sends requests on behalf of one thread. Clones share all state.
 #[derive(Clone)]
 pub struct Dispatcher {
     inner: Rc<Inner>,
@@ -130,22 +130,24 @@
     random: RefCell<SmallRng>,
 }
 
-/// A chosen back end; dropping it without an outcome counts as cancelled.
-pub struct Chosen {
+/// A selected backend with one in-flight request reserved on it.
+///
+/// Dropping the value without calling [`finish`](Self::finish) records a cancelled request.
+pub struct SelectedBackend {
     dispatcher: Dispatcher,
-    /// The back end.
+    /// The selected backend.
     pub backend: Backend,
     outcome: RequestOutcome,
 }
 
-impl Chosen {
-    /// Notes how the attempt ended.
-    pub fn conclude(mut self, outcome: RequestOutcome) {
+impl SelectedBackend {
+    /// Releases the backend and records the outcome of the attempt.
+    pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Chosen {
+impl Drop for SelectedBackend {
     fn drop(&mut self) {
         let inner = &self.dispatcher.inner;
         let mut router = inner.router.borrow_mut();
@@ -154,7 +156,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no back end yet.
+    /// Creates a dispatcher without backends; the first selection loads them.
     pub fn new(shared: Arc<Shared>) -> Self {
         let seed = shared.unique_number();
         let zone = shared.identity.zone.clone();
@@ -171,12 +173,14 @@
         }
     }
 
-    /// What all threads share.
+    /// Returns the state shared by all threads.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.inner.shared
     }
 
-    /// Places left in a pool for this thread, at engines that have `min_version`.
+    /// Returns the number of free slots in a pool on engines with at least `min_version`.
+    ///
+    /// Requests fresh load reports if there are none.
     pub fn free_slots(&self, pool: &PoolPolicy, min_version: Option<u64>) -> usize {
         self.refresh();
         let query = Query {
@@ -186,21 +190,21 @@
             min_version,
             exclude: &[],
         };
-        let places = self.inner.router.borrow().free_slots(self.inner.shared.now(), &query);
-        if places == 0 && min_version.is_some() {
-            self.inner.shared.want_reports();
+        let free_slots = self.inner.router.borrow().free_slots(self.inner.shared.now(), &query);
+        if free_slots == 0 && min_version.is_some() {
+            self.inner.shared.request_reports();
         }
-        places
+        free_slots
     }
 
-    /// Chooses a back end, waiting up to the pool's recovery window for a place.
-    pub async fn choose(
+    /// Selects a backend, waiting up to the pool's recovery window for a free slot.
+    pub async fn select_backend(
         &self,
         pool: &PoolPolicy,
         prefix: Option<u64>,
         min_version: Option<u64>,
         tried: &[BackendName],
-    ) -> Result<Chosen, DispatchError> {
+    ) -> Result<SelectedBackend, DispatchError> {
         let window_end = Instant::now() + pool.recovery_window;
         loop {
             self.refresh();
@@ -212,9 +216,9 @@
                 exclude: tried,
             };
             let chosen = self.inner.router.borrow_mut().choose(self.inner.shared.now(), &query);
-            let refusal = match chosen {
+            let error = match chosen {
                 Ok(backend) => {
-                    return Ok(Chosen {
+                    return Ok(SelectedBackend {
                         dispatcher: self.clone(),
                         backend,
                         outcome: RequestOutcome::Cancelled,
@@ -224,45 +228,49 @@
                 Err(RouteError::Full) => DispatchError::Full(pool.name.clone()),
             };
             if Instant::now() >= window_end {
-                return Err(refusal);
+                return Err(error);
             }
             Timer::after(RECOVERY_POLL).await;
         }
     }
 
-    /// Waits before another attempt; whether the retry budget allows it.
-    pub async fn may_retry(&self, retry: u32) -> bool {
+    /// Withdraws a retry from the budget and waits for the backoff; returns `false` if the budget is empty.
+    pub async fn prepare_retry(&self, retry: u32) -> bool {
         let metrics = &self.inner.shared.metrics;
         if !self.inner.budget.borrow_mut().withdraw() {
             metrics.retries_withheld.inc();
             return false;
         }
         metrics.retries.inc();
-        let pause = backoff(retry, &mut *self.inner.random.borrow_mut());
-        Timer::after(pause).await;
+        let delay = backoff(retry, &mut *self.inner.random.borrow_mut());
+        Timer::after(delay).await;
         true
     }
 
-    /// Notes a fresh request, which pays for a share of a retry.
-    pub fn note_fresh(&self) {
+    /// Deposits the retry ratio of a new request into the retry budget.
+    pub fn record_new_request(&self) {
         let settings = self.inner.shared.settings.load();
-        let share = settings.as_ref().map_or(0.0, |known| known.policy.retry_budget);
-        self.inner.budget.borrow_mut().deposit(share);
+        let ratio = settings.as_ref().map_or(0.0, |known| known.policy.retry_budget);
+        self.inner.budget.borrow_mut().deposit(ratio);
     }
 
-    /// Whether a request may be sent to a back end, for what is known of requests like it.
+    /// Checks a request against the quarantine.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DispatchError::Quarantined`] if requests with its fingerprint crashed backends.
     pub fn admit(&self, request: impl FnOnce() -> Fingerprint) -> Result<(), DispatchError> {
         let admitted = self.inner.quarantine.admit(self.inner.shared.now(), request);
         admitted.map_err(|refused| DispatchError::Quarantined(refused.retry_after))
     }
 
-    /// Notes a whole answer to a request.
-    pub fn note_answer(&self, request: impl FnOnce() -> Fingerprint) {
-        self.inner.quarantine.note_answer(request);
+    /// Records a complete response, which clears the request's fingerprint in the quarantine.
+    pub fn note_response(&self, request: impl FnOnce() -> Fingerprint) {
+        self.inner.quarantine.note_response(request);
     }
 
-    /// Notes how an attempt failed; the message that says it.
-    pub async fn note_failure(
+    /// Records a failed attempt in the quarantine and returns the failure's message.
+    pub async fn record_failure(
         &self,
         failure: AttemptFailure,
         request: Fingerprint,
@@ -270,15 +278,15 @@
     ) -> String {
         match failure {
             AttemptFailure::NotRun(message) | AttemptFailure::Unknown(message) => message,
-            AttemptFailure::BrokenOff(message) => {
+            AttemptFailure::ConnectionBroken(message) => {
                 let now = self.inner.shared.now();
-                self.inner.quarantine.note_break(now, request, backend).await;
+                self.inner.quarantine.note_broken_connection(now, request, backend).await;
                 message
             }
         }
     }
 
-    /// Sends one attempt and waits for the head of its answer.
+    /// Sends one attempt and waits for the response head; returns the reply and the attempt id.
     pub async fn attempt(
         &self,
         backend: &Backend,
@@ -292,9 +300,9 @@
         request.insert_header(ATTEMPT_HEADER, attempt.as_str());
         request.insert_header(CALLER_REQUEST_HEADER, caller_request);
         let reply = self.inner.client.send(backend.address, request, timeout).await;
-        let reply = reply.map_err(|error| classify(&error))?;
+        let reply = reply.map_err(|error| classify_error(&error))?;
         if reply.header(OUTCOME_HEADER) == Some(Outcome::NotRun.as_str()) {
-            return Err(self.refused(backend, reply).await);
+            return Err(self.rejection(backend, reply).await);
         }
         if reply.header(ATTEMPT_HEADER).is_some_and(|echoed| echoed != attempt) {
             shared.metrics.foreign_answers.inc();
@@ -304,36 +312,36 @@
         Ok((reply, attempt))
     }
 
-    /// Sends a request to a pool and reads its whole answer.
+    /// Sends a request to a pool, with retries, and reads the full response.
     pub async fn send_to_application(
         &self,
         pool: &PoolPolicy,
         request: &ApplicationRequest,
-    ) -> Result<ApplicationAnswer, DispatchError> {
-        self.note_fresh();
+    ) -> Result<ApplicationResponse, DispatchError> {
+        self.record_new_request();
         let deadline = Instant::now() + pool.request_timeout;
         let mut tried = Vec::new();
-        let mut last = None;
-        for number in 1..=pool.max_attempts {
-            if number > 1 && !self.may_retry(number - 1).await {
+        let mut last_error = None;
+        for attempt_number in 1..=pool.max_attempts {
+            if attempt_number > 1 && !self.prepare_retry(attempt_number - 1).await {
                 break;
             }
-            if let Err(refusal) = self.admit(|| request.fingerprint()) {
-                return Err(last.unwrap_or(refusal));
+            if let Err(error) = self.admit(|| request.fingerprint()) {
+                return Err(last_error.unwrap_or(error));
             }
-            let chosen = match self.choose(pool, None, None, &tried).await {
+            let chosen = match self.select_backend(pool, None, None, &tried).await {
                 Ok(chosen) => chosen,
-                Err(refusal) => return Err(last.unwrap_or(refusal)),
+                Err(error) => return Err(last_error.unwrap_or(error)),
             };
-            let left = deadline.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let name = chosen.backend.name.clone();
-            match self.exchange(&chosen.backend, request, left).await {
+            match self.attempt_full_response(&chosen.backend, request, remaining).await {
                 Ok(answer) => {
                     let failed = answer.status.is_server_error();
                     if !failed {
-                        self.note_answer(|| request.fingerprint());
+                        self.note_response(|| request.fingerprint());
                     }
-                    chosen.conclude(if failed {
+                    chosen.finish(if failed {
                         RequestOutcome::Failed
                     } else {
                         RequestOutcome::Answered
@@ -341,15 +349,18 @@
                     return Ok(answer);
                 }
                 Err(AttemptFailure::NotRun(message)) => {
-                    chosen.conclude(RequestOutcome::Failed);
-                    last = last.or(Some(DispatchError::NotRun(message)));
+                    chosen.finish(RequestOutcome::Failed);
+                    last_error = last_error.or(Some(DispatchError::NotRun(message)));
                 }
-                Err(failure @ (AttemptFailure::BrokenOff(_) | AttemptFailure::Unknown(_))) => {
+                Err(
+                    failure @ (AttemptFailure::ConnectionBroken(_) | AttemptFailure::Unknown(_)),
+                ) => {
                     let backend = chosen.backend.clone();
-                    chosen.conclude(RequestOutcome::Failed);
-                    let message = self.note_failure(failure, request.fingerprint(), &backend).await;
-                    last = Some(DispatchError::Unknown(message));
-                    if !request.repeatable {
+                    chosen.finish(RequestOutcome::Failed);
+                    let message =
+                        self.record_failure(failure, request.fingerprint(), &backend).await;
+                    last_error = Some(DispatchError::Unknown(message));
+                    if !request.idempotent {
                         break;
                     }
                 }
@@ -359,15 +370,15 @@
                 break;
             }
         }
-        Err(last.unwrap_or_else(|| DispatchError::NoBackend(pool.name.clone())))
+        Err(last_error.unwrap_or_else(|| DispatchError::NoBackend(pool.name.clone())))
     }
 
-    async fn exchange(
+    async fn attempt_full_response(
         &self,
         backend: &Backend,
         request: &ApplicationRequest,
         timeout: Duration,
-    ) -> Result<ApplicationAnswer, AttemptFailure> {
+    ) -> Result<ApplicationResponse, AttemptFailure> {
         let url = Url::parse(&format!("http://{}{}", backend.address, request.target))
             .map_err(|error| AttemptFailure::NotRun(error.to_string()))?;
         let mut outgoing = Request::new(request.method, url);
@@ -380,8 +391,9 @@
                 self.attempt(backend, outgoing, &request.caller_request, timeout).await?;
             let status = reply.status();
             let content_type = reply.header("content-type").unwrap_or_default().to_owned();
-            let body = reply.read_all(MAX_ANSWER_BYTES).await.map_err(|error| classify(&error))?;
-            Ok(ApplicationAnswer { status, content_type, body })
+            let body =
+                reply.read_all(MAX_RESPONSE_BYTES).await.map_err(|error| classify_error(&error))?;
+            Ok(ApplicationResponse { status, content_type, body })
         };
         futures_lite::FutureExt::or(read, async {
             Timer::after(timeout).await;
@@ -390,19 +402,19 @@
         .await
     }
 
-    /// A back end says that it did not run the request.
-    async fn refused(&self, backend: &Backend, reply: Reply) -> AttemptFailure {
-        let body = reply.read_all(MAX_ANSWER_BYTES).await.unwrap_or_default();
+    /// Converts a reply with the outcome `not run` to a failure.
+    async fn rejection(&self, backend: &Backend, reply: Reply) -> AttemptFailure {
+        let body = reply.read_all(MAX_RESPONSE_BYTES).await.unwrap_or_default();
         let code = serde_json::from_slice::<ErrorBody>(&body).map(|body| body.error.code);
         let code = code.unwrap_or_else(|_| "refused".to_owned());
         if code == CODE_LEAVING {
-            self.note_leaving(backend);
+            self.report_leaving(backend);
         }
         AttemptFailure::NotRun(code)
     }
 
-    /// The back end itself says that it leaves: the earliest sign there is.
-    fn note_leaving(&self, backend: &Backend) {
+    /// Marks a backend as leaving after it said so itself, and reports this to the backends task.
+    fn report_leaving(&self, backend: &Backend) {
         self.inner.router.borrow_mut().mark_leaving(&backend.name);
         let stated = BackendPhase {
             name: backend.name.clone(),
@@ -411,10 +423,10 @@
         };
         let source = SignalSource::BackendReport;
         let input = BackendsInput::Signal(Signal { source, stated });
-        let _ = self.inner.shared.backends_ring.sender.try_send(input);
+        let _ = self.inner.shared.backends_channel.sender.try_send(input);
     }
 
-    /// Takes the published table over if it is newer.
+    /// Updates the router if a newer backend table has been published.
     fn refresh(&self) {
         let table = self.inner.shared.backends.load();
         if table.generation == self.inner.generation.get() {
@@ -430,7 +442,7 @@
     }
 }
 
-/// How long a refused caller should wait before it asks again.
+/// Returns the `retry-after` delay for a dispatch error.
 pub fn retry_after(error: &DispatchError) -> Duration {
     match error {
         DispatchError::Full(_) => SECOND,
@@ -441,12 +453,12 @@
     }
 }
 
-fn classify(error: &ClientError) -> AttemptFailure {
+fn classify_error(error: &ClientError) -> AttemptFailure {
     let message = error.to_string();
     match error {
         error if error.is_not_sent() => AttemptFailure::NotRun(message),
         ClientError::Exchange(_) | ClientError::Head(HeadError::Closed | HeadError::Io(_)) => {
-            AttemptFailure::BrokenOff(message)
+            AttemptFailure::ConnectionBroken(message)
         }
         _ => AttemptFailure::Unknown(message),
     }
--- a/crates/heronbend-daemon/src/front/application.rs
+++ b/crates/heronbend-daemon/src/front/application.rs
@@ -1,4 +1,4 @@
-//! Application requests: route, permission, and passing on.
+//! Application requests: routing, authorization and forwarding.
 
 use std::rc::Rc;
 
@@ -6,12 +6,12 @@
 use heronbend_http::http_types::{Request, Response, StatusCode};
 use heronbend_http::{read_body, Outcome};
 
-use super::rejection::{refuse, Refusal};
-use super::{Admitted, Front};
-use crate::dispatch::{ApplicationAnswer, ApplicationRequest};
+use super::rejection::{reject, Rejection};
+use super::{AdmittedRequest, Front};
+use crate::dispatch::{ApplicationRequest, ApplicationResponse};
 
-/// Headers that concern one connection, or that this daemon sets itself.
-const NOT_PASSED_ON: [&str; 10] = [
+/// Request headers that are not forwarded: hop-by-hop headers and those that this daemon sets itself.
+const EXCLUDED_HEADERS: [&str; 10] = [
     "authorization",
     "connection",
     "content-length",
@@ -23,19 +23,19 @@
     "upgrade",
     "x-request-id",
 ];
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const MAX_KEY_BYTES: usize = 255;
 
 impl Front {
     pub(super) async fn serve_route(
         self: Rc<Self>,
-        mut admitted: Admitted,
-    ) -> Result<Response, Refusal> {
+        mut admitted: AdmittedRequest,
+    ) -> Result<Response, Rejection> {
         let path = admitted.request.url().path().to_owned();
         let settings = admitted.settings.clone();
         let route = settings.policy.route(&path).ok_or_else(|| {
             let message = format!("no route leads to {path}");
-            refuse(StatusCode::NotFound, "unknown_route", &message, Outcome::NotRun)
+            reject(StatusCode::NotFound, "unknown_route", &message, Outcome::NotRun)
         })?;
         check_permission(route, &admitted.caller.name)?;
         let key = idempotency_key(&admitted.request)?;
@@ -50,12 +50,12 @@
         let request = ApplicationRequest {
             method: admitted.request.method(),
             target: target(&admitted.request),
-            headers: headers_to_pass_on(&admitted.request),
+            headers: end_to_end_headers(&admitted.request),
             body,
             caller_request: admitted.caller_request(),
-            repeatable: route.repeatable && key.is_none(),
+            idempotent: route.repeatable && key.is_none(),
         };
-        let answer = match key {
+        let response = match key {
             Some(key) => {
                 let retention = settings.policy.claim_retention;
                 let caller = &admitted.caller.name;
@@ -63,26 +63,26 @@
             }
             None => self.dispatcher.send_to_application(pool, &request).await?,
         };
-        Ok(respond(answer))
+        Ok(into_response(response))
     }
 }
 
-fn check_permission(route: &RoutePolicy, caller: &str) -> Result<(), Refusal> {
+fn check_permission(route: &RoutePolicy, caller: &str) -> Result<(), Rejection> {
     if route.callers.contains(caller) {
         return Ok(());
     }
     let message = format!("caller {caller} may not use route {}", route.name);
-    Err(refuse(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
+    Err(reject(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
 }
 
-fn idempotency_key(request: &Request) -> Result<Option<String>, Refusal> {
-    let Some(values) = request.header(IDEMPOTENCY_KEY) else {
+fn idempotency_key(request: &Request) -> Result<Option<String>, Rejection> {
+    let Some(values) = request.header(IDEMPOTENCY_KEY_HEADER) else {
         return Ok(None);
     };
     let key = values.as_str();
     if key.is_empty() || key.len() > MAX_KEY_BYTES || values.iter().count() > 1 {
         let message = format!("an idempotency key has from 1 to {MAX_KEY_BYTES} bytes");
-        return Err(refuse(StatusCode::BadRequest, "bad_key", &message, Outcome::NotRun));
+        return Err(reject(StatusCode::BadRequest, "bad_key", &message, Outcome::NotRun));
     }
     Ok(Some(key.to_owned()))
 }
@@ -95,19 +95,19 @@
     }
 }
 
-fn headers_to_pass_on(request: &Request) -> Vec<(String, String)> {
+fn end_to_end_headers(request: &Request) -> Vec<(String, String)> {
     request
         .iter()
-        .filter(|(name, _)| !NOT_PASSED_ON.contains(&name.as_str()))
+        .filter(|(name, _)| !EXCLUDED_HEADERS.contains(&name.as_str()))
         .map(|(name, values)| (name.as_str().to_owned(), values.as_str().to_owned()))
         .collect()
 }
 
-fn respond(answer: ApplicationAnswer) -> Response {
-    let mut response = Response::new(answer.status);
-    response.set_body(answer.body);
-    if !answer.content_type.is_empty() {
-        response.insert_header("content-type", answer.content_type);
+fn into_response(upstream: ApplicationResponse) -> Response {
+    let mut response = Response::new(upstream.status);
+    response.set_body(upstream.body);
+    if !upstream.content_type.is_empty() {
+        response.insert_header("content-type", upstream.content_type);
     }
     response
 }
--- a/crates/heronbend-daemon/src/front/claims.rs
+++ b/crates/heronbend-daemon/src/front/claims.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key: claimed in a register before they are dispatched.
+//! Requests with an idempotency key, which are claimed in a register before dispatch.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
 use heronbend_http::http_types::StatusCode;
 use heronbend_http::Outcome;
 
-use super::rejection::{refuse, refuse_with_retry, Refusal};
+use super::rejection::{reject, reject_with_retry, Rejection};
 use super::Front;
-use crate::dispatch::{ApplicationAnswer, ApplicationRequest, DispatchError};
+use crate::dispatch::{ApplicationRequest, ApplicationResponse, DispatchError};
 use crate::shared::epoch_seconds;
 use crate::tasks::register::{change_register, RegisterError};
 
-const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
-/// Largest answer that is kept in a register; a larger one is answered once and kept as unknown.
-const MAX_KEPT_ANSWER_BYTES: usize = 1 << 20;
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum size of a response body stored in a register, in bytes. A larger response is returned once and
+/// stored as unknown.
+const MAX_STORED_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Outcome of a claim that this attempt does not hold.
-const UNKNOWN_OUTCOME: &str =
+/// Message for a claim whose earlier attempt has an unknown outcome.
+const UNKNOWN_OUTCOME_MESSAGE: &str =
     "an earlier attempt was handed over and its outcome is unknown; it is not run again";
 
 impl Front {
-    /// Runs a request at most once for its caller and key, on whichever daemon it arrives.
+    /// Runs a request at most once per caller and key across all daemons.
     pub(super) async fn send_claimed(
         &self,
         pool: &PoolPolicy,
@@ -32,7 +33,7 @@
         caller: &str,
         key: &str,
         retention: Duration,
-    ) -> Result<ApplicationAnswer, Refusal> {
+    ) -> Result<ApplicationResponse, Rejection> {
         let register = claim_key(caller, key);
         let attempt = self.shared.unique_number();
         let acquire = ClaimChange::Acquire {
@@ -42,7 +43,7 @@
         };
         match self.change_claim(&register, acquire).await {
             Ok(ClaimResponse::Granted) => {}
-            Ok(other) => return self.answer_from_claim(other),
+            Ok(other) => return self.response_from_claim(other),
             Err(error) => {
                 self.release_later(register, attempt, error);
                 return Err(error.into());
@@ -51,7 +52,7 @@
         let result = self.dispatcher.send_to_application(pool, request).await;
         let expires = epoch_seconds() + retention.as_secs();
         let settlement = match &result {
-            Ok(answer) if answer.body.len() <= MAX_KEPT_ANSWER_BYTES => ClaimChange::Settle {
+            Ok(answer) if answer.body.len() <= MAX_STORED_RESPONSE_BYTES => ClaimChange::Settle {
                 attempt,
                 answer: StoredAnswer::Answer {
                     status: answer.status.into(),
@@ -65,8 +66,8 @@
                 ClaimChange::Settle { attempt, answer: StoredAnswer::Unknown, expires }
             }
         };
-        // The answer is true whatever becomes of the settlement: until it is made, others are told
-        // that the request is in progress.
+        // The response is returned even if storing it fails. Until it is stored, repetitions of the
+        // request are rejected as in progress.
         if let Err(error) = self.change_claim(&register, settlement).await {
             log::warn!("event=claim_not_settled attempt={attempt:016x} error={error}");
         }
@@ -81,13 +82,13 @@
         let change = RecordChange::Claim(change);
         match change_register(&self.shared, register.clone(), change).await? {
             RecordResponse::Claim(response) => Ok(response),
-            _ => Err(RegisterError::NotDone),
+            _ => Err(RegisterError::NotApplied),
         }
     }
 
-    /// The claim may have been made in this attempt's name, which will not use it: give it back.
+    /// Releases in the background a claim that may have been acquired by a failed change.
     fn release_later(&self, register: Key, attempt: u64, error: RegisterError) {
-        if error == RegisterError::NotDone {
+        if error == RegisterError::NotApplied {
             return;
         }
         let shared = self.shared.clone();
@@ -99,40 +100,43 @@
             .detach();
     }
 
-    fn answer_from_claim(&self, response: ClaimResponse) -> Result<ApplicationAnswer, Refusal> {
+    fn response_from_claim(
+        &self,
+        response: ClaimResponse,
+    ) -> Result<ApplicationResponse, Rejection> {
         match response {
             ClaimResponse::Settled(StoredAnswer::Answer { status, content_type, body }) => {
-                Ok(ApplicationAnswer {
+                Ok(ApplicationResponse {
                     status: StatusCode::try_from(status).unwrap_or(StatusCode::Ok),
                     content_type,
                     body,
                 })
             }
-            ClaimResponse::Settled(StoredAnswer::Unknown) => Err(unknown()),
+            ClaimResponse::Settled(StoredAnswer::Unknown) => Err(unknown_outcome()),
             ClaimResponse::InProgress { holder } if !self.shared.may_be_alive(&holder) => {
-                Err(unknown())
+                Err(unknown_outcome())
             }
-            ClaimResponse::InProgress { .. } => Err(refuse_with_retry(
+            ClaimResponse::InProgress { .. } => Err(reject_with_retry(
                 StatusCode::Conflict,
                 "in_progress",
                 "a request with this key is in progress; this one was not run",
-                IN_PROGRESS_RETRY,
+                IN_PROGRESS_RETRY_AFTER,
             )),
-            ClaimResponse::Mismatch => Err(refuse(
+            ClaimResponse::Mismatch => Err(reject(
                 StatusCode::UnprocessableEntity,
                 "key_reused",
                 "the key was used for a different request; this one was not run",
                 Outcome::NotRun,
             )),
             ClaimResponse::Granted | ClaimResponse::Done | ClaimResponse::NotHolder => {
-                Err(RegisterError::NotDone.into())
+                Err(RegisterError::NotApplied.into())
             }
         }
     }
 }
 
-fn unknown() -> Refusal {
-    refuse(StatusCode::BadGateway, "outcome_unknown", UNKNOWN_OUTCOME, Outcome::Unknown)
+fn unknown_outcome() -> Rejection {
+    reject(StatusCode::BadGateway, "outcome_unknown", UNKNOWN_OUTCOME_MESSAGE, Outcome::Unknown)
 }
 
 fn digest(request: &ApplicationRequest) -> u64 {
--- a/crates/heronbend-daemon/src/front/completions.rs
+++ b/crates/heronbend-daemon/src/front/completions.rs
@@ -1,7 +1,7 @@
-//! Completions in the manner of the usual inference interface, whole or streamed.
+//! Completion endpoints, compatible with the OpenAI API, full or streamed.
 //!
-//! Beside the usual fields an answer names the segments: which weight version, on which engine, drew
-//! which tokens.
+//! In addition to the usual fields, responses contain the segments: which engine and weight version
+//! generated which tokens.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 
 use smol::channel::Sender;
 
-use super::rejection::{refuse, Refusal};
-use super::{Admitted, Front};
+use super::rejection::{reject, Rejection};
+use super::{AdmittedRequest, Front};
 use crate::dispatch::DispatchError;
-use crate::generation::{generate, GenerationError, GenerationRequest, NoSink, Piece, PieceSink};
+use crate::generation::{generate, Chunk, ChunkSink, GenerationError, GenerationRequest, NullSink};
 
-/// A completion request; fields that heronbend does not act on are ignored.
+/// Body of a completion request; unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 struct CompletionRequest {
     model: String,
@@ -57,12 +57,12 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<AnswerMessage<'a>>,
+    message: Option<ResponseMessage<'a>>,
     finish_reason: FinishReason,
 }
 
 #[derive(Serialize)]
-struct AnswerMessage<'a> {
+struct ResponseMessage<'a> {
     role: &'static str,
     content: &'a str,
 }
@@ -100,10 +100,10 @@
 impl Front {
     pub(super) async fn complete(
         self: Rc<Self>,
-        mut admitted: Admitted,
+        mut admitted: AdmittedRequest,
         chat: bool,
         permit: CallerPermit,
-    ) -> Result<Response, Refusal> {
+    ) -> Result<Response, Rejection> {
         let settings = admitted.settings.clone();
         let policy = &settings.policy;
         let body = read_body(&mut admitted.request, policy.max_body, policy.body_timeout)
@@ -113,7 +113,7 @@
             .map_err(|error| bad_request("invalid_json", &error.to_string()))?;
         let model = policy.models.get(&request.model).ok_or_else(|| {
             let message = format!("there is no model {:?}", request.model);
-            refuse(StatusCode::NotFound, "unknown_model", &message, Outcome::NotRun)
+            reject(StatusCode::NotFound, "unknown_model", &message, Outcome::NotRun)
         })?;
         check_caller(model, &admitted.caller.name)?;
         let generation = self.generation_request(&admitted, &request, model, chat)?;
@@ -121,17 +121,17 @@
         if request.stream {
             self.stream(pool, generation, chat, permit).await
         } else {
-            self.complete_whole(&pool, &generation, chat).await
+            self.complete_full(&pool, &generation, chat).await
         }
     }
 
     fn generation_request(
         &self,
-        admitted: &Admitted,
+        admitted: &AdmittedRequest,
         request: &CompletionRequest,
         model: &ModelPolicy,
         chat: bool,
-    ) -> Result<GenerationRequest, Refusal> {
+    ) -> Result<GenerationRequest, Rejection> {
         let prompt = match (&request.prompt, &request.messages) {
             (Some(prompt), None) if !chat => prompt.clone(),
             (None, Some(messages)) if chat && !messages.is_empty() => messages
@@ -157,19 +157,19 @@
         })
     }
 
-    async fn complete_whole(
+    async fn complete_full(
         &self,
         pool: &PoolPolicy,
         request: &GenerationRequest,
         chat: bool,
-    ) -> Result<Response, Refusal> {
-        let generated = match generate(&self.dispatcher, pool, request, &mut NoSink).await {
+    ) -> Result<Response, Rejection> {
+        let generated = match generate(&self.dispatcher, pool, request, &mut NullSink).await {
             Ok(generated) => generated,
             Err(GenerationError::Dispatch(error)) => return Err(error.into()),
             Err(GenerationError::ClientGone) => unreachable!("there is no client to go"),
         };
         let text = generated.text.as_str();
-        let message = AnswerMessage { role: "assistant", content: text };
+        let message = ResponseMessage { role: "assistant", content: text };
         let completion = Completion {
             id: &request.caller_request,
             object: if chat { "chat.completion" } else { "text_completion" },
@@ -189,23 +189,24 @@
         Ok(json_response(StatusCode::Ok, &completion))
     }
 
-    /// Answers with a stream that a task of its own feeds, once its first piece is there: what fails
-    /// before that is refused with a status like any other request.
+    /// Responds with a stream fed by a background task.
+    ///
+    /// The response starts with the first chunk, so an earlier failure still returns an error status.
     async fn stream(
         self: Rc<Self>,
         pool: PoolPolicy,
         request: GenerationRequest,
         chat: bool,
         permit: CallerPermit,
-    ) -> Result<Response, Refusal> {
+    ) -> Result<Response, Rejection> {
         let (sender, body) = stream_body();
-        let (begun, first_piece) = smol::channel::bounded::<DispatchError>(1);
+        let (start_error, started) = smol::channel::bounded::<DispatchError>(1);
         let front = self.clone();
         self.executor
             .spawn(async move {
                 let mut sink = EventSink {
                     sender: sender.clone(),
-                    begun: Some(begun.clone()),
+                    start_error: Some(start_error.clone()),
                     request: request.clone(),
                     chat,
                 };
@@ -213,18 +214,18 @@
                 match result {
                     Ok(_) => drop(sender.send(b"data: [DONE]\n\n".to_vec()).await),
                     Err(GenerationError::ClientGone) => {}
-                    Err(GenerationError::Dispatch(error)) if sink.begun.is_some() => {
-                        let _ = begun.try_send(error);
+                    Err(GenerationError::Dispatch(error)) if sink.start_error.is_some() => {
+                        let _ = start_error.try_send(error);
                     }
                     Err(GenerationError::Dispatch(error)) => {
                         let outcome = error.outcome();
-                        send_error_event(&sender, Refusal::from(error).into(), outcome).await;
+                        send_error_event(&sender, Rejection::from(error).into(), outcome).await;
                     }
                 }
                 drop(permit);
             })
             .detach();
-        if let Ok(error) = first_piece.recv().await {
+        if let Ok(error) = started.recv().await {
             return Err(error.into());
         }
         let mut response = Response::new(StatusCode::Ok);
@@ -234,34 +235,34 @@
     }
 }
 
-/// The status line has gone out, so the error goes out as an event, and the stream is cut.
-async fn send_error_event(sender: &BodySender, mut refusal: Response, outcome: Outcome) {
-    let body = refusal.body_string().await.unwrap_or_default();
+/// Reports an error after the response head was sent: as an event, followed by an aborted stream.
+async fn send_error_event(sender: &BodySender, mut rejection: Response, outcome: Outcome) {
+    let body = rejection.body_string().await.unwrap_or_default();
     debug_assert!(serde_json::from_str::<ErrorBody>(&body).is_ok());
     let event = format!("data: {body}\n\n");
     let _ = sender.send(event.into_bytes()).await;
     sender.abort(outcome.as_str()).await;
 }
 
-/// How long a streamed answer's tokens may gather: 25 times a second is smooth to read.
-const STREAM_PACE: Duration = Duration::from_millis(40);
+/// Minimum time between two events of a streamed response.
+const STREAM_BATCH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Turns pieces into server-sent events.
+/// Sends chunks as server-sent events.
 struct EventSink {
     sender: BodySender,
-    /// Closed with the first piece, which is when the answer's status goes out.
-    begun: Option<Sender<DispatchError>>,
+    /// Reports a failure before the first chunk; closed and cleared by the first chunk.
+    start_error: Option<Sender<DispatchError>>,
     request: GenerationRequest,
     chat: bool,
 }
 
-impl PieceSink for EventSink {
-    fn pace(&self) -> Duration {
-        STREAM_PACE
+impl ChunkSink for EventSink {
+    fn batch_interval(&self) -> Duration {
+        STREAM_BATCH_INTERVAL
     }
 
-    async fn take(&mut self, piece: &Piece) -> Result<(), GenerationError> {
-        let text = piece.text.as_str();
+    async fn take(&mut self, chunk: &Chunk) -> Result<(), GenerationError> {
+        let text = chunk.text.as_str();
         let event = Event {
             id: &self.request.caller_request,
             object: if self.chat { "chat.completion.chunk" } else { "text_completion" },
@@ -270,29 +271,29 @@
                 index: 0,
                 text: (!self.chat).then_some(text),
                 delta: self.chat.then_some(Delta { content: text }),
-                finish_reason: piece.finish_reason,
+                finish_reason: chunk.finish_reason,
             }],
-            segment: &piece.segment,
+            segment: &chunk.segment,
             seed: self.request.seed,
         };
         let mut part = b"data: ".to_vec();
         serde_json::to_writer(&mut part, &event).expect("a plain data type can be serialised");
         part.extend(b"\n\n");
-        if let Some(begun) = self.begun.take() {
-            begun.close();
+        if let Some(start_error) = self.start_error.take() {
+            start_error.close();
         }
         self.sender.send(part).await.map_err(|_| GenerationError::ClientGone)
     }
 }
 
-fn check_caller(model: &ModelPolicy, caller: &str) -> Result<(), Refusal> {
+fn check_caller(model: &ModelPolicy, caller: &str) -> Result<(), Rejection> {
     if model.callers.contains(caller) {
         return Ok(());
     }
     let message = format!("caller {caller} may not use model {}", model.name);
-    Err(refuse(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
+    Err(reject(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
 }
 
-fn bad_request(code: &str, message: &str) -> Refusal {
-    refuse(StatusCode::BadRequest, code, message, Outcome::NotRun)
+fn bad_request(code: &str, message: &str) -> Rejection {
+    reject(StatusCode::BadRequest, code, message, Outcome::NotRun)
 }
--- a/crates/heronbend-daemon/src/front/mod.rs
+++ b/crates/heronbend-daemon/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP front: what callers and trainers talk to. Several threads, each with its own state.
+//! HTTP front for callers and trainers. Runs on several threads, each with its own state.
 
 mod application;
 mod claims;
@@ -20,17 +20,17 @@
 use smol::Timer;
 
 use crate::dispatch::Dispatcher;
-use crate::shared::{SettingsInForce, Shared};
+use crate::shared::{ActiveSettings, Shared};
 use crate::tasks::Executor;
-use crate::telemetry::AnswerLabels;
-use rejection::{refuse, refuse_with_retry, Refusal};
+use crate::telemetry::ResponseLabels;
+use rejection::{reject, reject_with_retry, Rejection};
 
-/// Largest body that any setting may allow, in bytes; the settings' own limit is checked later.
+/// Upper bound of request bodies in bytes; the configured limit is checked when the body is read.
 const MAX_BODY_BYTES: u64 = 256 << 20;
 const COUNT_INTERVAL: Duration = Duration::from_millis(50);
-const DRAIN_RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of one front thread.
+/// State of one front thread.
 pub struct Front {
     shared: Arc<Shared>,
     executor: Executor,
@@ -38,19 +38,19 @@
     limits: CallerLimits,
 }
 
-/// A request that has passed the general checks.
-struct Admitted {
+/// An authenticated request.
+struct AdmittedRequest {
     request: Request,
-    settings: Arc<SettingsInForce>,
+    settings: Arc<ActiveSettings>,
     caller: CallerPolicy,
 }
 
-impl Admitted {
+impl AdmittedRequest {
     fn policy(&self) -> &Policy {
         &self.settings.policy
     }
 
-    /// The caller's identifier of the request, within the caller's own name space.
+    /// Returns the caller's request id, prefixed with the caller's name.
     fn caller_request(&self) -> String {
         let identifier = self.request.header("x-request-id").map(|values| values.as_str());
         format!("{}:{}", self.caller.name, identifier.unwrap_or_default())
@@ -66,7 +66,7 @@
         shared: shared.clone(),
     });
     let connections = Connections::default();
-    executor.spawn(keep_counting(shared, connections.clone())).detach();
+    executor.spawn(publish_counts(shared, connections.clone())).detach();
     let limits = ServerLimits { max_body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
     let handler = move |request| {
         let front = front.clone();
@@ -75,16 +75,17 @@
     if let Err(error) = connections.serve(executor, listener, limits, handler).await {
         log::error!("event=listener_failed error={error}");
     }
-    // The listener is closed; connections that are open live on this thread's executor.
+    // Open connections are still served by this thread's executor.
     std::future::pending::<()>().await;
 }
 
-/// Publishes this thread's share of the counts that draining waits for.
-async fn keep_counting(shared: Arc<Shared>, connections: Connections) {
-    let (mut exchanges, mut open, mut refused) = (0, 0, 0);
+/// Adds this thread's request and connection counts to the shared totals, and applies draining to its
+/// connections.
+async fn publish_counts(shared: Arc<Shared>, connections: Connections) {
+    let (mut in_flight, mut open, mut refused) = (0, 0, 0);
     loop {
-        publish(&shared.exchanges, &mut exchanges, connections.exchanges());
-        publish(&shared.connections, &mut open, connections.open());
+        publish_change(&shared.in_flight, &mut in_flight, connections.exchanges());
+        publish_change(&shared.connections, &mut open, connections.open());
         let heads = connections.refused_heads();
         shared.metrics.refused_heads.inc_by(heads - refused);
         refused = heads;
@@ -98,8 +99,8 @@
     }
 }
 
-/// Adds this thread's change of a count to the sum of all threads.
-fn publish(sum: &AtomicU64, published: &mut u64, now: usize) {
+/// Adds the change of this thread's count since the last call to the total.
+fn publish_change(sum: &AtomicU64, published: &mut u64, now: usize) {
     let now = now as u64;
     sum.fetch_add(now.wrapping_sub(*published), Ordering::AcqRel);
     *published = now;
@@ -107,54 +108,54 @@
 
 impl Front {
     async fn handle(self: Rc<Self>, request: Request) -> Response {
-        let response = self.clone().answer(request).await;
+        let response = self.clone().respond(request).await;
         let status = u16::from(response.status());
-        self.shared.metrics.answers.get_or_create(&AnswerLabels { status }).inc();
+        self.shared.metrics.answers.get_or_create(&ResponseLabels { status }).inc();
         response
     }
 
-    async fn answer(self: Rc<Self>, request: Request) -> Response {
+    async fn respond(self: Rc<Self>, request: Request) -> Response {
         match (request.method(), request.url().path()) {
             (Method::Get, "/healthz") => Response::new(StatusCode::NoContent),
             (Method::Get, "/readyz") => readiness(&self.shared),
             _ => match self.admit(request) {
                 Ok(admitted) => self.dispatch(admitted).await.unwrap_or_else(Response::from),
-                Err(refusal) => refusal.into(),
+                Err(rejection) => rejection.into(),
             },
         }
     }
 
-    /// The checks that hold for every caller.
-    fn admit(&self, request: Request) -> Result<Admitted, Refusal> {
+    /// Checks that this daemon can serve, and authenticates the caller.
+    fn admit(&self, request: Request) -> Result<AdmittedRequest, Rejection> {
         if self.shared.is_draining() {
-            return Err(refuse_with_retry(
+            return Err(reject_with_retry(
                 StatusCode::ServiceUnavailable,
                 "draining",
                 "this daemon is stopping; ask another",
-                DRAIN_RETRY,
+                RETRY_AFTER,
             ));
         }
         let settings = self.shared.settings.load_full();
-        let Some(settings) = settings.filter(|_| self.shared.serves()) else {
-            return Err(refuse_with_retry(
+        let Some(settings) = settings.filter(|_| self.shared.can_serve()) else {
+            return Err(reject_with_retry(
                 StatusCode::ServiceUnavailable,
                 "settings_not_confirmed",
                 "this daemon does not know the settings in force yet",
-                DRAIN_RETRY,
+                RETRY_AFTER,
             ));
         };
         let caller = authenticate(&request, &settings.policy)?;
-        Ok(Admitted { request, caller, settings })
+        Ok(AdmittedRequest { request, caller, settings })
     }
 
-    async fn dispatch(self: Rc<Self>, admitted: Admitted) -> Result<Response, Refusal> {
+    async fn dispatch(self: Rc<Self>, admitted: AdmittedRequest) -> Result<Response, Rejection> {
         let limit = admitted.caller.max_concurrent;
         let permit = self.limits.admit(&admitted.caller.name, limit).ok_or_else(|| {
-            refuse_with_retry(
+            reject_with_retry(
                 StatusCode::TooManyRequests,
                 "caller_limit",
                 &format!("{limit} requests of this caller are under way"),
-                DRAIN_RETRY,
+                RETRY_AFTER,
             )
         })?;
         let path = admitted.request.url().path().to_owned();
@@ -170,11 +171,11 @@
     }
 }
 
-fn authenticate(request: &Request, policy: &Policy) -> Result<CallerPolicy, Refusal> {
+fn authenticate(request: &Request, policy: &Policy) -> Result<CallerPolicy, Rejection> {
     let header = request.header("authorization").map(|values| values.as_str());
     let token = header.and_then(|value| value.strip_prefix("Bearer "));
     token.and_then(|token| policy.authenticate(token.trim())).cloned().ok_or_else(|| {
-        refuse(
+        reject(
             StatusCode::Unauthorized,
             "unknown_caller",
             "a bearer token of a known caller is needed",
@@ -183,11 +184,11 @@
     })
 }
 
-/// Answer of `/readyz`.
+/// Returns the response of `/readyz`.
 pub fn readiness(shared: &Shared) -> Response {
     let reason = if shared.is_draining() {
         Some("draining")
-    } else if !shared.serves() {
+    } else if !shared.can_serve() {
         Some("settings_not_confirmed")
     } else if !shared.joined.load(Ordering::Acquire) {
         Some("replica_sets_not_whole")
@@ -197,7 +198,7 @@
     match reason {
         None => Response::new(StatusCode::NoContent),
         Some(reason) => {
-            refuse(StatusCode::ServiceUnavailable, reason, reason, Outcome::NotRun).into()
+            reject(StatusCode::ServiceUnavailable, reason, reason, Outcome::NotRun).into()
         }
     }
 }
--- a/crates/heronbend-daemon/src/front/rejection.rs
+++ b/crates/heronbend-daemon/src/front/rejection.rs
@@ -1,4 +1,4 @@
-//! Refusals, and how the errors of the layers below are answered.
+//! Error responses, and the conversion of errors from the layers below.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 use crate::dispatch::{retry_after, DispatchError};
 use crate::tasks::register::RegisterError;
 
-/// A request that is not served, with its answer.
-pub struct Refusal(Box<Response>);
+/// The error response to a rejected or failed request.
+pub struct Rejection(Box<Response>);
 
-impl From<Refusal> for Response {
-    fn from(refusal: Refusal) -> Self {
-        *refusal.0
+impl From<Rejection> for Response {
+    fn from(rejection: Rejection) -> Self {
+        *rejection.0
     }
 }
 
-impl From<Response> for Refusal {
+impl From<Response> for Rejection {
     fn from(response: Response) -> Self {
         Self(Box::new(response))
     }
 }
 
-/// A final refusal.
-pub fn refuse(status: StatusCode, code: &str, message: &str, outcome: Outcome) -> Refusal {
+/// Creates an error response without `retry-after`.
+pub fn reject(status: StatusCode, code: &str, message: &str, outcome: Outcome) -> Rejection {
     error_response(status, code, message, outcome).into()
 }
 
-/// A refusal of what was not run, which says when to come back.
-pub fn refuse_with_retry(
+/// Creates an error response for a request that did not run, with a `retry-after` header.
+pub fn reject_with_retry(
     status: StatusCode,
     code: &str,
     message: &str,
     after: Duration,
-) -> Refusal {
+) -> Rejection {
     let mut response = error_response(status, code, message, Outcome::NotRun);
     set_retry_after(&mut response, after);
     response.into()
@@ -45,7 +45,7 @@
     response.insert_header("retry-after", seconds.to_string());
 }
 
-impl From<DispatchError> for Refusal {
+impl From<DispatchError> for Rejection {
     fn from(error: DispatchError) -> Self {
         let (status, code) = match &error {
             DispatchError::NoBackend(_) => (StatusCode::ServiceUnavailable, "no_back_end"),
@@ -60,10 +60,10 @@
     }
 }
 
-impl From<RegisterError> for Refusal {
+impl From<RegisterError> for Rejection {
     fn from(error: RegisterError) -> Self {
         let message = error.to_string();
-        refuse_with_retry(
+        reject_with_retry(
             StatusCode::ServiceUnavailable,
             "register_unavailable",
             &message,
--- a/crates/heronbend-daemon/src/front/rollouts.rs
+++ b/crates/heronbend-daemon/src/front/rollouts.rs
@@ -1,4 +1,4 @@
-//! The trainers' side: posting steps and fetching batches.
+//! Trainer endpoints: posting steps, fetching and completing batches.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use heronbend_http::http_types::{Method, Response, StatusCode};
 use heronbend_http::{json_response, read_body, Outcome};
 
-use super::rejection::{refuse, refuse_with_retry, Refusal};
-use super::{Admitted, Front};
+use super::rejection::{reject, reject_with_retry, Rejection};
+use super::{AdmittedRequest, Front};
 use crate::tasks::rollout::{call_rollout, RolloutCall, RolloutError, StepName};
 
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Front {
     pub(super) async fn serve_trainer(
         self: Rc<Self>,
-        mut admitted: Admitted,
+        mut admitted: AdmittedRequest,
         trainer: &str,
         rest: &[&str],
-    ) -> Result<Response, Refusal> {
+    ) -> Result<Response, Rejection> {
         check_trainer(&admitted, trainer)?;
         let (step, action) = match rest {
             ["steps", step, action @ ..] => (step.parse::<u64>().ok(), action),
@@ -54,16 +54,16 @@
 
     async fn post_step(
         &self,
-        admitted: &mut Admitted,
+        admitted: &mut AdmittedRequest,
         name: StepName,
-    ) -> Result<Response, Refusal> {
+    ) -> Result<Response, Rejection> {
         let (max_body, timeout) = (admitted.policy().max_body, admitted.policy().body_timeout);
         let body = read_body(&mut admitted.request, max_body, timeout)
             .await
             .map_err(|error| error.response())?;
         let request: StepRequest = serde_json::from_slice(&body).map_err(|error| {
             let message = error.to_string();
-            refuse(StatusCode::BadRequest, "invalid_json", &message, Outcome::NotRun)
+            reject(StatusCode::BadRequest, "invalid_json", &message, Outcome::NotRun)
         })?;
         let make = |reply| RolloutCall::Post { name, request, reply };
         let accepted = call_rollout(&self.shared, make).await?;
@@ -71,41 +71,41 @@
     }
 }
 
-fn check_trainer(admitted: &Admitted, trainer: &str) -> Result<(), Refusal> {
+fn check_trainer(admitted: &AdmittedRequest, trainer: &str) -> Result<(), Rejection> {
     let known = admitted.policy().trainers.get(trainer);
     let known = known.ok_or(RolloutError::UnknownTrainer)?;
     if known.caller == admitted.caller.name {
         return Ok(());
     }
     let message = format!("caller {} may not act for trainer {trainer}", admitted.caller.name);
-    Err(refuse(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
+    Err(reject(StatusCode::Forbidden, "forbidden", &message, Outcome::NotRun))
 }
 
-fn query_number(admitted: &Admitted, name: &str) -> Result<u64, Refusal> {
+fn query_number(admitted: &AdmittedRequest, name: &str) -> Result<u64, Rejection> {
     let url = admitted.request.url();
     let value = url.query_pairs().find(|(key, _)| key == name);
     value.and_then(|(_, value)| value.parse().ok()).ok_or_else(|| {
         let message = format!("the query must state {name} as a number");
-        refuse(StatusCode::BadRequest, "bad_query", &message, Outcome::NotRun)
+        reject(StatusCode::BadRequest, "bad_query", &message, Outcome::NotRun)
     })
 }
 
-fn not_found() -> Refusal {
+fn not_found() -> Rejection {
     let message = "see the trainers' interface for the paths there are";
-    refuse(StatusCode::NotFound, "not_found", message, Outcome::NotRun)
+    reject(StatusCode::NotFound, "not_found", message, Outcome::NotRun)
 }
 
-impl From<RolloutError> for Refusal {
+impl From<RolloutError> for Rejection {
     fn from(error: RolloutError) -> Self {
         let message = error.to_string();
         let (status, code) = match &error {
             RolloutError::Register(error) => return (*error).into(),
             RolloutError::Draining => {
-                return refuse_with_retry(
+                return reject_with_retry(
                     StatusCode::ServiceUnavailable,
                     "draining",
                     &message,
-                    RETRY,
+                    RETRY_AFTER,
                 );
             }
             RolloutError::UnknownTrainer => (StatusCode::NotFound, "unknown_trainer"),
@@ -118,6 +118,6 @@
             }
             RolloutError::Refused(_) => (StatusCode::Conflict, "step_refused"),
         };
-        refuse(status, code, &message, Outcome::NotRun)
+        reject(status, code, &message, Outcome::NotRun)
     }
 }
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -1,8 +1,8 @@
-//! Generation: one text from one or more engines.
+//! Text generation on one or more engines.
 //!
-//! The daemon always reads a stream, checks every chunk's identifier and position, and knows at each
-//! token which version drew it. When an engine is lost mid-text, another goes on from the last
-//! token, and the segments say so.
+//! Output is always read as a stream. Each chunk's attempt id and token offset are checked, and the
+//! weight version that generated each token is recorded. If an engine fails mid-stream, another one
+//! resumes after the last received token; the segments record which engine generated which tokens.
 
 use std::pin::pin;
 use std::time::{Duration, Instant};
@@ -24,34 +24,34 @@
 
 use crate::dispatch::{AttemptFailure, DispatchError, Dispatcher};
 
-/// Longest silence of an engine within a stream.
+/// Maximum time between two chunks of an engine's stream.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a prompt that decide which engine is preferred.
+/// Length of the prompt prefix that is hashed for prefix affinity, in bytes.
 const PREFIX_BYTES: usize = 64;
 const DATA_PREFIX: &str = "data: ";
 const STREAM_END: &str = "[DONE]";
 
-/// What is to be generated.
+/// Parameters of a generation.
 #[derive(Debug, Clone)]
 pub struct GenerationRequest {
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Most tokens.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Lower runs first.
+    /// Scheduling priority at the engine; lower values run first.
     pub priority: i32,
-    /// Oldest weight version that will do.
+    /// Oldest acceptable weight version.
     pub min_version: Option<u64>,
-    /// The caller and its identifier of the request.
+    /// Caller name and the caller's request id.
     pub caller_request: String,
 }
 
 impl GenerationRequest {
-    /// What tells that the request has come before, whatever its seed.
+    /// Returns the fingerprint that identifies repetitions of this request; the seed is ignored.
     fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&FingerprintInput {
             method: "POST",
@@ -63,149 +63,150 @@
     }
 }
 
-/// A piece of the text, as it comes.
+/// A chunk of generated text.
 #[derive(Debug, Clone)]
-pub struct Piece {
-    /// New text.
+pub struct Chunk {
+    /// Text of this chunk.
     pub text: String,
-    /// What drew it.
+    /// Engine, weight version and token range of this chunk.
     pub segment: Segment,
-    /// Set on the last piece.
+    /// Set on the last chunk.
     pub finish_reason: Option<FinishReason>,
 }
 
-/// A whole text.
+/// The complete output of a generation.
 #[derive(Debug, Clone)]
-pub struct Generated {
-    /// The text.
+pub struct GenerationOutput {
+    /// Generated text.
     pub text: String,
-    /// What drew it.
+    /// Engines and weight versions that generated the text, by token range.
     pub segments: Vec<Segment>,
-    /// Why it ended.
+    /// Why the generation ended.
     pub finish_reason: FinishReason,
 }
 
-/// Why there is no whole text.
+/// Errors of a generation.
 #[derive(Debug, Error)]
 pub enum GenerationError {
-    /// No engine could begin or go on.
+    /// No engine could start or resume the generation.
     #[error(transparent)]
     Dispatch(#[from] DispatchError),
-    /// The reader of the pieces has gone; the engine's stream is cancelled.
+    /// The client disconnected; the engine's stream is cancelled.
     #[error("the client is gone")]
     ClientGone,
 }
 
-/// How long tokens may gather before they are read, where nobody watches them come.
-const UNWATCHED_PACE: Duration = Duration::from_millis(50);
+/// Default of [`ChunkSink::batch_interval`], for output that no client reads as it arrives.
+const DEFAULT_BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where pieces go.
-pub trait PieceSink {
-    /// How long tokens may gather before they are read together, after the first.
-    fn pace(&self) -> Duration {
-        UNWATCHED_PACE
+/// Receives the chunks of a generation.
+pub trait ChunkSink {
+    /// Minimum time between two reads from the engine; tokens that arrive meanwhile are read together.
+    fn batch_interval(&self) -> Duration {
+        DEFAULT_BATCH_INTERVAL
     }
 
-    /// Takes a piece; an error cancels the generation.
+    /// Accepts a chunk; an error cancels the generation.
     fn take(
         &mut self,
-        piece: &Piece,
+        chunk: &Chunk,
     ) -> impl std::future::Future<Output = Result<(), GenerationError>>;
 }
 
-/// Keeps no pieces: for whole answers.
-pub struct NoSink;
+/// Discards all chunks, for callers that only use the complete output.
+pub struct NullSink;
 
-impl PieceSink for NoSink {
-    async fn take(&mut self, _: &Piece) -> Result<(), GenerationError> {
+impl ChunkSink for NullSink {
+    async fn take(&mut self, _: &Chunk) -> Result<(), GenerationError> {
         Ok(())
     }
 }
 
-/// A text in the making.
-struct Progress {
+/// Output received so far.
+struct PartialOutput {
     text: String,
     segments: Vec<Segment>,
 }
 
-impl Progress {
+impl PartialOutput {
     fn tokens(&self) -> u32 {
         self.segments.last().map_or(0, |segment| segment.end)
     }
 }
 
-/// How one engine's stream ended.
-enum StreamEnd {
+/// How an engine's stream ended.
+enum StreamOutcome {
     Finished(FinishReason),
-    Broken(String),
+    Interrupted(String),
 }
 
-/// Generates a text.
+/// Generates text, resuming on another engine after a failure.
 pub async fn generate(
     dispatcher: &Dispatcher,
     pool: &PoolPolicy,
     request: &GenerationRequest,
-    sink: &mut impl PieceSink,
-) -> Result<Generated, GenerationError> {
-    dispatcher.note_fresh();
+    sink: &mut impl ChunkSink,
+) -> Result<GenerationOutput, GenerationError> {
+    dispatcher.record_new_request();
     let prefix = prompt_prefix(&request.prompt);
     let deadline = Instant::now() + pool.request_timeout;
-    let mut progress = Progress { text: String::new(), segments: Vec::new() };
+    let mut output = PartialOutput { text: String::new(), segments: Vec::new() };
     let mut tried: Vec<BackendName> = Vec::new();
     let mut failure = None;
     for number in 1..=pool.max_attempts {
-        if number > 1 && !dispatcher.may_retry(number - 1).await {
+        if number > 1 && !dispatcher.prepare_retry(number - 1).await {
             break;
         }
-        if let Err(refusal) = dispatcher.admit(|| request.fingerprint()) {
-            return Err(failure.unwrap_or(refusal).into());
+        if let Err(error) = dispatcher.admit(|| request.fingerprint()) {
+            return Err(failure.unwrap_or(error).into());
         }
-        let choice = dispatcher.choose(pool, Some(prefix), request.min_version, &tried).await;
+        let choice =
+            dispatcher.select_backend(pool, Some(prefix), request.min_version, &tried).await;
         let chosen = match choice {
             Ok(chosen) => chosen,
-            Err(refusal) => return Err(failure.unwrap_or(refusal).into()),
+            Err(error) => return Err(failure.unwrap_or(error).into()),
         };
         tried.push(chosen.backend.name.clone());
-        let outgoing = engine_request(&chosen.backend.address.to_string(), request, &progress);
-        let left = deadline.saturating_duration_since(Instant::now());
+        let outgoing = engine_request(&chosen.backend.address.to_string(), request, &output);
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let attempt =
-            dispatcher.attempt(&chosen.backend, outgoing, &request.caller_request, left).await;
+            dispatcher.attempt(&chosen.backend, outgoing, &request.caller_request, remaining).await;
         let (reply, attempt) = match attempt {
-            Ok(begun) => begun,
+            Ok(started) => started,
             Err(AttemptFailure::NotRun(message)) => {
-                chosen.conclude(RequestOutcome::Failed);
+                chosen.finish(RequestOutcome::Failed);
                 failure = Some(failure.unwrap_or(DispatchError::NotRun(message)));
                 continue;
             }
-            Err(broken @ (AttemptFailure::BrokenOff(_) | AttemptFailure::Unknown(_))) => {
+            Err(broken @ (AttemptFailure::ConnectionBroken(_) | AttemptFailure::Unknown(_))) => {
                 let backend = chosen.backend.clone();
-                chosen.conclude(RequestOutcome::Failed);
+                chosen.finish(RequestOutcome::Failed);
                 let request = request.fingerprint();
-                let message = dispatcher.note_failure(broken, request, &backend).await;
+                let message = dispatcher.record_failure(broken, request, &backend).await;
                 failure = Some(DispatchError::Unknown(message));
                 continue;
             }
         };
-        if !progress.segments.is_empty() {
+        if !output.segments.is_empty() {
             dispatcher.shared().metrics.resumed.inc();
         }
-        let end = read_stream(dispatcher, reply, &attempt, deadline, &mut progress, sink).await?;
+        let end = read_stream(dispatcher, reply, &attempt, deadline, &mut output, sink).await?;
         match end {
-            StreamEnd::Finished(finish_reason) => {
-                dispatcher.note_answer(|| request.fingerprint());
-                chosen.conclude(RequestOutcome::Answered);
-                return Ok(Generated {
-                    text: progress.text,
-                    segments: progress.segments,
+            StreamOutcome::Finished(finish_reason) => {
+                dispatcher.note_response(|| request.fingerprint());
+                chosen.finish(RequestOutcome::Answered);
+                return Ok(GenerationOutput {
+                    text: output.text,
+                    segments: output.segments,
                     finish_reason,
                 });
             }
-            StreamEnd::Broken(message) => {
+            StreamOutcome::Interrupted(message) => {
                 let backend = chosen.backend.clone();
-                chosen.conclude(RequestOutcome::Failed);
-                if progress.segments.is_empty() {
-                    let broken = AttemptFailure::BrokenOff(message.clone());
-                    dispatcher.note_failure(broken, request.fingerprint(), &backend).await;
+                chosen.finish(RequestOutcome::Failed);
+                if output.segments.is_empty() {
+                    let broken = AttemptFailure::ConnectionBroken(message.clone());
+                    dispatcher.record_failure(broken, request.fingerprint(), &backend).await;
                 }
                 failure = Some(DispatchError::Unknown(message));
             }
@@ -215,10 +216,10 @@
     Err(failure.into())
 }
 
-fn engine_request(address: &str, request: &GenerationRequest, progress: &Progress) -> Request {
-    let resume = (!progress.segments.is_empty()).then(|| Resume {
-        tokens: progress.tokens(),
-        text: progress.text.clone(),
+fn engine_request(address: &str, request: &GenerationRequest, output: &PartialOutput) -> Request {
+    let resume = (!output.segments.is_empty()).then(|| Resume {
+        tokens: output.tokens(),
+        text: output.text.clone(),
         kv_handle: None,
     });
     let body = GenerateRequest {
@@ -238,21 +239,21 @@
     outgoing
 }
 
-/// Reads one engine's stream to its end, or to the first thing that is not as it should be.
+/// Reads an engine's stream until it ends, fails or sends an invalid chunk.
 async fn read_stream(
     dispatcher: &Dispatcher,
     mut reply: Reply,
     attempt: &str,
     deadline: Instant,
-    progress: &mut Progress,
-    sink: &mut impl PieceSink,
-) -> Result<StreamEnd, GenerationError> {
+    output: &mut PartialOutput,
+    sink: &mut impl ChunkSink,
+) -> Result<StreamOutcome, GenerationError> {
     if !reply.status().is_success() {
-        return Ok(StreamEnd::Broken(format!("the engine answered {}", reply.status())));
+        return Ok(StreamOutcome::Interrupted(format!("the engine answered {}", reply.status())));
     }
     let mut line = String::new();
     let mut finished = None;
-    let mut next_look = Instant::now();
+    let mut next_read = Instant::now();
     loop {
         line.clear();
         let read = async {
@@ -260,10 +261,10 @@
             if let Some(read) = poll_once(reading.as_mut()).await {
                 return Some(read);
             }
-            // Nothing is buffered. Tokens that come meanwhile are read at once, later.
-            Timer::at(next_look).await;
+            // No data is buffered: wait until the next read is due, so that tokens are read in batches.
+            Timer::at(next_read).await;
             let read = reading.await;
-            next_look = Instant::now() + sink.pace();
+            next_read = Instant::now() + sink.batch_interval();
             Some(read)
         };
         let limit = deadline.min(Instant::now() + CHUNK_TIMEOUT);
@@ -272,8 +273,8 @@
             None
         });
         match read.await {
-            None => return Ok(StreamEnd::Broken("the engine fell silent".to_owned())),
-            Some(Err(error)) => return Ok(StreamEnd::Broken(error.to_string())),
+            None => return Ok(StreamOutcome::Interrupted("the engine fell silent".to_owned())),
+            Some(Err(error)) => return Ok(StreamOutcome::Interrupted(error.to_string())),
             Some(Ok(0)) => break,
             Some(Ok(_)) => {}
         }
@@ -283,28 +284,28 @@
         if data == STREAM_END {
             continue;
         }
-        let piece = match accept_chunk(data, attempt, progress) {
-            Ok(piece) => piece,
+        let chunk = match accept_chunk(data, attempt, output) {
+            Ok(chunk) => chunk,
             Err(message) => {
                 dispatcher.shared().metrics.foreign_answers.inc();
-                return Ok(StreamEnd::Broken(message));
+                return Ok(StreamOutcome::Interrupted(message));
             }
         };
-        finished = piece.finish_reason;
+        finished = chunk.finish_reason;
         dispatcher.shared().metrics.tokens.inc();
-        sink.take(&piece).await?;
+        sink.take(&chunk).await?;
     }
     match finished {
         Some(reason) => {
             reply.finish();
-            Ok(StreamEnd::Finished(reason))
+            Ok(StreamOutcome::Finished(reason))
         }
-        None => Ok(StreamEnd::Broken("the engine's stream ended early".to_owned())),
+        None => Ok(StreamOutcome::Interrupted("the engine's stream ended early".to_owned())),
     }
 }
 
-/// Checks that a chunk belongs to the attempt and follows on, and adds it to the text.
-fn accept_chunk(data: &str, attempt: &str, progress: &mut Progress) -> Result<Piece, String> {
+/// Validates a chunk's attempt id and offset, and appends it to the output.
+fn accept_chunk(data: &str, attempt: &str, output: &mut PartialOutput) -> Result<Chunk, String> {
     let chunk: GenerateChunk = serde_json::from_str(data).map_err(|error| error.to_string())?;
     if chunk.id != attempt {
         return Err("a chunk belongs to another attempt".to_owned());
@@ -318,11 +319,11 @@
         incarnation: stamp.incarnation,
     };
     let [choice] = chunk.choices;
-    if !append_segment(&mut progress.segments, segment.clone()) {
+    if !append_segment(&mut output.segments, segment.clone()) {
         return Err("a chunk does not follow on".to_owned());
     }
-    progress.text += &choice.text;
-    Ok(Piece { text: choice.text, segment, finish_reason: choice.finish_reason })
+    output.text += &choice.text;
+    Ok(Chunk { text: choice.text, segment, finish_reason: choice.finish_reason })
 }
 
 fn prompt_prefix(prompt: &str) -> u64 {
--- a/crates/heronbend-daemon/src/peer.rs
+++ b/crates/heronbend-daemon/src/peer.rs
@@ -76,7 +76,7 @@
     reply: PeerReply,
 }
 
-struct Outgoing {
+struct OutgoingCall {
     frame: Vec<u8>,
     call: u64,
     reply: Sender<PeerReply>,
@@ -87,7 +87,7 @@
 pub struct PeerClient {
     shared: Arc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
-    connections: Rc<RefCell<HashMap<SocketAddr, Sender<Outgoing>>>>,
+    connections: Rc<RefCell<HashMap<SocketAddr, Sender<OutgoingCall>>>>,
     next_call: Rc<RefCell<u64>>,
 }
 
@@ -119,7 +119,7 @@
         let frame = encode_frame(&frame)?;
         self.shared.metrics.peer_bytes_sent.inc_by(frame.len() as u64);
         let connection = self.connection(address);
-        connection.try_send(Outgoing { frame, call, reply }).ok()?;
+        connection.try_send(OutgoingCall { frame, call, reply }).ok()?;
         let received = async { replies.recv().await.ok() };
         received
             .or(async {
@@ -129,7 +129,7 @@
             .await
     }
 
-    fn connection(&self, address: SocketAddr) -> Sender<Outgoing> {
+    fn connection(&self, address: SocketAddr) -> Sender<OutgoingCall> {
         let mut connections = self.connections.borrow_mut();
         if let Some(connection) = connections.get(&address).filter(|open| !open.is_closed()) {
             return connection.clone();
@@ -151,7 +151,7 @@
 
 /// Sends requests and hands replies to their callers; ends when either side fails, upon which all
 /// calls that wait get no reply.
-async fn drive_connection(address: SocketAddr, outgoing: Receiver<Outgoing>) -> io::Result<()> {
+async fn drive_connection(address: SocketAddr, outgoing: Receiver<OutgoingCall>) -> io::Result<()> {
     // Dropping the receiver closes the channel, so that the next call makes a new connection.
     let connecting = TcpStream::connect(address).or(async {
         Timer::after(CONNECT_TIMEOUT).await;
--- a/crates/heronbend-daemon/src/platform_client.rs
+++ b/crates/heronbend-daemon/src/platform_client.rs
@@ -13,23 +13,23 @@
 const TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time that a watch is held open by the platform, with room for its answer.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
-const MAX_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a request to the platform failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     /// No answer: for a write it is unknown whether it took effect.
     #[error("no answer: {0}")]
-    NoAnswer(#[from] ClientError),
+    NoResponse(#[from] ClientError),
     /// The platform refused; nothing was changed.
     #[error("the platform refused with status {0}")]
-    Refused(StatusCode),
+    Rejected(StatusCode),
     /// Somebody else wrote the object first; nothing was changed.
     #[error("the object was changed by somebody else")]
     Conflict,
     /// The answer could not be read.
     #[error("unreadable answer: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    InvalidResponse(#[from] serde_json::Error),
 }
 
 /// A client of the platform, for one thread.
@@ -53,7 +53,7 @@
         let path = format!("/objects/{object}");
         match self.get(&path, TIMEOUT).await {
             Ok(bytes) => Ok(Some(serde_json::from_slice(&bytes)?)),
-            Err(PlatformError::Refused(StatusCode::NotFound)) => Ok(None),
+            Err(PlatformError::Rejected(StatusCode::NotFound)) => Ok(None),
             Err(error) => Err(error),
         }
     }
@@ -83,7 +83,7 @@
         let body = serde_json::to_vec(value)?;
         match self.send(Method::Put, &path, body, TIMEOUT).await {
             Ok(_) => Ok(()),
-            Err(PlatformError::Refused(StatusCode::Conflict)) => Err(PlatformError::Conflict),
+            Err(PlatformError::Rejected(StatusCode::Conflict)) => Err(PlatformError::Conflict),
             Err(error) => Err(error),
         }
     }
@@ -121,11 +121,12 @@
             .expect("a socket address and a path make a valid URL");
         let mut request = Request::new(method, url);
         request.set_body(body);
-        let (status, bytes) = self.client.fetch(self.address, request, timeout, MAX_BYTES).await?;
+        let (status, bytes) =
+            self.client.fetch(self.address, request, timeout, MAX_RESPONSE_BYTES).await?;
         if status.is_success() {
             Ok(bytes)
         } else {
-            Err(PlatformError::Refused(status))
+            Err(PlatformError::Rejected(status))
         }
     }
 }
--- a/crates/heronbend-daemon/src/quarantine.rs
+++ b/crates/heronbend-daemon/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Requests that end the back ends that run them, as one thread of the daemon knows them.
+//! Quarantine of requests that crash backends.
 //!
-//! [`heronbend::quarantine`] decides. What is known is kept by request, so that a caller which comes again
-//! does not end one back end after the other. Each thread counts for itself: there is no record that all
-//! daemons share, and probes are granted here.
+//! Drives [`heronbend::quarantine`]. Crashes are counted by request fingerprint, so that a caller that
+//! retries does not crash one backend after another. The state is local to each thread: it is not shared
+//! between daemons, and each thread grants its own probes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,29 +21,29 @@
 use smol::net::TcpStream;
 use smol::Timer;
 
-/// Rests before the looks at a back end's address: a process does not end all at one moment.
-const LOOKS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(60)];
-/// Longest wait for a connection that shows whether a process listens.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Delays before each connection probe; an exiting process may accept connections for a short time.
+const CONNECT_PROBE_DELAYS: [Duration; 2] = [Duration::ZERO, Duration::from_millis(60)];
+/// Timeout of a connection probe.
+const CONNECT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request that may not be sent to back ends now.
+/// Rejection of a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
-    /// Time after which it may.
+    /// Time after which the request may be retried.
     pub retry_after: Duration,
 }
 
-/// What one thread knows of requests that back ends ended under.
+/// Quarantine state of one thread.
 #[derive(Default)]
 pub struct Quarantine {
     table: RefCell<Table>,
-    /// How often each back end was found gone. Its next run may answer at the address before the list of
-    /// machines names it, so that the incarnation does not tell them apart.
-    ends: RefCell<BTreeMap<BackendName, u64>>,
+    /// Number of observed exits of each backend. It distinguishes runs with the same incarnation: a
+    /// restarted backend may serve before the machine list shows its new incarnation.
+    exit_counts: RefCell<BTreeMap<BackendName, u64>>,
 }
 
 impl Quarantine {
-    /// Whether a request may be sent to a back end. A probe counts as made.
+    /// Checks whether a request may be sent; an admitted probe is recorded as sent.
     pub fn admit(&self, now: Moment, request: impl FnOnce() -> Fingerprint) -> Result<(), Refused> {
         let mut table = self.table.borrow_mut();
         if table.is_empty() {
@@ -63,28 +63,33 @@
         }
     }
 
-    /// Notes that the connection of a request to a back end broke before its answer, and finds out whether
-    /// the back end is gone.
-    pub async fn note_break(&self, now: Moment, request: Fingerprint, backend: &Backend) {
-        let run = self.run(backend);
+    /// Records that a backend's connection broke before the response was complete, and probes whether the
+    /// backend still accepts connections.
+    pub async fn note_broken_connection(
+        &self,
+        now: Moment,
+        request: Fingerprint,
+        backend: &Backend,
+    ) {
+        let run = self.run_id(backend);
         self.table.borrow_mut().note_broken_connection(now, request, &run);
-        for rest in LOOKS {
-            Timer::after(rest).await;
-            if refuses(backend.address).await {
-                self.note_end(now, &backend.name, &run);
+        for delay in CONNECT_PROBE_DELAYS {
+            Timer::after(delay).await;
+            if refuses_connections(backend.address).await {
+                self.note_backend_gone(now, &backend.name, &run);
                 return;
             }
         }
     }
 
-    /// Names the run of a back end that requests are sent to now.
-    fn run(&self, backend: &Backend) -> String {
-        let ends = self.ends.borrow().get(&backend.name).copied().unwrap_or(0);
-        format!("{}#{}/{ends}", backend.name, backend.incarnation)
+    /// Returns the identifier of a backend's current run.
+    fn run_id(&self, backend: &Backend) -> String {
+        let exit_counts = self.exit_counts.borrow().get(&backend.name).copied().unwrap_or(0);
+        format!("{}#{}/{exit_counts}", backend.name, backend.incarnation)
     }
 
-    fn note_end(&self, now: Moment, name: &BackendName, run: &str) {
-        *self.ends.borrow_mut().entry(name.clone()).or_default() += 1;
+    fn note_backend_gone(&self, now: Moment, name: &BackendName, run: &str) {
+        *self.exit_counts.borrow_mut().entry(name.clone()).or_default() += 1;
         let mut table = self.table.borrow_mut();
         for (request, change) in table.note_server_gone(now, run) {
             log::info!("event=backend_ended backend={run} request={request} change={change:?}");
@@ -95,8 +100,8 @@
         table.expire(now);
     }
 
-    /// Notes a whole answer to a request: whatever ended back ends under it, it was not this.
-    pub fn note_answer(&self, request: impl FnOnce() -> Fingerprint) {
+    /// Records a complete response, which clears the request's crash history.
+    pub fn note_response(&self, request: impl FnOnce() -> Fingerprint) {
         let mut table = self.table.borrow_mut();
         if !table.is_empty() {
             table.clear(request());
@@ -104,12 +109,12 @@
     }
 }
 
-/// Whether nothing listens at an address.
-async fn refuses(address: SocketAddr) -> bool {
+/// Returns whether an address refuses connections; a timeout counts as `false`.
+async fn refuses_connections(address: SocketAddr) -> bool {
     let connecting = async { TcpStream::connect(address).await.is_err() };
-    let silent = async {
-        Timer::after(LOOK_TIMEOUT).await;
+    let timed_out = async {
+        Timer::after(CONNECT_PROBE_TIMEOUT).await;
         false
     };
-    connecting.or(silent).await
+    connecting.or(timed_out).await
 }
--- a/crates/heronbend-daemon/src/serve.rs
+++ b/crates/heronbend-daemon/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon's threads, and stops it without cutting anything off.
+//! Startup and graceful shutdown of a daemon.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
@@ -17,25 +17,25 @@
 use crate::tasks::{self, shards, spawn_thread, Polling};
 use crate::{admin, front};
 
-/// Longest time that a stop waits for requests under way.
-const DRAIN_LIMIT: Duration = Duration::from_secs(120);
-/// Time that load balancers and peers have to notice before connections are counted.
-const DRAIN_NOTICE: Duration = Duration::from_millis(500);
+/// Maximum time that shutdown waits for in-flight requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Time for load balancers and peers to notice that this daemon is draining.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// How long idle connections are kept open while draining.
-const IDLE_LIMIT: Duration = Duration::from_secs(5);
-/// Longest time that readiness waits for the replica sets to be whole.
-const JOIN_LIMIT: Duration = Duration::from_secs(20);
+/// How long idle connections are kept open during draining.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time that readiness waits for complete replica sets.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Flags of `serve`; a file given with --config may state the same, flags win.
+/// Flags of `serve`. A file given with --config may set the same options; flags take precedence.
 #[derive(Args, Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServeArguments {
-    /// TOML file with the same names as these flags, underscores for hyphens.
+    /// TOML file with the same options as these flags, with underscores instead of hyphens.
     #[arg(long)]
     #[serde(skip)]
     config: Option<PathBuf>,
-    /// Name of this daemon, kept across restarts.
+    /// Name of this daemon, stable across restarts.
     #[arg(long)]
     node: Option<String>,
     /// Zone of this machine.
@@ -44,32 +44,32 @@
     /// Region of this machine.
     #[arg(long)]
     region: Option<String>,
-    /// Where callers and trainers connect.
+    /// Address on which callers and trainers connect.
     #[arg(long)]
     listen: Option<SocketAddr>,
-    /// Where other daemons connect, by TCP and UDP.
+    /// Address on which other daemons connect, TCP and UDP.
     #[arg(long)]
     peer_listen: Option<SocketAddr>,
-    /// Where operators connect.
+    /// Address of the operators' interface.
     #[arg(long)]
     admin_listen: Option<SocketAddr>,
-    /// The platform.
+    /// Address of the platform API.
     #[arg(long)]
     platform: Option<SocketAddr>,
-    /// Peer addresses of other daemons, for a start while the platform is down.
+    /// Peer addresses of other daemons, used to start while the platform is down.
     #[arg(long, value_delimiter = ',')]
     seed_peers: Vec<SocketAddr>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     #[arg(long)]
     front_threads: Option<usize>,
-    /// Lets tests bring about faults through the operators' interface.
+    /// Allow tests to inject faults through the operators' interface.
     #[arg(long)]
     allow_failpoints: bool,
 }
 
 impl ServeArguments {
-    /// These flags, with what the file states where a flag is missing.
-    fn completed(self) -> anyhow::Result<Self> {
+    /// Fills missing flags from the configuration file.
+    fn with_config_file(self) -> anyhow::Result<Self> {
         let Some(path) = &self.config else {
             return Ok(self);
         };
@@ -91,8 +91,8 @@
         })
     }
 
-    /// Every flag that is needed and missing, at once.
-    fn check(&self) -> anyhow::Result<()> {
+    /// Fails if required flags are missing, listing all of them.
+    fn ensure_required(&self) -> anyhow::Result<()> {
         let needed = [
             ("node", self.node.is_none()),
             ("zone", self.zone.is_none()),
@@ -111,11 +111,11 @@
     }
 }
 
-/// Runs a daemon until it is told to stop and has drained.
+/// Runs a daemon until it is stopped and has drained.
 pub fn run(arguments: ServeArguments) -> anyhow::Result<()> {
-    let arguments = arguments.completed()?;
-    arguments.check()?;
-    // Each connection takes a descriptor; the soft limit is often far below the hard one.
+    let arguments = arguments.with_config_file()?;
+    arguments.ensure_required()?;
+    // Each connection uses a file descriptor; the default soft limit is often too low.
     if let Err(error) = rlimit::increase_nofile_limit(u64::MAX) {
         log::warn!("event=descriptor_limit_not_raised error={error}");
     }
@@ -150,7 +150,7 @@
         let listener = http.try_clone()?;
         let shared = shared.clone();
         spawn_thread(&format!("front-{number}"), Polling::Reactor, move |executor| async move {
-            match asynchronous(listener) {
+            match into_async(listener) {
                 Ok(listener) => front::run(shared, executor, listener).await,
                 Err(error) => log::error!("event=listener_failed error={error}"),
             }
@@ -159,7 +159,7 @@
     drop(http);
     let admin_shared = shared.clone();
     spawn_thread("admin", Polling::Parked, move |executor| async move {
-        match asynchronous(admin) {
+        match into_async(admin) {
             Ok(listener) => admin::run(admin_shared, executor, listener).await,
             Err(error) => log::error!("event=listener_failed error={error}"),
         }
@@ -183,7 +183,7 @@
     })?;
     let for_register = shared.clone();
     spawn_thread("register", Polling::Parked, move |executor| async move {
-        match asynchronous(peer) {
+        match into_async(peer) {
             Ok(listener) => tasks::register::run(for_register, executor, listener).await,
             Err(error) => log::error!("event=peer_listener_failed error={error}"),
         }
@@ -209,7 +209,7 @@
     Ok(())
 }
 
-/// Waits for a signal or an operator's drain, then for everything under way.
+/// Waits for a stop signal or an operator's drain request, then for in-flight requests to finish.
 fn wait_for_stop(shared: &Arc<Shared>) -> anyhow::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let started = Instant::now();
@@ -217,56 +217,60 @@
         if signals.pending().next().is_some() {
             shared.draining.store(true, Ordering::Release);
         }
-        let waited = started.elapsed() > JOIN_LIMIT;
-        if !shared.joined.load(Ordering::Acquire) && (waited || has_joined(shared)) {
+        let timed_out = started.elapsed() > JOIN_TIMEOUT;
+        if !shared.joined.load(Ordering::Acquire) && (timed_out || has_joined(shared)) {
             shared.joined.store(true, Ordering::Release);
-            log::info!("event=joined waited_in_vain={waited}");
+            log::info!("event=joined waited_in_vain={timed_out}");
         }
         std::thread::sleep(DRAIN_POLL);
     }
-    log::info!("event=draining exchanges={}", shared.exchanges.load(Ordering::Relaxed));
-    std::thread::sleep(DRAIN_NOTICE);
-    // From here on a new connection is refused, which tells its client that nothing was sent.
+    log::info!("event=draining exchanges={}", shared.in_flight.load(Ordering::Relaxed));
+    std::thread::sleep(DRAIN_GRACE);
+    // New connections are now refused, so clients know that their request was not sent.
     shared.listeners_closed.store(true, Ordering::Release);
-    wait_until_quiet(shared);
-    let left = shared.exchanges.load(Ordering::Acquire);
+    wait_until_drained(shared);
+    let unfinished = shared.in_flight.load(Ordering::Acquire);
     let _ = shared.membership.sender.try_send(MembershipInput::Leave);
-    std::thread::sleep(DRAIN_NOTICE);
-    log::info!("event=stopped exchanges_cut={left} {}", shared.metrics.line());
-    anyhow::ensure!(left == 0, "{left} requests were still under way after {DRAIN_LIMIT:?}");
+    std::thread::sleep(DRAIN_GRACE);
+    log::info!("event=stopped exchanges_cut={unfinished} {}", shared.metrics.log_line());
+    anyhow::ensure!(
+        unfinished == 0,
+        "{unfinished} requests were still in flight after {DRAIN_TIMEOUT:?}"
+    );
     Ok(())
 }
 
-/// Waits until no request is under way, and then until clients have closed their connections: each
-/// is told so with its next answer. A connection that is still open after that has been idle, and a
-/// request sent on it at the very moment of the exit would be lost.
-fn wait_until_quiet(shared: &Shared) {
-    let deadline = Instant::now() + DRAIN_LIMIT;
-    let mut quiet_since = Instant::now();
+/// Waits until no request is in flight and clients have closed their connections.
+///
+/// Responses during draining ask clients to close. Connections still open after [`IDLE_TIMEOUT`] are
+/// closed at exit; a request sent on one at that moment is lost.
+fn wait_until_drained(shared: &Shared) {
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
+    let mut idle_since = Instant::now();
     while Instant::now() < deadline {
         std::thread::sleep(DRAIN_POLL);
-        if shared.exchanges.load(Ordering::Acquire) > 0 {
-            quiet_since = Instant::now();
+        if shared.in_flight.load(Ordering::Acquire) > 0 {
+            idle_since = Instant::now();
         }
-        let quiet = quiet_since.elapsed();
+        let idle_time = idle_since.elapsed();
         let all_closed = shared.connections.load(Ordering::Acquire) == 0;
-        if quiet >= IDLE_LIMIT || (all_closed && quiet >= DRAIN_NOTICE) {
+        if idle_time >= IDLE_TIMEOUT || (all_closed && idle_time >= DRAIN_GRACE) {
             return;
         }
     }
 }
 
-/// Whether back ends and replica sets are known and no set waits for a member to be replaced.
+/// Returns whether backends and replica sets are known and no set needs a replacement member.
 fn has_joined(shared: &Shared) -> bool {
     let is_known = !shared.shard_map.load().shards.is_empty();
     let knows_backends = shared.backends.load().generation > 0;
-    shared.serves() && is_known && knows_backends && !shards::needs_placing(shared)
+    shared.can_serve() && is_known && knows_backends && !shards::needs_placement(shared)
 }
 
 fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address).with_context(|| format!("listening on {address}"))
 }
 
-fn asynchronous(listener: TcpListener) -> std::io::Result<smol::net::TcpListener> {
+fn into_async(listener: TcpListener) -> std::io::Result<smol::net::TcpListener> {
     Ok(smol::Async::new(listener)?.into())
 }
--- a/crates/heronbend-daemon/src/shared.rs
+++ b/crates/heronbend-daemon/src/shared.rs
@@ -1,7 +1,7 @@
-//! What the threads of a daemon share: published snapshots and rings, no locks.
+//! State shared between a daemon's threads: published snapshots and channels, no locks.
 //!
-//! Each snapshot has one writer, the duty named with it, and any number of readers. Rings are
-//! bounded: when one is full the sender is told at once, and refuses the request as not run.
+//! Each snapshot has a single writer, the named task, and any number of readers. Channels are bounded:
+//! sending to a full one fails at once, and the request is rejected as not run.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,28 +26,28 @@
 use crate::tasks::settings::SettingsCall;
 use crate::telemetry::Metrics;
 
-/// Messages that may wait in a ring.
-const RING_CAPACITY: usize = 4096;
+/// Capacity of each task's input channel, in messages.
+const CHANNEL_CAPACITY: usize = 4096;
 
-/// Who and where this daemon is.
+/// Identity and addresses of this daemon.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name and run.
+    /// Name and incarnation.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Where callers reach it.
+    /// Address of the HTTP front.
     pub http_address: SocketAddr,
-    /// Where its peers reach it.
+    /// Address for other daemons, TCP and UDP.
     pub peer_address: SocketAddr,
-    /// The platform.
+    /// Address of the platform API.
     pub platform: SocketAddr,
 }
 
 impl Identity {
-    /// This daemon as it makes itself known to its peers.
+    /// Returns this daemon's membership entry.
     pub fn member(&self) -> Member {
         Member {
             id: self.node.clone(),
@@ -62,146 +62,146 @@
     }
 }
 
-/// A back end with all that is known of it.
+/// A backend with its current state.
 #[derive(Debug, Clone)]
 pub struct KnownBackend {
-    /// The back end.
+    /// Name, address and pool.
     pub backend: Backend,
-    /// Its phase.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Whether this daemon sends to it and asks it for reports.
+    /// Whether this daemon sends requests to it and polls its status.
     pub in_subset: bool,
-    /// Its last report.
+    /// Latest load report.
     pub report: LoadReport,
 }
 
-/// All back ends, as published by the back-ends duty.
+/// All backends, published by the backends task.
 #[derive(Debug, Clone, Default)]
 pub struct BackendTable {
-    /// Grows with each publication.
+    /// Incremented with each publication.
     pub generation: u64,
-    /// The back ends.
+    /// The backends, by name.
     pub backends: Vec<KnownBackend>,
 }
 
-/// Settings in force, as published by the settings duty.
+/// Active settings, published by the settings task.
 #[derive(Debug, Clone)]
-pub struct SettingsInForce {
+pub struct ActiveSettings {
     /// The object as stored.
     pub object: SettingsObject,
-    /// The compiled tree.
+    /// Policy compiled from the settings tree.
     pub policy: Policy,
 }
 
-/// How far a step is that this daemon coordinates.
+/// Progress of a step that this daemon coordinates.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StepStatus {
-    /// The trainer.
+    /// Trainer name.
     pub trainer: String,
-    /// Number of the step.
+    /// Step number.
     pub step: u64,
-    /// Oldest weight version that its samples may be drawn from.
+    /// Oldest weight version allowed for its samples.
     pub floor: u64,
     /// Number of slots.
     pub slots: u32,
     /// Slots in sealed batches.
     pub delivered: u32,
-    /// Samples that are drawn and not yet sealed.
+    /// Completed samples that are not yet sealed.
     pub ready: usize,
-    /// Draws under way.
+    /// Attempts in flight.
     pub drawing: usize,
 }
 
-/// Inputs of the membership duty.
+/// Inputs of the membership task.
 #[derive(Debug)]
 pub enum MembershipInput {
-    /// The platform lists this daemon.
-    Learn(Member),
-    /// Spread a back end's phase.
-    SpreadBackend(BackendPhase),
-    /// This daemon stops.
+    /// Merge a member learned from the platform or a peer.
+    Merge(Member),
+    /// Gossip a backend's phase.
+    GossipBackend(BackendPhase),
+    /// Announce that this daemon leaves.
     Leave,
 }
 
-/// Inputs of the back-ends duty.
+/// Inputs of the backends task.
 #[derive(Debug)]
 pub enum BackendsInput {
-    /// The platform's list of back ends.
+    /// The platform's current list of backends, with their phases.
     Listed(Vec<Backend>, Vec<BackendPhase>),
-    /// Somebody states a phase.
+    /// A phase reported by another source.
     Signal(Signal),
 }
 
-/// A ring's two ends.
-pub struct Ring<T> {
-    /// For the duty's callers.
+/// The two ends of a task's bounded input channel.
+pub struct Channel<T> {
+    /// Sending end, for other threads.
     pub sender: Sender<T>,
-    /// For the duty.
+    /// Receiving end, for the task.
     pub receiver: Receiver<T>,
 }
 
-impl<T> Default for Ring<T> {
+impl<T> Default for Channel<T> {
     fn default() -> Self {
-        let (sender, receiver) = bounded(RING_CAPACITY);
+        let (sender, receiver) = bounded(CHANNEL_CAPACITY);
         Self { sender, receiver }
     }
 }
 
-/// Everything that threads share.
+/// State shared by all threads of a daemon.
 pub struct Shared {
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub identity: Identity,
-    /// Time zero of every [`Moment`].
+    /// Clock that every [`Moment`] is measured by; it also advances during system suspension.
     clock: BootClock,
-    /// Settings in force; none until first learnt. Written by the settings duty.
-    pub settings: ArcSwapOption<SettingsInForce>,
-    /// The shard map. Written by the register duty.
+    /// Active settings; `None` until first loaded. Written by the settings task.
+    pub settings: ArcSwapOption<ActiveSettings>,
+    /// Shard map. Written by the register task.
     pub shard_map: ArcSwap<ShardMap>,
-    /// Back ends. Written by the back-ends duty.
+    /// Backends. Written by the backends task.
     pub backends: ArcSwap<BackendTable>,
-    /// Other daemons. Written by the membership duty.
+    /// Other daemons. Written by the membership task.
     pub members: ArcSwap<Vec<Member>>,
-    /// Set once by the signal handler or an operator: no new work is taken.
+    /// Set once by the signal handler or an operator: new requests are rejected.
     pub draining: AtomicBool,
-    /// Set while draining: no more connections are accepted.
+    /// Set during draining: new connections are no longer accepted.
     pub listeners_closed: AtomicBool,
-    /// Milliseconds since start at which the ticker last ran; tells a pause of the process.
+    /// Time of the last tick in milliseconds since start; used to detect pauses of the process.
     last_tick: AtomicU64,
-    /// Cleared by a pause, set when the settings are confirmed again.
+    /// Cleared after a pause, set once the settings have been confirmed.
     pub settings_confirmed: AtomicBool,
-    /// Set once this daemon has taken its place in the replica sets, or has waited long enough.
+    /// Set once all replica sets are complete or the join timeout has expired.
     pub joined: AtomicBool,
-    /// Steps that this daemon coordinates. Written by the rollout duty.
+    /// Steps that this daemon coordinates. Written by the rollout task.
     pub steps: ArcSwap<Vec<StepStatus>>,
-    /// Requests and streams under way at all fronts.
-    pub exchanges: AtomicU64,
-    /// Connections open at all fronts.
+    /// In-flight requests and streams of all front threads.
+    pub in_flight: AtomicU64,
+    /// Open connections of all front threads.
     pub connections: AtomicU64,
-    /// Set when a request waits for a version that no report shows yet.
-    reports_wanted: AtomicBool,
-    /// Numbers that are unique within this run.
+    /// Set when a request waits for a weight version that no load report shows yet.
+    reports_requested: AtomicBool,
+    /// Counter for [`unique_number`](Self::unique_number).
     next_number: AtomicU64,
-    /// Faults that tests bring about.
+    /// Faults injected by tests.
     pub failpoints: Failpoints,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Ring of the membership duty.
-    pub membership: Ring<MembershipInput>,
-    /// Ring of the back-ends duty.
-    pub backends_ring: Ring<BackendsInput>,
-    /// Ring of the register duty.
-    pub register: Ring<RegisterCall>,
-    /// Ring of the rollout duty.
-    pub rollout: Ring<RolloutCall>,
-    /// Ring of the settings duty.
-    pub settings_ring: Ring<SettingsCall>,
+    /// Input of the membership task.
+    pub membership: Channel<MembershipInput>,
+    /// Input of the backends task.
+    pub backends_channel: Channel<BackendsInput>,
+    /// Input of the register task.
+    pub register: Channel<RegisterCall>,
+    /// Input of the rollout task.
+    pub rollout: Channel<RolloutCall>,
+    /// Input of the settings task.
+    pub settings_channel: Channel<SettingsCall>,
 }
 
-/// A pause of the process longer than this makes it confirm its settings before it serves again.
-const PAUSE_LIMIT: Duration = Duration::from_secs(4);
+/// Maximum time between ticks; after a longer pause the settings must be confirmed before serving.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
 impl Shared {
-    /// The state of a daemon that starts now.
+    /// Creates the initial state and starts the clock.
     pub fn new(identity: Identity, failpoints_allowed: bool) -> Arc<Self> {
         Arc::new(Self {
             identity,
@@ -216,26 +216,27 @@
             settings_confirmed: AtomicBool::new(true),
             joined: AtomicBool::new(false),
             steps: ArcSwap::default(),
-            exchanges: AtomicU64::new(0),
+            in_flight: AtomicU64::new(0),
             connections: AtomicU64::new(0),
-            reports_wanted: AtomicBool::new(false),
+            reports_requested: AtomicBool::new(false),
             next_number: AtomicU64::new(1),
             failpoints: Failpoints::new(failpoints_allowed),
             metrics: Metrics::default(),
-            membership: Ring::default(),
-            backends_ring: Ring::default(),
-            register: Ring::default(),
-            rollout: Ring::default(),
-            settings_ring: Ring::default(),
+            membership: Channel::default(),
+            backends_channel: Channel::default(),
+            register: Channel::default(),
+            rollout: Channel::default(),
+            settings_channel: Channel::default(),
         })
     }
 
-    /// The present time, for state machines.
+    /// Returns the current time for the library's state machines.
     pub fn now(&self) -> Moment {
         self.clock.elapsed()
     }
 
-    /// A number that no other run of any daemon uses: start time, random bits and a count.
+    /// Returns a number that is unique across daemons and runs: a hash of node name, incarnation and a
+    /// counter.
     pub fn unique_number(&self) -> u64 {
         let count = self.next_number.fetch_add(1, Ordering::Relaxed);
         let node = &self.identity.node;
@@ -244,30 +245,30 @@
         rapidhash::v3::rapidhash_v3(&[name, run, count].map(u64::to_le_bytes).concat())
     }
 
-    /// Notes that the process runs; called by the ticker.
+    /// Records that the process is running; called by the membership task's timer.
     pub fn tick(&self) {
-        self.note_pause();
+        self.detect_pause();
         let now = u64::try_from(self.now().as_millis()).unwrap_or(u64::MAX);
         self.last_tick.store(now, Ordering::Release);
     }
 
-    /// Whether requests may be served: settings are known and were confirmed since any pause.
-    pub fn serves(&self) -> bool {
-        self.note_pause();
+    /// Returns whether requests may be served: settings are loaded, and confirmed since the last pause.
+    pub fn can_serve(&self) -> bool {
+        self.detect_pause();
         self.settings_confirmed.load(Ordering::Acquire) && self.settings.load().is_some()
     }
 
-    fn note_pause(&self) {
+    fn detect_pause(&self) {
         let last = Duration::from_millis(self.last_tick.load(Ordering::Acquire));
-        if self.now().saturating_sub(last) > PAUSE_LIMIT
+        if self.now().saturating_sub(last) > MAX_PAUSE
             && self.settings_confirmed.swap(false, Ordering::AcqRel)
         {
             log::warn!("event=pause_noticed action=confirm_settings");
         }
     }
 
-    /// Newest control data that this daemon holds.
-    pub fn head(&self) -> ControlVersions {
+    /// Returns the versions of this daemon's settings and shard map.
+    pub fn control_versions(&self) -> ControlVersions {
         let settings = self.settings.load();
         ControlVersions {
             settings_revision: settings.as_ref().map_or(0, |settings| settings.object.revision),
@@ -275,54 +276,56 @@
         }
     }
 
-    /// Names of daemons that are believed alive, this one included, in order.
+    /// Returns name, zone and region of all daemons considered alive, including this one, sorted by name.
     pub fn alive_nodes(&self) -> Vec<(NodeName, String, String)> {
         let identity = &self.identity;
-        let me = (identity.node.name.clone(), identity.zone.clone(), identity.region.clone());
+        let local = (identity.node.name.clone(), identity.zone.clone(), identity.region.clone());
         let members = self.members.load();
         let others = members
             .iter()
             .filter(|member| member.liveness <= Liveness::Suspect)
             .map(|member| (member.id.name.clone(), member.zone.clone(), member.region.clone()));
-        let mut alive: Vec<_> = std::iter::once(me).chain(others).collect();
+        let mut alive: Vec<_> = std::iter::once(local).chain(others).collect();
         alive.sort();
         alive
     }
 
-    /// Whether this daemon has the lowest name of those alive: it does what one daemon should do.
-    /// Two may believe it at once; nothing unsafe may rest on it.
-    pub fn is_first_alive(&self) -> bool {
+    /// Returns whether this daemon has the lowest name of those alive.
+    ///
+    /// This is a hint to avoid duplicate work. Several daemons may hold it at once, so correctness must
+    /// not depend on it.
+    pub fn is_soft_leader(&self) -> bool {
         let alive = self.alive_nodes();
         alive.first().map(|(name, _, _)| name) == Some(&self.identity.node.name)
     }
 
-    /// Whether this very run of a daemon may be alive.
+    /// Returns whether this incarnation of a daemon may be alive.
     pub fn may_be_alive(&self, node: &NodeId) -> bool {
         *node == self.identity.node || may_be_alive(&self.members.load(), node, epoch_millis())
     }
 
-    /// Asks for fresh reports of back ends: a request waits for what a report will tell.
-    pub fn want_reports(&self) {
-        self.reports_wanted.store(true, Ordering::Release);
+    /// Requests an early poll of the backends' load reports.
+    pub fn request_reports(&self) {
+        self.reports_requested.store(true, Ordering::Release);
     }
 
-    /// Whether fresh reports were asked for since this was called last.
-    pub fn take_reports_wanted(&self) -> bool {
-        self.reports_wanted.swap(false, Ordering::AcqRel)
+    /// Returns and clears the request made by [`request_reports`](Self::request_reports).
+    pub fn take_report_request(&self) -> bool {
+        self.reports_requested.swap(false, Ordering::AcqRel)
     }
 
-    /// Whether this daemon is stopping.
+    /// Returns whether this daemon is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 }
 
-/// Sum of the epochs of a shard map.
+/// Returns the sum of a shard map's epochs, which grows with every change.
 pub fn shard_epochs(map: &ShardMap) -> u64 {
     map.shards.iter().map(|shard| shard.epoch).sum()
 }
 
-/// Seconds since the Unix epoch.
+/// Returns the seconds since the Unix epoch.
 pub fn epoch_seconds() -> u64 {
     epoch_millis() / 1000
 }
--- a/crates/heronbend-daemon/src/tasks/backends.rs
+++ b/crates/heronbend-daemon/src/tasks/backends.rs
@@ -1,4 +1,6 @@
-//! Knows the back ends: the platform's list, their own reports, operators and rumours.
+//! Backend discovery from the machine list, status reports, operators and gossip.
+//!
+//! Also registers this daemon in the machine list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,14 +25,14 @@
 
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The same while a request waits for a weight version that no report shows yet.
-const WANTED_INTERVAL: Duration = Duration::from_millis(100);
+/// Poll interval while a request waits for a weight version that no report shows yet.
+const FAST_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_REPORT_BYTES: usize = 1 << 16;
-/// How long a back end that the list no longer names is kept after its last answer. The list may
-/// forget machines that are well, for one after an outage of the platform.
-const UNLISTED_LIMIT: Duration = Duration::from_secs(5);
-/// Size of a pool's subset while its settings are not known.
+/// How long a backend missing from the machine list is kept after its last status report. The list may
+/// omit healthy machines, for example after a platform outage.
+const UNLISTED_TIMEOUT: Duration = Duration::from_secs(5);
+/// Subset size of pools whose settings are not loaded.
 const DEFAULT_SUBSET: usize = 40;
 const REGISTER_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -38,56 +40,56 @@
 struct State {
     lifecycle: Lifecycle,
     backends: BTreeMap<BackendName, Backend>,
-    /// Back ends that the newest list does not name.
+    /// Backends missing from the latest machine list.
     unlisted: BTreeSet<BackendName>,
-    answered: BTreeMap<BackendName, Moment>,
+    last_response: BTreeMap<BackendName, Moment>,
     reports: BTreeMap<BackendName, EngineStatus>,
-    /// Reports came in since the last publication; they are published together.
+    /// Whether reports arrived since the last publication.
     has_new_reports: bool,
     generation: u64,
 }
 
-/// An event of the back-ends duty.
+/// Events handled by the backends task.
 enum Event {
     Input(BackendsInput),
     Report(BackendName, EngineStatus),
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor) {
     let platform = PlatformClient::new(shared.identity.platform);
     let (events, inbox) = smol::channel::bounded(1024);
-    executor.spawn(keep_registered(shared.clone(), platform.clone())).detach();
-    executor.spawn(keep_listing(shared.clone(), platform)).detach();
-    executor.spawn(keep_asking(shared.clone(), executor.clone(), events.clone())).detach();
+    executor.spawn(register_periodically(shared.clone(), platform.clone())).detach();
+    executor.spawn(poll_machine_list(shared.clone(), platform)).detach();
+    executor.spawn(poll_backend_status(shared.clone(), executor.clone(), events.clone())).detach();
     let forwarding = shared.clone();
     executor
         .spawn(async move {
-            while let Ok(input) = forwarding.backends_ring.receiver.recv().await {
+            while let Ok(input) = forwarding.backends_channel.receiver.recv().await {
                 let _ = events.send(Event::Input(input)).await;
             }
         })
         .detach();
     let mut state = State::default();
     while let Ok(event) = inbox.recv().await {
-        if state.take(&shared, event) {
+        if state.handle_event(&shared, event) {
             state.publish(&shared);
         }
     }
 }
 
 impl State {
-    /// Takes an event in; whether the table has changed.
-    fn take(&mut self, shared: &Shared, event: Event) -> bool {
+    /// Handles an event; returns whether the table must be published.
+    fn handle_event(&mut self, shared: &Shared, event: Event) -> bool {
         match event {
             Event::Input(BackendsInput::Listed(backends, phases)) => {
                 let mut changed = false;
                 for stated in phases {
                     changed |= self.observe(shared, SignalSource::MachineList, stated);
                 }
-                changed | self.take_list(backends)
+                changed | self.apply_list(backends)
             }
             Event::Input(BackendsInput::Signal(Signal { source, stated })) => {
                 self.observe(shared, source, stated)
@@ -99,20 +101,22 @@
                     phase: status.phase,
                 };
                 let changed = self.observe(shared, SignalSource::BackendReport, stated);
-                self.answered.insert(name.clone(), shared.now());
+                self.last_response.insert(name.clone(), shared.now());
                 self.reports.insert(name, status);
                 self.has_new_reports = true;
                 changed
             }
             Event::Tick => {
-                let dropped = self.drop_silent_unlisted(shared.now());
+                let dropped = self.drop_unresponsive_unlisted(shared.now());
                 dropped | std::mem::take(&mut self.has_new_reports)
             }
         }
     }
 
-    /// Takes a list over; what it does not name stays until it no longer answers.
-    fn take_list(&mut self, listed: Vec<Backend>) -> bool {
+    /// Applies a machine list. Missing backends stay until their status reports stop.
+    ///
+    /// Returns whether a backend was added or changed.
+    fn apply_list(&mut self, listed: Vec<Backend>) -> bool {
         self.unlisted = self.backends.keys().cloned().collect();
         let mut changed = false;
         for backend in listed {
@@ -123,19 +127,19 @@
         changed
     }
 
-    fn drop_silent_unlisted(&mut self, now: Moment) -> bool {
-        let answered = &self.answered;
-        let silent = |name: &BackendName| {
-            answered.get(name).is_none_or(|answer| now >= *answer + UNLISTED_LIMIT)
+    fn drop_unresponsive_unlisted(&mut self, now: Moment) -> bool {
+        let last_response = &self.last_response;
+        let is_unresponsive = |name: &BackendName| {
+            last_response.get(name).is_none_or(|answer| now >= *answer + UNLISTED_TIMEOUT)
         };
         let dropped: Vec<BackendName> =
-            self.unlisted.iter().filter(|name| silent(name)).cloned().collect();
+            self.unlisted.iter().filter(|name| is_unresponsive(name)).cloned().collect();
         for name in &dropped {
             log::info!("event=backend_dropped backend={name}");
             self.unlisted.remove(name);
             self.backends.remove(name);
             self.reports.remove(name);
-            self.answered.remove(name);
+            self.last_response.remove(name);
         }
         !dropped.is_empty()
     }
@@ -152,8 +156,8 @@
             change.source
         );
         if source != SignalSource::MachineList && stated.phase >= Phase::Leaving {
-            let rumour = MembershipInput::SpreadBackend(stated);
-            let _ = shared.membership.sender.try_send(rumour);
+            let gossip = MembershipInput::GossipBackend(stated);
+            let _ = shared.membership.sender.try_send(gossip);
         }
         true
     }
@@ -164,14 +168,14 @@
         let backends: Vec<_> = self
             .backends
             .values()
-            .map(|backend| self.known(backend, subset.contains(&backend.name)))
+            .map(|backend| self.table_entry(backend, subset.contains(&backend.name)))
             .collect();
         let live = backends.iter().filter(|known| known.phase == Phase::Live).count();
         shared.metrics.backends_live.set(live as i64);
         shared.backends.store(Arc::new(BackendTable { generation: self.generation, backends }));
     }
 
-    /// Back ends that this daemon sends to: of each pool as many as its settings say.
+    /// Selects the backends that this daemon sends to, up to the subset size of each pool.
     fn subset(&self, shared: &Shared) -> BTreeSet<BackendName> {
         let identity = &shared.identity;
         let settings = shared.settings.load();
@@ -191,7 +195,7 @@
         subset
     }
 
-    fn known(&self, backend: &Backend, in_subset: bool) -> KnownBackend {
+    fn table_entry(&self, backend: &Backend, in_subset: bool) -> KnownBackend {
         let report = self
             .reports
             .get(&backend.name)
@@ -209,14 +213,14 @@
     }
 }
 
-/// Reads the list of machines again and again. While the platform is down the last list stands.
-async fn keep_listing(shared: Arc<Shared>, platform: PlatformClient) {
-    let mut known_version = None;
+/// Polls the machine list. While the platform is unavailable, the last list stays in use.
+async fn poll_machine_list(shared: Arc<Shared>, platform: PlatformClient) {
+    let mut last_version = None;
     loop {
         match platform.machines().await {
-            Ok(list) if known_version != Some(list.version) => {
-                known_version = Some(list.version);
-                learn_list(&shared, list.machines);
+            Ok(list) if last_version != Some(list.version) => {
+                last_version = Some(list.version);
+                apply_machine_list(&shared, list.machines);
             }
             Ok(_) => {}
             Err(error) => log::debug!("event=list_failed error={error}"),
@@ -225,12 +229,12 @@
     }
 }
 
-fn learn_list(shared: &Shared, machines: Vec<Machine>) {
+fn apply_machine_list(shared: &Shared, machines: Vec<Machine>) {
     let mut backends = Vec::new();
     let mut phases = Vec::new();
     for machine in machines {
         if machine.kind == MachineKind::Daemon {
-            learn_daemon(shared, machine);
+            merge_daemon(shared, machine);
             continue;
         }
         let name = BackendName(machine.name);
@@ -248,10 +252,10 @@
         });
     }
     let input = BackendsInput::Listed(backends, phases);
-    let _ = shared.backends_ring.sender.try_send(input);
+    let _ = shared.backends_channel.sender.try_send(input);
 }
 
-fn learn_daemon(shared: &Shared, machine: Machine) {
+fn merge_daemon(shared: &Shared, machine: Machine) {
     let Some(address) = machine.peer_address else {
         return;
     };
@@ -268,21 +272,21 @@
         refutation: 0,
         liveness: Liveness::Alive,
     };
-    let _ = shared.membership.sender.try_send(MembershipInput::Learn(member));
+    let _ = shared.membership.sender.try_send(MembershipInput::Merge(member));
 }
 
-/// Asks every listed back end for its status, all at once, at an interval.
-async fn keep_asking(
+/// Polls the status of all backends of the subset concurrently.
+async fn poll_backend_status(
     shared: Arc<Shared>,
     executor: Executor,
     events: smol::channel::Sender<Event>,
 ) {
     let client = Client::new();
     loop {
-        let due = Instant::now() + REPORT_INTERVAL;
-        while Instant::now() < due {
-            Timer::after(WANTED_INTERVAL).await;
-            if shared.take_reports_wanted() {
+        let deadline = Instant::now() + REPORT_INTERVAL;
+        while Instant::now() < deadline {
+            Timer::after(FAST_REPORT_INTERVAL).await;
+            if shared.take_report_request() {
                 break;
             }
         }
@@ -293,7 +297,7 @@
             let (client, events) = (client.clone(), events.clone());
             executor
                 .spawn(async move {
-                    if let Some(status) = ask(&client, &backend).await {
+                    if let Some(status) = fetch_status(&client, &backend).await {
                         let _ = events.try_send(Event::Report(backend.name, status));
                     }
                 })
@@ -302,7 +306,7 @@
     }
 }
 
-async fn ask(client: &Client, backend: &Backend) -> Option<EngineStatus> {
+async fn fetch_status(client: &Client, backend: &Backend) -> Option<EngineStatus> {
     let url = Url::parse(&format!("http://{}/status", backend.address)).ok()?;
     let request = Request::new(Method::Get, url);
     let (status, bytes) =
@@ -313,8 +317,8 @@
     serde_json::from_slice(&bytes).ok()
 }
 
-/// Keeps this daemon's own entry in the list of machines.
-async fn keep_registered(shared: Arc<Shared>, platform: PlatformClient) {
+/// Renews this daemon's registration in the machine list.
+async fn register_periodically(shared: Arc<Shared>, platform: PlatformClient) {
     let identity = &shared.identity;
     loop {
         let machine = Machine {
--- a/crates/heronbend-daemon/src/tasks/membership.rs
+++ b/crates/heronbend-daemon/src/tasks/membership.rs
@@ -1,4 +1,4 @@
-//! Drives the failure detector over UDP.
+//! Cluster membership: drives the gossip failure detector over UDP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,17 +22,17 @@
     Tick,
     Datagram(SocketAddr, GossipMessage),
     Input(MembershipInput),
-    Nothing,
+    Ignored,
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, socket: UdpSocket) {
     let seed = shared.unique_number();
-    let me = shared.identity.member();
-    let mut detector = Detector::new(DetectorConfig::default(), me, seed);
+    let local = shared.identity.member();
+    let mut detector = Detector::new(DetectorConfig::default(), local, seed);
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next_tick = Timer::interval(TICK);
-    let mut head = ControlVersions::default();
+    let mut versions = ControlVersions::default();
     loop {
         let event = {
             let tick = async {
@@ -42,19 +42,19 @@
             let input = async {
                 match shared.membership.receiver.recv().await {
                     Ok(input) => Event::Input(input),
-                    Err(_) => Event::Nothing,
+                    Err(_) => Event::Ignored,
                 }
             };
             let datagram = async {
                 match socket.recv_from(&mut buffer).await {
                     Ok((length, source)) => decode(&buffer[..length], source),
-                    Err(_) => Event::Nothing,
+                    Err(_) => Event::Ignored,
                 }
             };
             tick.or(input).or(datagram).await
         };
         let now = shared.now();
-        let mut effects = announce_new_head(&shared, &mut detector, &mut head);
+        let mut effects = announce_control_versions(&shared, &mut detector, &mut versions);
         effects.extend(match event {
             Event::Tick => {
                 shared.tick();
@@ -64,30 +64,30 @@
                 Vec::new()
             }
             Event::Datagram(source, gossip) => detector.receive(now, source, gossip),
-            Event::Input(MembershipInput::Learn(member)) => detector.merge_member(now, member),
-            Event::Input(MembershipInput::SpreadBackend(stated)) => {
+            Event::Input(MembershipInput::Merge(member)) => detector.merge_member(now, member),
+            Event::Input(MembershipInput::GossipBackend(stated)) => {
                 detector.gossip_backend(stated);
                 detector.announce()
             }
             Event::Input(MembershipInput::Leave) => detector.leave(),
-            Event::Nothing => Vec::new(),
+            Event::Ignored => Vec::new(),
         });
         apply(&shared, &detector, &socket, effects).await;
     }
 }
 
-/// Newer control data is made known at once, so that it is in force everywhere within seconds.
-fn announce_new_head(
+/// Announces changed control versions immediately, so that other daemons fetch the new data.
+fn announce_control_versions(
     shared: &Shared,
     detector: &mut Detector,
     known: &mut ControlVersions,
 ) -> Vec<Effect> {
-    let head = shared.head();
-    if head == *known {
+    let versions = shared.control_versions();
+    if versions == *known {
         return Vec::new();
     }
-    *known = head;
-    detector.set_control_versions(head);
+    *known = versions;
+    detector.set_control_versions(versions);
     detector.announce()
 }
 
@@ -96,7 +96,7 @@
         Ok(gossip) => Event::Datagram(source, gossip),
         Err(error) => {
             log::debug!("event=datagram_unreadable source={source} error={error}");
-            Event::Nothing
+            Event::Ignored
         }
     }
 }
@@ -115,12 +115,12 @@
                 );
                 changed = true;
             }
-            // Shards and claims are fenced: nothing is to be looked at.
+            // Shards and claims are fenced, so a refuted suspicion needs no action.
             Effect::Refuted => {}
             Effect::Backend(stated) => {
                 let source = SignalSource::Peer;
                 let signal = BackendsInput::Signal(Signal { source, stated });
-                let _ = shared.backends_ring.sender.try_send(signal);
+                let _ = shared.backends_channel.sender.try_send(signal);
             }
             Effect::Behind { peer, .. } => {
                 let _ = shared.register.sender.try_send(RegisterCall::FetchControl { peer });
--- a/crates/heronbend-daemon/src/tasks/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's tasks: one thread each, driving the library's state machines.
+//! Background tasks of the daemon. Each runs on its own thread and drives a state machine of the library.
 
 pub mod backends;
 pub mod membership;
@@ -15,22 +15,21 @@
 
 use smol::LocalExecutor;
 
-/// The executor of a duty's thread.
+/// Single-threaded executor of a task's thread.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Whether a thread looks for I/O events itself while it has nothing to do.
+/// Whether an idle thread polls the shared reactor for I/O events.
 ///
-/// All threads share one reactor, and an event found by another thread costs a wake-up. So only the
-/// threads that serve callers look for events; the tasks are woken by them.
+/// An event found by another thread costs a wake-up, so only the latency-sensitive front threads poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Polling {
-    /// Looks for events.
+    /// Polls the reactor.
     Reactor,
-    /// Sleeps until woken.
+    /// Parks until woken.
     Parked,
 }
 
-/// Starts a duty's thread, which runs until the process ends.
+/// Spawns a named thread that runs a task on its own executor until the process exits.
 pub fn spawn_thread<F, D>(name: &str, polling: Polling, duty: D) -> std::io::Result<JoinHandle<()>>
 where
     D: FnOnce(Executor) -> F + Send + 'static,
--- a/crates/heronbend-daemon/src/tasks/register.rs
+++ b/crates/heronbend-daemon/src/tasks/register.rs
@@ -1,4 +1,4 @@
-//! Drives registers: this daemon's replicas, its proposals, and calls between daemons.
+//! Replicated registers: hosts this daemon's replicas, runs proposals and serves calls of other daemons.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,58 +28,57 @@
 use crate::platform_client::PlatformError;
 use crate::shared::{epoch_seconds, MembershipInput, Shared};
 
-/// Longest wait for the replies of one round.
+/// Timeout of one proposal round.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time for one change, all rounds together.
+/// Total timeout of a change, including retries.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_BACKOFF: Duration = Duration::from_millis(40);
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-const COLLECT_INTERVAL: Duration = Duration::from_secs(30);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Why a register was not changed, or is not known to be.
+/// Errors of a register change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RegisterError {
-    /// The change was not made: no value was sent out.
+    /// The change was not applied: no value was sent to a replica.
     #[error("no majority of replicas could be reached; nothing was changed")]
-    NotDone,
-    /// The change may have been made, or be made yet.
+    NotApplied,
+    /// The change may have been applied, or may still be.
     #[error("no majority of replicas confirmed; whether the register was changed is unknown")]
     Unknown,
 }
 
-/// An input of the register duty.
+/// Inputs of the register task.
 #[derive(Debug)]
 pub enum RegisterCall {
     /// Change a register.
     Change {
-        /// The register.
+        /// Key of the register.
         key: Key,
-        /// The change.
+        /// Change to apply.
         change: RecordChange,
-        /// Where the result goes.
+        /// Receives the result.
         reply: Sender<Result<RecordResponse, RegisterError>>,
     },
     /// Fetch newer control data from a peer.
     FetchControl {
-        /// The peer.
+        /// Address of the peer.
         peer: SocketAddr,
     },
-    /// Open shards again that have lost a majority, accepting that what they held may be lost; the
-    /// answer is how many.
+    /// Reopen shards that have lost a majority of their replicas, accepting data loss.
     Rebuild {
-        /// Where the count goes.
+        /// Receives the number of reopened shards.
         reply: Sender<Result<usize, PlatformError>>,
     },
-    /// Ask these peers for control data; the answer is how many replied.
+    /// Fetch control data from several peers.
     Survey {
-        /// The peers.
+        /// Addresses of the peers.
         peers: Vec<SocketAddr>,
-        /// Where the count goes.
+        /// Receives the number of peers that replied.
         reply: Sender<usize>,
     },
 }
 
-/// Changes a register and waits for the result. For any thread.
+/// Changes a register and waits for the result. Can be called from any thread.
 pub async fn change_register(
     shared: &Shared,
     key: Key,
@@ -88,29 +87,29 @@
     let (reply, result) = bounded(1);
     let call = RegisterCall::Change { key, change, reply };
     if shared.register.sender.try_send(call).is_err() {
-        return Err(RegisterError::NotDone);
+        return Err(RegisterError::NotApplied);
     }
     result.recv().await.unwrap_or(Err(RegisterError::Unknown))
 }
 
-/// The register duty's state, shared by the tasks of its thread.
+/// State of the register task. Clones share it within the task's thread.
 #[derive(Clone)]
-pub struct RegisterDuty {
-    /// What all threads share.
+pub struct RegisterManager {
+    /// State shared by all threads.
     pub shared: Arc<Shared>,
     executor: Executor,
-    /// Calls to peers.
+    /// Client for calls to other daemons.
     pub peers: PeerClient,
     replicas: Rc<RefCell<BTreeMap<ShardId, Replica<Record>>>>,
     highest_round: Rc<RefCell<u64>>,
-    /// Shards of which a member said that the epoch in force is sealed: some transition was begun and
-    /// not committed, and only another one opens the shard again.
+    /// Shards whose current epoch was reported as sealed by a member: a transition was started but not
+    /// committed, and only a new transition reopens the shard.
     sealed: Rc<RefCell<BTreeSet<ShardId>>>,
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor, listener: TcpListener) {
-    let duty = RegisterDuty {
+    let manager = RegisterManager {
         peers: PeerClient::new(shared.clone(), executor.clone()),
         shared: shared.clone(),
         executor: executor.clone(),
@@ -118,26 +117,26 @@
         highest_round: Rc::default(),
         sealed: Rc::default(),
     };
-    let server = duty.clone();
-    let answer = move |request| server.answer(request);
-    executor.spawn(serve_peers(shared.clone(), executor.clone(), listener, answer)).detach();
-    executor.spawn(duty.clone().keep_collecting()).detach();
-    executor.spawn(super::shards::keep_placed(duty.clone())).detach();
+    let server = manager.clone();
+    let handler = move |request| server.handle_peer_request(request);
+    executor.spawn(serve_peers(shared.clone(), executor.clone(), listener, handler)).detach();
+    executor.spawn(manager.clone().remove_expired_periodically()).detach();
+    executor.spawn(super::shards::maintain_placement(manager.clone())).detach();
     while let Ok(call) = shared.register.receiver.recv().await {
-        let duty = duty.clone();
-        executor.spawn(async move { duty.serve(call).await }).detach();
+        let manager = manager.clone();
+        executor.spawn(async move { manager.handle_call(call).await }).detach();
     }
 }
 
-impl RegisterDuty {
-    async fn serve(self, call: RegisterCall) {
+impl RegisterManager {
+    async fn handle_call(self, call: RegisterCall) {
         match call {
             RegisterCall::Change { key, change, reply } => {
                 let result = self.change(&key, &change).await;
                 match result {
                     Ok(_) => self.shared.metrics.register_changes.inc(),
                     Err(RegisterError::Unknown) => self.shared.metrics.register_unknown.inc(),
-                    Err(RegisterError::NotDone) => 0,
+                    Err(RegisterError::NotApplied) => 0,
                 };
                 let _ = reply.try_send(result);
             }
@@ -150,8 +149,8 @@
                 let calls: Vec<_> = peers
                     .into_iter()
                     .map(|peer| {
-                        let duty = self.clone();
-                        self.executor.spawn(async move { duty.fetch_control(peer).await })
+                        let manager = self.clone();
+                        self.executor.spawn(async move { manager.fetch_control(peer).await })
                     })
                     .collect();
                 for call in calls {
@@ -162,33 +161,33 @@
         }
     }
 
-    /// Makes one change, in as many rounds as it takes within the time given.
+    /// Applies a change, retrying with random backoff until [`CHANGE_TIMEOUT`].
     async fn change(
         &self,
         key: &Key,
         change: &RecordChange,
     ) -> Result<RecordResponse, RegisterError> {
         let deadline = Instant::now() + CHANGE_TIMEOUT;
-        let mut may_take_effect = false;
+        let mut may_be_applied = false;
         loop {
             let map = self.shared.shard_map.load_full();
-            let place =
+            let target =
                 map.shard_of(key).and_then(|shard| Some((shard, map.config(shard)?.clone())));
-            if let Some((shard, config)) = place {
+            if let Some((shard, config)) = target {
                 let (mut proposal, request) =
                     Proposal::start(key.clone(), change.clone(), config, self.next_ballot());
-                let outcome = self.drive(shard, &mut proposal, request).await;
-                may_take_effect |= outcome.sent_value;
+                let outcome = self.run_proposal(shard, &mut proposal, request).await;
+                may_be_applied |= outcome.sent_value;
                 if let Some(response) = outcome.response {
                     return Ok(response);
                 }
-                self.see_round(outcome.above);
+                self.observe_round(outcome.above);
             }
             if Instant::now() >= deadline {
-                return Err(if may_take_effect {
+                return Err(if may_be_applied {
                     RegisterError::Unknown
                 } else {
-                    RegisterError::NotDone
+                    RegisterError::NotApplied
                 });
             }
             self.shared.metrics.register_retries.inc();
@@ -197,8 +196,8 @@
         }
     }
 
-    /// Sends a proposal's requests and feeds it the replies until it ends or time runs out.
-    async fn drive(
+    /// Runs one proposal round until it completes, is preempted or times out.
+    async fn run_proposal(
         &self,
         shard: ShardId,
         proposal: &mut Proposal<Record>,
@@ -221,7 +220,7 @@
                 return outcome;
             };
             if let ReplicaReply::Rejected { reason: Rejection::Epoch { known }, .. } = &reply {
-                self.help_with_epoch(shard, &from, *known, proposal.epoch());
+                self.update_stale_replica(shard, &from, *known, proposal.epoch());
             }
             match proposal.on_reply(&from, reply) {
                 Progress::Waiting => {}
@@ -241,7 +240,7 @@
         }
     }
 
-    /// Sends a request to members; replies go to `sender` as they come.
+    /// Sends a request to all members; replies are forwarded to `sender` as they arrive.
     pub fn broadcast(
         &self,
         shard: ShardId,
@@ -250,11 +249,11 @@
         sender: &Sender<(NodeId, ReplicaReply<Record>)>,
     ) {
         for member in members {
-            let duty = self.clone();
+            let manager = self.clone();
             let (member, request, sender) = (member.clone(), request.clone(), sender.clone());
             self.executor
                 .spawn(async move {
-                    if let Some(reply) = duty.ask(shard, &member, request).await {
+                    if let Some(reply) = manager.call_replica(shard, &member, request).await {
                         let _ = sender.try_send((member, reply));
                     }
                 })
@@ -262,8 +261,8 @@
         }
     }
 
-    /// Asks one replica; `None` when it did not reply in time.
-    pub async fn ask(
+    /// Calls one replica; returns `None` if it is unknown or did not reply within [`ROUND_TIMEOUT`].
+    pub async fn call_replica(
         &self,
         shard: ShardId,
         member: &NodeId,
@@ -286,7 +285,7 @@
         }
     }
 
-    fn answer(&self, request: PeerRequest) -> PeerReply {
+    fn handle_peer_request(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Shard { to, .. } if to != self.shared.identity.node => PeerReply::WrongRun,
             PeerRequest::Shard { request, .. } => {
@@ -296,7 +295,7 @@
         }
     }
 
-    /// Handles a request to this daemon's replica of a shard.
+    /// Handles a request to this daemon's replica of a shard, creating the replica if needed.
     fn handle(&self, shard: ShardId, request: ReplicaRequest<Record>) -> ReplicaReply<Record> {
         let mut replicas = self.replicas.borrow_mut();
         let node = &self.shared.identity.node;
@@ -320,18 +319,18 @@
         let PeerReply::Control(control) = reply else {
             return None;
         };
-        self.learn_map(&control.shard_map);
+        self.merge_shard_map(&control.shard_map);
         if let Ok(object) = serde_json::from_slice::<SettingsObject>(&control.settings) {
-            let _ = self.shared.settings_ring.sender.try_send(SettingsCall::Offer(object));
+            let _ = self.shared.settings_channel.sender.try_send(SettingsCall::Offer(object));
         }
         for member in control.members {
-            let _ = self.shared.membership.sender.try_send(MembershipInput::Learn(member));
+            let _ = self.shared.membership.sender.try_send(MembershipInput::Merge(member));
         }
         Some(())
     }
 
-    /// Takes over newer replica sets and tells this daemon's replicas of them.
-    pub fn learn_map(&self, map: &ShardMap) {
+    /// Merges newer replica sets into the shard map and configures this daemon's replicas.
+    pub fn merge_shard_map(&self, map: &ShardMap) {
         let mut known = self.shared.shard_map.load_full().as_ref().clone();
         if !known.merge(map) {
             return;
@@ -343,13 +342,14 @@
         }
     }
 
-    /// Takes the shards that were found sealed.
+    /// Returns and clears the set of shards found sealed.
     pub fn take_sealed(&self) -> BTreeSet<ShardId> {
         self.sealed.take()
     }
 
-    /// A replica that lags is told the replica set in force; one that has sealed it is noted.
-    fn help_with_epoch(&self, shard: ShardId, from: &NodeId, known: u64, proposed: u64) {
+    /// Sends the current replica set to a replica with an older epoch. If the replica rejected its own
+    /// epoch, records the shard as sealed.
+    fn update_stale_replica(&self, shard: ShardId, from: &NodeId, known: u64, proposed: u64) {
         if known == proposed {
             self.sealed.borrow_mut().insert(shard);
         }
@@ -360,12 +360,12 @@
         }
     }
 
-    /// Tells one replica the replica set in force, without waiting.
+    /// Sends a replica set to one replica in the background.
     pub fn configure(&self, shard: ShardId, member: NodeId, config: ShardConfig) {
-        let duty = self.clone();
+        let manager = self.clone();
         self.executor
             .spawn(async move {
-                duty.ask(shard, &member, ReplicaRequest::Configure { config }).await;
+                manager.call_replica(shard, &member, ReplicaRequest::Configure { config }).await;
             })
             .detach();
     }
@@ -376,14 +376,14 @@
         Ballot { round: *highest, proposer: self.shared.unique_number() }
     }
 
-    fn see_round(&self, round: u64) {
+    fn observe_round(&self, round: u64) {
         let mut highest = self.highest_round.borrow_mut();
         *highest = (*highest).max(round);
     }
 
-    async fn keep_collecting(self) {
+    async fn remove_expired_periodically(self) {
         loop {
-            Timer::after(COLLECT_INTERVAL).await;
+            Timer::after(EXPIRY_INTERVAL).await;
             let now = epoch_seconds();
             for replica in self.replicas.borrow_mut().values_mut() {
                 replica.remove_expired(|_, record| record.is_expired(now));
--- a/crates/heronbend-daemon/src/tasks/rollout/messages.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/messages.rs
@@ -1,4 +1,4 @@
-//! What callers ask of the rollout duty, and how it refuses.
+//! Calls to the rollout task and their errors.
 
 use heronbend::rollout::api::{Batch, StepAccepted, StepRequest};
 use heronbend::rollout::StepRefusal;
@@ -8,89 +8,89 @@
 use super::super::register::RegisterError;
 use crate::shared::Shared;
 
-/// Most slots of a step.
+/// Maximum number of slots of a step.
 pub(super) const MAX_SLOTS: u32 = 65_536;
 
-/// Names a step.
+/// Identifies a step.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepName {
-    /// The trainer.
+    /// Trainer name.
     pub trainer: String,
-    /// Number of the step.
+    /// Step number.
     pub step: u64,
 }
 
-/// Why a call was refused.
+/// Errors of a rollout call.
 #[derive(Debug, Clone, Error)]
 pub enum RolloutError {
-    /// The trainer is not in the settings.
+    /// The settings have no such trainer.
     #[error("unknown trainer")]
     UnknownTrainer,
     /// The step has no prompts, no samples or too many slots.
     #[error("a step has from 1 to {MAX_SLOTS} slots")]
     BadStep,
-    /// This daemon does not coordinate the step: post it here, or ask its coordinator.
+    /// This daemon does not coordinate the step; posting the step makes it the coordinator.
     #[error("this daemon does not coordinate the step; post the step to go on here")]
     NotCoordinator,
-    /// The step's record refuses.
+    /// The step's record rejected the change.
     #[error(transparent)]
     Refused(#[from] StepRefusal),
-    /// The batch has been acknowledged.
+    /// The batch was already acknowledged.
     #[error("the batch was acknowledged before")]
     Acknowledged,
-    /// The register could not be changed, or is not known to be; the call may be repeated.
+    /// The step's register could not be changed or the outcome is unknown; the call may be retried.
     #[error(transparent)]
     Register(#[from] RegisterError),
-    /// The daemon is stopping.
+    /// The daemon is draining.
     #[error("the daemon is stopping")]
     Draining,
 }
 
-/// Where a call's result goes.
+/// Channel for the result of a call.
 pub(super) type Reply<T> = Sender<Result<T, RolloutError>>;
 
-/// An input of the rollout duty.
+/// Inputs of the rollout task.
 #[derive(Debug)]
 pub enum RolloutCall {
     /// Post a step.
     Post {
-        /// The step.
+        /// Step.
         name: StepName,
-        /// What is wanted.
+        /// Prompts and parameters.
         request: StepRequest,
-        /// Where the result goes.
+        /// Receives the result.
         reply: Reply<StepAccepted>,
     },
-    /// Fetch a batch; no batch within the waiting time is `None`.
+    /// Fetch a batch; the result is `None` if none is ready within the long-poll timeout.
     Fetch {
-        /// The step.
+        /// Step.
         name: StepName,
-        /// Number of the batch.
+        /// Batch number.
         number: u32,
-        /// Oldest weight version that is acceptable.
+        /// Oldest acceptable weight version.
         floor: u64,
-        /// Where the result goes.
+        /// Receives the result.
         reply: Reply<Option<Batch>>,
     },
     /// Acknowledge the last batch.
     Complete {
-        /// The step.
+        /// Step.
         name: StepName,
-        /// Number of the last batch.
+        /// Number of the last batch, which is acknowledged.
         number: u32,
-        /// Where the result goes.
+        /// Receives the result.
         reply: Reply<()>,
     },
 }
 
-/// Sends a call to the rollout duty and waits for its result. For any thread.
+/// Sends a call to the rollout task and waits for its result. Can be called from any thread.
 pub async fn call_rollout<T>(
     shared: &Shared,
     make: impl FnOnce(Reply<T>) -> RolloutCall,
 ) -> Result<T, RolloutError> {
     let (reply, result) = bounded(1);
     if shared.rollout.sender.try_send(make(reply)).is_err() {
-        return Err(RolloutError::Register(RegisterError::NotDone));
+        return Err(RolloutError::Register(RegisterError::NotApplied));
     }
     let lost = Err(RolloutError::Register(RegisterError::Unknown));
     result.recv().await.unwrap_or(lost)
--- a/crates/heronbend-daemon/src/tasks/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Drives steps: draws their samples, has them scored, and hands sealed batches over.
+//! Rollout coordination: generates and scores the samples of steps and delivers sealed batches.
 //!
-//! - [`messages`]: what callers ask.
-//! - [`step`]: a step that this daemon coordinates.
-//! - [`sampling`]: its samples.
+//! - [`messages`]: calls from other threads.
+//! - [`step`]: state of a coordinated step.
+//! - [`sampling`]: generation and scoring of samples.
 
 mod messages;
 mod sampling;
@@ -26,41 +26,41 @@
 use smol::lock::Mutex;
 use smol::Timer;
 
-use self::step::{plan_of, Step, StepPolicy, StepState};
+use self::step::{plan_for, Step, StepPolicy, StepState};
 use super::register::{change_register, RegisterError};
 use super::Executor;
 use crate::dispatch::Dispatcher;
 use crate::shared::{epoch_seconds, Shared};
 
-/// Longest time that a fetch waits for its batch.
+/// Long-poll timeout of a fetch.
 const FETCH_WAIT: Duration = Duration::from_secs(5);
 const FETCH_POLL: Duration = Duration::from_millis(2);
 
 #[derive(Clone)]
-struct RolloutDuty {
+struct RolloutManager {
     shared: Arc<Shared>,
     executor: Executor,
     dispatcher: Dispatcher,
     steps: Rc<RefCell<BTreeMap<StepName, Rc<Step>>>>,
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor) {
-    let duty = RolloutDuty {
+    let manager = RolloutManager {
         dispatcher: Dispatcher::new(shared.clone()),
         shared: shared.clone(),
         executor: executor.clone(),
         steps: Rc::default(),
     };
-    executor.spawn(duty.clone().keep_pumping()).detach();
+    executor.spawn(manager.clone().schedule_steps()).detach();
     while let Ok(call) = shared.rollout.receiver.recv().await {
-        let duty = duty.clone();
-        executor.spawn(async move { duty.serve(call).await }).detach();
+        let manager = manager.clone();
+        executor.spawn(async move { manager.handle_call(call).await }).detach();
     }
 }
 
-impl RolloutDuty {
-    async fn serve(self, call: RolloutCall) {
+impl RolloutManager {
+    async fn handle_call(self, call: RolloutCall) {
         match call {
             RolloutCall::Post { name, request, reply } => {
                 drop(reply.try_send(self.post(name, request).await));
@@ -86,7 +86,7 @@
         let policy = settings.as_ref().map(|known| &known.policy);
         let policy = policy.and_then(|policy| StepPolicy::find(policy, &name.trainer));
         let policy = policy.ok_or(RolloutError::UnknownTrainer)?;
-        let plan = plan_of(&request).ok_or(RolloutError::BadStep)?;
+        let plan = plan_for(&request).ok_or(RolloutError::BadStep)?;
         let change = StepChange::Begin {
             coordinator: self.shared.identity.node.clone(),
             slots: plan.slots(),
@@ -101,12 +101,12 @@
             delivered: record.delivered.len(),
             next_batch: record.next_batch,
         };
-        self.adopt(name, request, plan, policy, record);
+        self.start_step(name, request, plan, policy, record);
         Ok(accepted)
     }
 
-    /// Begins to draw a step, unless it is being drawn in the same term already.
-    fn adopt(
+    /// Starts sampling a step unless it is already active in the same term.
+    fn start_step(
         &self,
         name: StepName,
         request: StepRequest,
@@ -131,7 +131,7 @@
         let state = StepState {
             record,
             coordinator,
-            draws: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             floor,
             last_fetch: Instant::now(),
         };
@@ -141,7 +141,7 @@
             plan,
             policy,
             state: RefCell::new(state),
-            sealing: Mutex::new(()),
+            seal_lock: Mutex::new(()),
         };
         steps.insert(name, Rc::new(step));
     }
@@ -160,7 +160,7 @@
             state.last_fetch = Instant::now();
         }
         let deadline = Instant::now() + FETCH_WAIT;
-        let _sealing = step.sealing.lock().await;
+        let _seal_guard = step.seal_lock.lock().await;
         loop {
             match self.try_fetch(&step, number, floor).await? {
                 Some(batch) => return Ok(Some(batch)),
@@ -182,7 +182,7 @@
             (state.record.open.clone(), state.record.next_batch, state.record.term)
         };
         if let Some(open) = open.filter(|open| open.number == number) {
-            return self.show_open(step, open, term, floor).await.map(Some);
+            return self.serve_open_batch(step, open, term, floor).await.map(Some);
         }
         if number < next {
             return Err(RolloutError::Acknowledged);
@@ -190,17 +190,17 @@
         if number > next {
             return Err(StepRefusal::OutOfOrder { next }.into());
         }
-        let composition = {
+        let next_batch = {
             let mut state = step.state.borrow_mut();
             state.coordinator.compose_batch(floor, step.policy.batch_size)
         };
-        let samples = match composition {
+        let samples = match next_batch {
             NextBatch::Ready(samples) => samples,
             NextBatch::Pending => return Ok(None),
             NextBatch::Exhausted => return Err(RolloutError::Acknowledged),
         };
         let batch = SealedBatch { number, samples };
-        let sealed = self.seal(step, StepChange::Seal { term, batch }).await?;
+        let sealed = self.change_batch(step, StepChange::Seal { term, batch }).await?;
         self.shared.metrics.samples_sealed.inc_by(sealed.samples.len() as u64);
         let effects = {
             let mut state = step.state.borrow_mut();
@@ -212,12 +212,12 @@
             state.coordinator.on_sealed(&sealed.samples)
         };
         self.apply(step, effects);
-        // Another daemon may have sealed this batch before, with a lower floor.
-        self.show_open(step, sealed, term, floor).await.map(Some)
+        // The batch may have been sealed earlier by another daemon with a lower floor.
+        self.serve_open_batch(step, sealed, term, floor).await.map(Some)
     }
 
-    /// Shows the open batch, less the samples that are older than the floor.
-    async fn show_open(
+    /// Returns the open batch, after evicting samples older than the floor.
+    async fn serve_open_batch(
         &self,
         step: &Rc<Step>,
         mut open: SealedBatch,
@@ -228,15 +228,15 @@
         let is_stale = |sample: &Sample| !sample.is_fresh(floor);
         if open.samples.iter().any(is_stale) {
             let change = StepChange::Withhold { term, number, floor };
-            let kept = self.seal(step, change).await?;
-            let withheld = open.samples.iter().filter(|sample| is_stale(sample));
-            let withheld: Vec<SlotIndex> = withheld.map(|sample| sample.slot).collect();
+            let kept = self.change_batch(step, change).await?;
+            let evicted = open.samples.iter().filter(|sample| is_stale(sample));
+            let evicted: Vec<SlotIndex> = evicted.map(|sample| sample.slot).collect();
             let mut state = step.state.borrow_mut();
-            for slot in &withheld {
+            for slot in &evicted {
                 state.record.delivered.remove(*slot);
             }
             state.record.open = Some(kept.clone());
-            state.coordinator.on_evicted(withheld.into_iter());
+            state.coordinator.on_evicted(evicted.into_iter());
             open = kept;
         }
         Ok(Batch {
@@ -246,12 +246,16 @@
         })
     }
 
-    async fn seal(&self, step: &Step, change: StepChange) -> Result<SealedBatch, RolloutError> {
+    async fn change_batch(
+        &self,
+        step: &Step,
+        change: StepChange,
+    ) -> Result<SealedBatch, RolloutError> {
         match self.change(&step.name, change).await? {
             StepResponse::Sealed(batch) => Ok(batch),
             StepResponse::Refused(refusal) => {
                 if matches!(refusal, StepRefusal::Fenced { .. } | StepRefusal::Complete) {
-                    self.abandon(&step.name, "fenced");
+                    self.stop_step(&step.name, "fenced");
                 }
                 Err(refusal.into())
             }
@@ -265,7 +269,7 @@
         let expires = epoch_seconds() + retention.as_secs();
         match self.change(name, StepChange::Complete { number, expires }).await? {
             StepResponse::Completed => {
-                self.abandon(name, "complete");
+                self.stop_step(name, "complete");
                 Ok(())
             }
             StepResponse::Refused(refusal) => Err(refusal.into()),
@@ -281,16 +285,16 @@
         let key = step_key(&name.trainer, name.step);
         match change_register(&self.shared, key, RecordChange::Step(change)).await? {
             RecordResponse::Step(response) => Ok(response),
-            _ => Err(RolloutError::Register(RegisterError::NotDone)),
+            _ => Err(RolloutError::Register(RegisterError::NotApplied)),
         }
     }
 
-    /// Stops drawing a step; its draws are cancelled.
-    fn abandon(&self, name: &StepName, reason: &str) {
+    /// Stops a step and cancels its attempts.
+    fn stop_step(&self, name: &StepName, reason: &str) {
         let mut steps = self.steps.borrow_mut();
         if let Some(step) = steps.remove(name) {
             let mut state = step.state.borrow_mut();
-            state.draws.clear();
+            state.attempts.clear();
             let wasted = state.coordinator.wasted_tokens();
             log::info!(
                 "event=step_ended trainer={} step={} reason={reason} wasted_tokens={wasted}",
--- a/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
@@ -1,4 +1,4 @@
-//! Draws the samples of steps and has them scored.
+//! Generates and scores the samples of steps.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 
 use super::messages::StepName;
 use super::step::Step;
-use super::RolloutDuty;
+use super::RolloutManager;
 use crate::dispatch::ApplicationRequest;
-use crate::generation::{generate, GenerationRequest, NoSink};
+use crate::generation::{generate, GenerationRequest, NullSink};
 
-/// Interval at which the steps are shown in the daemon's status.
+/// Interval at which step progress is published to the daemon's status.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
-const IDLE_PUMP_INTERVAL: Duration = Duration::from_millis(100);
-/// A step without a fetch for this long is given up by this daemon; another may take it over.
-const ABANDON_AFTER: Duration = Duration::from_secs(600);
-const PUMP_INTERVAL: Duration = Duration::from_millis(10);
+const IDLE_SCHEDULE_INTERVAL: Duration = Duration::from_millis(100);
+/// A step that is not fetched for this long is dropped by this daemon; another may take it over.
+const FETCH_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(10);
 
-impl RolloutDuty {
-    pub(super) async fn keep_pumping(self) {
+impl RolloutManager {
+    pub(super) async fn schedule_steps(self) {
         let mut last_published = Instant::now();
         loop {
             let is_idle = self.steps.borrow().is_empty();
-            Timer::after(if is_idle { IDLE_PUMP_INTERVAL } else { PUMP_INTERVAL }).await;
+            Timer::after(if is_idle { IDLE_SCHEDULE_INTERVAL } else { SCHEDULE_INTERVAL }).await;
             let steps: Vec<Rc<Step>> = self.steps.borrow().values().cloned().collect();
             if last_published.elapsed() >= PUBLISH_INTERVAL {
                 last_published = Instant::now();
@@ -35,18 +35,18 @@
                 self.shared.steps.store(Arc::new(status));
             }
             for step in steps {
-                if step.state.borrow().last_fetch.elapsed() > ABANDON_AFTER {
-                    self.abandon(&step.name, "not fetched");
-                } else if !self.shared.is_draining() && self.is_its_turn(&step) {
-                    self.pump(&step);
+                if step.state.borrow().last_fetch.elapsed() > FETCH_IDLE_TIMEOUT {
+                    self.stop_step(&step.name, "not fetched");
+                } else if !self.shared.is_draining() && self.may_sample(&step) {
+                    self.schedule(&step);
                 }
             }
         }
     }
 
-    /// Whether a step may be drawn now: it is its trainer's oldest, or the trainer draws ahead.
-    fn is_its_turn(&self, step: &Step) -> bool {
-        if step.policy.draws_ahead {
+    /// Returns whether a step may be sampled: it is its trainer's oldest, or the trainer samples ahead.
+    fn may_sample(&self, step: &Step) -> bool {
+        if step.policy.samples_ahead {
             return true;
         }
         let steps = self.steps.borrow();
@@ -54,8 +54,8 @@
         oldest == Some(&step.name)
     }
 
-    /// Starts as many draws as the engines have places for.
-    pub(super) fn pump(&self, step: &Rc<Step>) {
+    /// Starts attempts up to the number of free engine slots.
+    pub(super) fn schedule(&self, step: &Rc<Step>) {
         let Some(settings) = self.shared.settings.load_full() else {
             return;
         };
@@ -63,11 +63,11 @@
             return;
         };
         let floor = step.state.borrow().floor;
-        let places = self.dispatcher.free_slots(pool, Some(floor));
-        if places == 0 {
+        let free_slots = self.dispatcher.free_slots(pool, Some(floor));
+        if free_slots == 0 {
             return;
         }
-        let effects = step.state.borrow_mut().coordinator.schedule(self.shared.now(), places);
+        let effects = step.state.borrow_mut().coordinator.schedule(self.shared.now(), free_slots);
         self.apply(step, effects);
     }
 
@@ -75,27 +75,29 @@
         for effect in effects {
             match effect {
                 Effect::Start { attempt, slot } => {
-                    let (duty, drawn_step) = (self.clone(), step.clone());
+                    let (manager, sampled_step) = (self.clone(), step.clone());
                     let task = self.executor.spawn(async move {
-                        duty.draw(&drawn_step, attempt, slot).await;
+                        manager.run_attempt(&sampled_step, attempt, slot).await;
                     });
-                    step.state.borrow_mut().draws.insert(attempt, task);
+                    step.state.borrow_mut().attempts.insert(attempt, task);
+                }
+                // Dropping the task closes the engine's stream, which cancels the generation.
+                Effect::Cancel { attempt } => {
+                    drop(step.state.borrow_mut().attempts.remove(&attempt))
                 }
-                // Dropping the task closes the engine's stream, which cancels it there.
-                Effect::Cancel { attempt } => drop(step.state.borrow_mut().draws.remove(&attempt)),
             }
         }
     }
 
-    async fn draw(&self, step: &Rc<Step>, attempt: AttemptId, slot: SlotIndex) {
-        let drawn = self.draw_and_score(step, slot).await;
+    async fn run_attempt(&self, step: &Rc<Step>, attempt: AttemptId, slot: SlotIndex) {
+        let sample = self.generate_and_score(step, slot).await;
         let effects = {
             let mut state = step.state.borrow_mut();
-            // Detached rather than dropped: this very task is about to end by itself.
-            if let Some(task) = state.draws.remove(&attempt) {
+            // Detach the handle: dropping it would cancel the current task.
+            if let Some(task) = state.attempts.remove(&attempt) {
                 task.detach();
             }
-            match drawn {
+            match sample {
                 Some(sample) => {
                     self.shared.metrics.samples_drawn.inc();
                     state.coordinator.on_completed(attempt, sample)
@@ -108,16 +110,16 @@
             }
         };
         self.apply(step, effects);
-        self.pump(step);
+        self.schedule(step);
     }
 
-    async fn draw_and_score(&self, step: &Step, slot: SlotIndex) -> Option<Sample> {
+    async fn generate_and_score(&self, step: &Step, slot: SlotIndex) -> Option<Sample> {
         let settings = self.shared.settings.load_full()?;
         let pool = settings.policy.pools.get(&step.policy.pool)?;
         let scorer = settings.policy.pools.get(&step.policy.scorer)?;
         let prompt = step.request.prompts.get(step.plan.prompt_of(slot) as usize)?;
         let floor = step.state.borrow().floor;
-        let seed = sample_seed(&step.name, slot);
+        let seed = seed_for(&step.name, slot);
         let caller_request = format!("{}:step-{}-{}", step.name.trainer, step.name.step, slot.0);
         let request = GenerationRequest {
             model: step.policy.model.clone(),
@@ -128,17 +130,17 @@
             min_version: Some(floor),
             caller_request: caller_request.clone(),
         };
-        let generated = generate(&self.dispatcher, pool, &request, &mut NoSink).await.ok()?;
+        let generated = generate(&self.dispatcher, pool, &request, &mut NullSink).await.ok()?;
         let body = serde_json::to_vec(&ScoreRequest { text: &generated.text }).ok()?;
-        let scoring = ApplicationRequest {
+        let score_request = ApplicationRequest {
             method: Method::Post,
             target: "/score".to_owned(),
             headers: Vec::new(),
             body,
             caller_request,
-            repeatable: true,
+            idempotent: true,
         };
-        let answer = self.dispatcher.send_to_application(scorer, &scoring).await.ok()?;
+        let answer = self.dispatcher.send_to_application(scorer, &score_request).await.ok()?;
         if answer.status != StatusCode::Ok {
             return None;
         }
@@ -164,8 +166,8 @@
     reward_milli: i64,
 }
 
-/// The seed of a slot; the same for every attempt to draw it.
-fn sample_seed(name: &StepName, slot: SlotIndex) -> u64 {
+/// Returns the sampling seed of a slot, which is the same for all its attempts.
+fn seed_for(name: &StepName, slot: SlotIndex) -> u64 {
     let text = format!("{}/{}/{}", name.trainer, name.step, slot.0);
     rapidhash::v3::rapidhash_v3(text.as_bytes())
 }
--- a/crates/heronbend-daemon/src/tasks/rollout/step.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/step.rs
@@ -1,4 +1,4 @@
-//! A step that this daemon coordinates, and the settings it is drawn by.
+//! State and policy of a coordinated step.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,12 +14,12 @@
 use super::messages::{StepName, MAX_SLOTS};
 use crate::shared::StepStatus;
 
-/// Copies of one sample at once, 1 for no hedging, and the share of unfilled slots at which copying
-/// would begin. The rollout experiment speaks against hedging: see docs/DESIGN.md.
+/// Maximum concurrent attempts per sample; 1 disables hedging.
 const MAX_COPIES: u32 = 1;
+/// Share of unfilled slots below which hedging starts, in thousandths.
 const HEDGE_BELOW_MILLI: u32 = 50;
-/// Weight of idle time from which steps are drawn ahead of their turn.
-const IDLE_WEIGHT_TO_DRAW_AHEAD: f64 = 0.5;
+/// Minimum `idle_weight` of trainers whose steps are sampled ahead of their turn.
+const MIN_IDLE_WEIGHT_TO_SAMPLE_AHEAD: f64 = 0.5;
 
 /// A step that this daemon coordinates.
 pub(super) struct Step {
@@ -28,8 +28,8 @@
     pub(super) plan: StepPlan,
     pub(super) policy: StepPolicy,
     pub(super) state: RefCell<StepState>,
-    /// Held by the one fetch that may seal.
-    pub(super) sealing: Mutex<()>,
+    /// Serializes fetches, so that only one seals a batch at a time.
+    pub(super) seal_lock: Mutex<()>,
 }
 
 impl Step {
@@ -54,15 +54,14 @@
     pub(super) scorer: String,
     pub(super) batch_size: usize,
     pub(super) staleness_bound: u64,
-    /// Whether a step that is posted ahead is drawn before its turn: only for a trainer that weighs
-    /// idle time more than staleness.
-    pub(super) draws_ahead: bool,
+    /// Whether a step is sampled before the trainer's earlier steps are complete.
+    pub(super) samples_ahead: bool,
 }
 
 pub(super) struct StepState {
     pub(super) record: OpenStep,
     pub(super) coordinator: StepCoordinator,
-    pub(super) draws: BTreeMap<AttemptId, Task<()>>,
+    pub(super) attempts: BTreeMap<AttemptId, Task<()>>,
     pub(super) floor: u64,
     pub(super) last_fetch: Instant,
 }
@@ -77,13 +76,13 @@
             scorer: trainer.scorer.clone(),
             batch_size: trainer.batch_size,
             staleness_bound: trainer.staleness_bound,
-            draws_ahead: trainer.idle_weight >= IDLE_WEIGHT_TO_DRAW_AHEAD,
+            samples_ahead: trainer.idle_weight >= MIN_IDLE_WEIGHT_TO_SAMPLE_AHEAD,
         })
     }
 }
 
-/// How a step is drawn; nothing when its size is out of bounds.
-pub(super) fn plan_of(request: &StepRequest) -> Option<StepPlan> {
+/// Creates the sampling plan of a step; returns `None` if it has no slots or more than [`MAX_SLOTS`].
+pub(super) fn plan_for(request: &StepRequest) -> Option<StepPlan> {
     let prompts = u32::try_from(request.prompts.len()).ok()?;
     let slots = prompts.checked_mul(request.samples_per_prompt)?;
     (1..=MAX_SLOTS).contains(&slots).then_some(StepPlan {
--- a/crates/heronbend-daemon/src/tasks/settings.rs
+++ b/crates/heronbend-daemon/src/tasks/settings.rs
@@ -1,7 +1,7 @@
-//! Keeps settings in force: reads, watches, takes over from peers, and accepts edits.
+//! Settings distribution: watches the store, merges settings from peers and commits edits.
 //!
-//! Few daemons watch the store: the first [`READERS_PER_REGION`] alive of each region. The others
-//! learn of a new revision by gossip and fetch it from a peer.
+//! Only the first [`WATCHERS_PER_REGION`] alive daemons of each region watch the store. The others
+//! learn of new revisions by gossip and fetch them from a peer.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -19,65 +19,65 @@
 use super::register::RegisterCall;
 use super::Executor;
 use crate::platform_client::{PlatformClient, PlatformError};
-use crate::shared::{SettingsInForce, Shared};
+use crate::shared::{ActiveSettings, Shared};
 
-/// Daemons of a region that watch the store.
-const READERS_PER_REGION: usize = 2;
+/// Number of daemons per region that watch the store.
+const WATCHERS_PER_REGION: usize = 2;
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 const EDIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// An edit as an operator sends it.
+/// An edit request of an operator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EditRequest {
-    /// Identifier chosen by the operator's tool; sending it again is harmless.
+    /// Identifier chosen by the client; repeated requests with the same identifier are applied once.
     pub id: String,
-    /// The changes.
+    /// Changes, by settings node.
     pub edits: Vec<NodeEdit>,
 }
 
-/// Why an edit was not accepted, or is not known to be.
+/// Errors of an edit.
 #[derive(Debug, Clone, Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EditError {
-    /// The edit contradicts the settings; nothing was changed.
+    /// The edit conflicts with the current settings; nothing was changed.
     #[error(transparent)]
     Conflict(EditConflict),
     /// The store could not be reached; nothing was changed.
     #[error("the store cannot be reached; nothing was changed")]
     StoreDown,
-    /// The store may have taken the edit: send it again under the same identifier.
+    /// The store may have applied the edit; it can be retried with the same identifier.
     #[error("whether the store took the edit is unknown; send it again under the same identifier")]
     Unknown,
 }
 
-/// An input of the settings duty.
+/// Inputs of the settings task.
 #[derive(Debug)]
 pub enum SettingsCall {
-    /// A peer's settings.
+    /// Settings received from a peer.
     Offer(SettingsObject),
-    /// An operator's edit; the answer is the revision.
+    /// An operator's edit.
     Edit {
-        /// The edit.
+        /// Edit to commit.
         request: EditRequest,
-        /// Where the result goes.
+        /// Receives the resulting revision.
         reply: Sender<Result<u64, EditError>>,
     },
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor, seeds: Vec<SocketAddr>) {
     let platform = PlatformClient::new(shared.identity.platform);
-    executor.spawn(keep_watching(shared.clone(), platform.clone())).detach();
-    executor.spawn(keep_confirmed(shared.clone(), platform.clone(), seeds)).detach();
-    while let Ok(call) = shared.settings_ring.receiver.recv().await {
+    executor.spawn(watch_settings(shared.clone(), platform.clone())).detach();
+    executor.spawn(confirm_settings(shared.clone(), platform.clone(), seeds)).detach();
+    while let Ok(call) = shared.settings_channel.receiver.recv().await {
         match call {
-            SettingsCall::Offer(object) => adopt(&shared, object),
+            SettingsCall::Offer(object) => apply_if_newer(&shared, object),
             SettingsCall::Edit { request, reply } => {
                 let (shared, platform) = (shared.clone(), platform.clone());
                 executor
                     .spawn(async move {
-                        let result = accept_edit(&shared, &platform, &request).await;
+                        let result = commit_edit(&shared, &platform, &request).await;
                         let _ = reply.try_send(result);
                     })
                     .detach();
@@ -86,18 +86,18 @@
     }
 }
 
-/// Asks the settings duty to make an edit. For any thread.
+/// Commits an edit through the settings task. Can be called from any thread.
 pub async fn edit_settings(shared: &Shared, request: EditRequest) -> Result<u64, EditError> {
     let (reply, result) = bounded(1);
     let call = SettingsCall::Edit { request, reply };
-    if shared.settings_ring.sender.try_send(call).is_err() {
+    if shared.settings_channel.sender.try_send(call).is_err() {
         return Err(EditError::StoreDown);
     }
     result.recv().await.unwrap_or(Err(EditError::Unknown))
 }
 
-/// Puts a newer revision in force. An older one, or one that is not valid, is not taken over.
-fn adopt(shared: &Shared, object: SettingsObject) {
+/// Activates settings if their revision is newer and they are valid.
+fn apply_if_newer(shared: &Shared, object: SettingsObject) {
     let known = shared.settings.load();
     let is_newer = known.as_ref().is_none_or(|known| object.revision > known.object.revision);
     if !is_newer || object.revision == 0 {
@@ -114,34 +114,34 @@
     let policy = Policy::compile(&object.tree, object.revision);
     log::info!("event=settings_in_force revision={}", object.revision);
     shared.metrics.settings_revision.set(object.revision as i64);
-    shared.settings.store(Some(Arc::new(SettingsInForce { object, policy })));
+    shared.settings.store(Some(Arc::new(ActiveSettings { object, policy })));
 }
 
-/// Reads the store's settings and puts them in force; the object's version.
+/// Reads and activates the stored settings; returns the version of the stored object, or 0 if absent.
 async fn read_store(shared: &Shared, platform: &PlatformClient) -> Result<u64, PlatformError> {
     shared.metrics.store_reads.inc();
     let stored: Option<Versioned<SettingsObject>> = platform.read(SETTINGS_OBJECT).await?;
     let version = stored.as_ref().map_or(0, |stored| stored.version);
     if let Some(stored) = stored {
-        adopt(shared, stored.value);
+        apply_if_newer(shared, stored.value);
     }
     Ok(version)
 }
 
-fn is_reader(shared: &Shared) -> bool {
+fn is_watcher(shared: &Shared) -> bool {
     let identity = &shared.identity;
     shared
         .alive_nodes()
         .iter()
         .filter(|(_, _, region)| *region == identity.region)
-        .take(READERS_PER_REGION)
+        .take(WATCHERS_PER_REGION)
         .any(|(name, _, _)| *name == identity.node.name)
 }
 
-async fn keep_watching(shared: Arc<Shared>, platform: PlatformClient) {
+async fn watch_settings(shared: Arc<Shared>, platform: PlatformClient) {
     let mut version = None;
     loop {
-        if !is_reader(&shared) && shared.settings.load().is_some() {
+        if !is_watcher(&shared) && shared.settings.load().is_some() {
             version = None;
             Timer::after(RETRY_DELAY).await;
             continue;
@@ -174,13 +174,13 @@
     let Some(changed) = changed else {
         return Ok(after);
     };
-    adopt(shared, changed.value);
+    apply_if_newer(shared, changed.value);
     Ok(changed.version)
 }
 
-/// After a pause, and at the start with the store down, confirms the settings: by the store, or by
-/// the newest revision that a majority of the known daemons hold.
-async fn keep_confirmed(shared: Arc<Shared>, platform: PlatformClient, seeds: Vec<SocketAddr>) {
+/// Confirms the settings at startup and after a pause: from the store or, if it is unavailable, from a
+/// majority of the known daemons.
+async fn confirm_settings(shared: Arc<Shared>, platform: PlatformClient, seeds: Vec<SocketAddr>) {
     loop {
         Timer::after(CONFIRM_INTERVAL).await;
         let is_confirmed = shared.settings_confirmed.load(Ordering::Acquire);
@@ -189,17 +189,20 @@
         }
         let confirmed = match read_store(&shared, &platform).await {
             Ok(_) => true,
-            Err(_) => survey_peers(&shared, &seeds).await,
+            Err(_) => sync_from_peers(&shared, &seeds).await,
         };
         if confirmed && !is_confirmed {
             shared.settings_confirmed.store(true, Ordering::Release);
-            log::info!("event=settings_confirmed revision={}", shared.head().settings_revision);
+            log::info!(
+                "event=settings_confirmed revision={}",
+                shared.control_versions().settings_revision
+            );
         }
     }
 }
 
-/// Takes over the newest settings of the known daemons; whether a majority of them replied.
-async fn survey_peers(shared: &Shared, seeds: &[SocketAddr]) -> bool {
+/// Fetches the settings of all known daemons; returns whether a majority replied.
+async fn sync_from_peers(shared: &Shared, seeds: &[SocketAddr]) -> bool {
     let mut peers: Vec<SocketAddr> = shared
         .members
         .load()
@@ -220,14 +223,14 @@
     replied > 0 && replied + 1 > known / 2
 }
 
-/// Makes an edit by compare-and-swap, and resolves a lost answer by reading back.
-async fn accept_edit(
+/// Commits an edit by compare-and-swap. A lost response is resolved by reading the stored edits back.
+async fn commit_edit(
     shared: &Shared,
     platform: &PlatformClient,
     request: &EditRequest,
 ) -> Result<u64, EditError> {
     let deadline = Instant::now() + EDIT_TIMEOUT;
-    let mut may_be_taken = false;
+    let mut may_be_stored = false;
     while Instant::now() < deadline {
         shared.metrics.store_reads.inc();
         let stored = match platform.read::<SettingsObject>(SETTINGS_OBJECT).await {
@@ -243,7 +246,7 @@
         };
         if let Some(edit) = object.edits.iter().find(|edit| edit.id == request.id) {
             let revision = edit.revision;
-            adopt(shared, object);
+            apply_if_newer(shared, object);
             return Ok(revision);
         }
         let next =
@@ -251,16 +254,16 @@
         match platform.write(SETTINGS_OBJECT, version, &next).await {
             Ok(()) => {
                 let revision = next.revision;
-                adopt(shared, next);
+                apply_if_newer(shared, next);
                 return Ok(revision);
             }
             Err(PlatformError::Conflict) => {}
             Err(error) => {
                 log::info!("event=edit_unanswered id={} error={error}", request.id);
-                may_be_taken |= matches!(error, PlatformError::NoAnswer(_));
+                may_be_stored |= matches!(error, PlatformError::NoResponse(_));
                 Timer::after(RETRY_DELAY).await;
             }
         }
     }
-    Err(if may_be_taken { EditError::Unknown } else { EditError::StoreDown })
+    Err(if may_be_stored { EditError::Unknown } else { EditError::StoreDown })
 }
