--- a/crates/heronbend-daemon/src/tasks/shards.rs
+++ b/crates/heronbend-daemon/src/tasks/shards.rs
@@ -1,7 +1,7 @@
-//! Places shards: creates the shard map, and replaces members that are gone.
+//! Shard placement: creates the shard map and replaces members that left the cluster.
 //!
-//! Any daemon may do this at any time, also two at once: the object API's compare-and-swap decides.
-//! That only the first daemon alive does it saves work.
+//! Several daemons may change the placement concurrently, since the shard map is written by
+//! compare-and-swap. To avoid duplicate work, only the soft leader does so.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -19,79 +19,79 @@
 use smol::channel::bounded;
 use smol::Timer;
 
-use super::register::RegisterDuty;
+use super::register::RegisterManager;
 use crate::platform_client::{PlatformClient, PlatformError};
 use crate::shared::Shared;
 
-/// Number of shards; fixed for the life of a deployment, since keys map to it.
-const SHARDS: u32 = 8;
+/// Number of shards. Fixed for the lifetime of a deployment, since keys are mapped to shards by it.
+const SHARD_COUNT: u32 = 8;
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const TRANSITION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Keeps the shard map known and its members alive, until the process ends.
-pub async fn keep_placed(duty: RegisterDuty) {
-    let platform = PlatformClient::new(duty.shared.identity.platform);
+/// Loads the shard map and maintains shard placement until the process exits.
+pub async fn maintain_placement(manager: RegisterManager) {
+    let platform = PlatformClient::new(manager.shared.identity.platform);
     loop {
         Timer::after(CHECK_INTERVAL).await;
-        let is_unknown = duty.shared.shard_map.load().shards.is_empty();
-        // Before the list of machines is known every daemon would take itself for the first.
-        let knows_daemons = duty.shared.backends.load().generation > 0;
-        let may_write = knows_daemons && !duty.shared.is_draining();
-        let places = may_write && duty.shared.is_first_alive();
-        let sealed = duty.take_sealed();
-        let reopens = may_write && !sealed.is_empty();
-        let is_due = is_unknown || reopens || (places && needs_placing(&duty.shared));
+        let is_unknown = manager.shared.shard_map.load().shards.is_empty();
+        // Until the machine list is loaded, every daemon would consider itself the soft leader.
+        let knows_daemons = manager.shared.backends.load().generation > 0;
+        let may_write = knows_daemons && !manager.shared.is_draining();
+        let may_place = may_write && manager.shared.is_soft_leader();
+        let sealed = manager.take_sealed();
+        let must_reopen = may_write && !sealed.is_empty();
+        let is_due = is_unknown || must_reopen || (may_place && needs_placement(&manager.shared));
         if !is_due {
             continue;
         }
-        if reopens {
-            // Several daemons find a shard sealed at the same time; one is enough.
+        if must_reopen {
+            // Random delay, since several daemons may find the same shard sealed.
             Timer::after(CHECK_INTERVAL.mul_f64(rand::rng().random())).await;
         }
-        if let Err(error) = place(&duty, &platform, places, &sealed).await {
+        if let Err(error) = update_placement(&manager, &platform, may_place, &sealed).await {
             log::debug!("event=placing_failed error={error}");
         }
     }
 }
 
-async fn place(
-    duty: &RegisterDuty,
+async fn update_placement(
+    manager: &RegisterManager,
     platform: &PlatformClient,
-    places: bool,
+    may_place: bool,
     sealed: &BTreeSet<ShardId>,
 ) -> Result<(), PlatformError> {
-    duty.shared.metrics.store_reads.inc();
+    manager.shared.metrics.store_reads.inc();
     let stored: Option<Versioned<ShardMap>> = platform.read(SHARD_MAP_OBJECT).await?;
     match stored {
         Some(stored) => {
-            let known = duty.shared.shard_map.load_full();
-            duty.learn_map(&stored.value);
-            // A shard whose stored epoch is newer than the one found sealed is open already.
+            let known = manager.shared.shard_map.load_full();
+            manager.merge_shard_map(&stored.value);
+            // Skip shards that were reopened in a newer epoch.
             let still_sealed = |shard: &&ShardId| {
                 let epoch = |map: &ShardMap| map.config(**shard).map(|config| config.epoch);
                 epoch(&known) == epoch(&stored.value)
             };
             let sealed: BTreeSet<ShardId> = sealed.iter().filter(still_sealed).copied().collect();
-            if !sealed.is_empty() || (places && needs_placing(&duty.shared)) {
-                replace_members(duty, platform, stored, places, &sealed).await?;
+            if !sealed.is_empty() || (may_place && needs_placement(&manager.shared)) {
+                replace_members(manager, platform, stored, may_place, &sealed).await?;
             }
         }
-        None if places && duty.shared.settings.load().is_some() => {
-            let first = ShardMap::initial(SHARDS, &candidates(&duty.shared));
+        None if may_place && manager.shared.settings.load().is_some() => {
+            let first = ShardMap::initial(SHARD_COUNT, &candidates(&manager.shared));
             platform.write(SHARD_MAP_OBJECT, 0, &first).await?;
-            log::info!("event=shard_map_created shards={SHARDS}");
+            log::info!("event=shard_map_created shards={SHARD_COUNT}");
         }
         None => {}
     }
     Ok(())
 }
 
-/// Moves every shard that needs it, then writes all new replica sets at once.
+/// Runs a transition for every shard that needs new members, then commits all new replica sets at once.
 async fn replace_members(
-    duty: &RegisterDuty,
+    manager: &RegisterManager,
     platform: &PlatformClient,
     stored: Versioned<ShardMap>,
-    places: bool,
+    may_place: bool,
     sealed: &BTreeSet<ShardId>,
 ) -> Result<(), PlatformError> {
     let Versioned { version, value: mut map } = stored;
@@ -99,12 +99,12 @@
     let started = Instant::now();
     for (index, config) in map.shards.clone().into_iter().enumerate() {
         let shard = ShardId(u32::try_from(index).unwrap_or(u32::MAX));
-        let better = better_members(&duty.shared, shard, &config).filter(|_| places);
+        let better = replacement_members(&manager.shared, shard, &config).filter(|_| may_place);
         let same = sealed.contains(&shard).then(|| config.members.clone());
         let Some(members) = better.or(same) else {
             continue;
         };
-        if let Some(next) = prepare(duty, shard, config, members, None).await {
+        if let Some(next) = run_transition(manager, shard, config, members, None).await {
             map.shards[index] = next;
             moved.push(shard);
         }
@@ -112,22 +112,24 @@
     if moved.is_empty() {
         return Ok(());
     }
-    commit(duty, platform, version, map, &moved).await?;
+    commit(manager, platform, version, map, &moved).await?;
     let millis = started.elapsed().as_millis();
     log::info!("event=shards_moved shards={} millis={millis}", moved.len());
     Ok(())
 }
 
-/// Opens shards again that have lost a majority of their members for good, with what is left of
-/// them; how many. What they held may be lost: only an operator may choose this.
-pub async fn rebuild(duty: &RegisterDuty) -> Result<usize, PlatformError> {
-    let platform = PlatformClient::new(duty.shared.identity.platform);
+/// Reopens shards that have permanently lost a majority of their members, from the remaining replicas.
+///
+/// Committed data may be lost, so this is only run on an operator's request. Returns the number of
+/// reopened shards.
+pub async fn rebuild(manager: &RegisterManager) -> Result<usize, PlatformError> {
+    let platform = PlatformClient::new(manager.shared.identity.platform);
     let Some(stored) = platform.read::<ShardMap>(SHARD_MAP_OBJECT).await? else {
         return Ok(0);
     };
     let Versioned { version, value: mut map } = stored;
-    duty.learn_map(&map);
-    let candidates = candidates(&duty.shared);
+    manager.merge_shard_map(&map);
+    let candidates = candidates(&manager.shared);
     let mut moved = Vec::new();
     for (index, config) in map.shards.clone().into_iter().enumerate() {
         let shard = ShardId(u32::try_from(index).unwrap_or(u32::MAX));
@@ -137,21 +139,21 @@
             continue;
         }
         let members = choose_members(shard, &candidates);
-        if let Some(next) = prepare(duty, shard, config, members, Some(survivors)).await {
+        if let Some(next) = run_transition(manager, shard, config, members, Some(survivors)).await {
             map.shards[index] = next;
             moved.push(shard);
         }
     }
     if !moved.is_empty() {
-        commit(duty, &platform, version, map, &moved).await?;
+        commit(manager, &platform, version, map, &moved).await?;
         log::warn!("event=shards_rebuilt shards={}", moved.len());
     }
     Ok(moved.len())
 }
 
-/// Writes new replica sets into the stored map and tells their members.
+/// Writes new replica sets to the stored shard map and sends them to their members.
 async fn commit(
-    duty: &RegisterDuty,
+    manager: &RegisterManager,
     platform: &PlatformClient,
     version: u64,
     mut map: ShardMap,
@@ -160,54 +162,55 @@
     match platform.write(SHARD_MAP_OBJECT, version, &map).await {
         Ok(()) => {}
         Err(error) => {
-            // The answer may have been lost after the write: the stored map tells.
+            // The write may have succeeded although the response was lost, so read the stored map back.
             log::warn!("event=shard_map_write_failed error={error}");
             if let Some(stored) = platform.read::<ShardMap>(SHARD_MAP_OBJECT).await? {
                 map = stored.value;
             }
         }
     }
-    duty.learn_map(&map);
+    manager.merge_shard_map(&map);
     for shard in moved {
         if let Some(config) = map.config(*shard) {
             for member in &config.members {
-                duty.configure(*shard, member.clone(), config.clone());
+                manager.configure(*shard, member.clone(), config.clone());
             }
         }
     }
     Ok(())
 }
 
-/// Seals the old set and stages its state at the new one; the replica set to commit.
+/// Seals the old replica set and stages its state at the new one; returns the replica set to commit.
 ///
-/// With `survivors`, their state is enough, see [`Transition::start_forced_recovery`].
-async fn prepare(
-    duty: &RegisterDuty,
+/// With `survivors`, only their state is used, see [`Transition::start_forced_recovery`].
+async fn run_transition(
+    manager: &RegisterManager,
     shard: ShardId,
     old: ShardConfig,
     members: BTreeSet<NodeId>,
     survivors: Option<BTreeSet<NodeId>>,
 ) -> Option<ShardConfig> {
-    let asked = survivors.as_ref().unwrap_or(&old.members);
-    let old_members: Vec<NodeId> = asked.iter().cloned().collect();
+    let sources = survivors.as_ref().unwrap_or(&old.members);
+    let old_members: Vec<NodeId> = sources.iter().cloned().collect();
     let new_members: Vec<NodeId> = members.iter().cloned().collect();
     for member in &old_members {
         let config = old.clone();
-        duty.ask(shard, member, ReplicaRequest::Configure { config })
+        manager
+            .call_replica(shard, member, ReplicaRequest::Configure { config })
             .or(async {
                 Timer::after(Duration::from_millis(100)).await;
                 None
             })
             .await;
     }
-    let identifier = duty.shared.unique_number();
+    let identifier = manager.shared.unique_number();
     let (mut transition, request) = match survivors {
         None => Transition::<Record>::start(old, members, identifier),
         Some(survivors) => Transition::start_forced_recovery(old, survivors, members, identifier),
     };
     let (sender, replies) = bounded(old_members.len() + new_members.len());
-    let first_asked = if old_members.is_empty() { &new_members } else { &old_members };
-    duty.broadcast(shard, first_asked, &request, &sender);
+    let first_targets = if old_members.is_empty() { &new_members } else { &old_members };
+    manager.broadcast(shard, first_targets, &request, &sender);
     let deadline = Instant::now() + TRANSITION_TIMEOUT;
     loop {
         let received = async { replies.recv().await.ok() };
@@ -220,7 +223,7 @@
         match transition.on_reply(&from, reply) {
             TransitionStep::Waiting => {}
             TransitionStep::Stage(stage) => {
-                duty.broadcast(shard, &new_members, &stage, &sender);
+                manager.broadcast(shard, &new_members, &stage, &sender);
             }
             TransitionStep::Commit(config) => return Some(config),
             TransitionStep::Superseded => return None,
@@ -228,19 +231,18 @@
     }
 }
 
-/// Whether some shard could have better members than it has.
-pub fn needs_placing(shared: &Shared) -> bool {
+/// Returns whether a shard has missing members that can be replaced.
+pub fn needs_placement(shared: &Shared) -> bool {
     let map = shared.shard_map.load();
     map.shards.iter().enumerate().any(|(index, config)| {
         let shard = ShardId(u32::try_from(index).unwrap_or(u32::MAX));
-        better_members(shared, shard, config).is_some()
+        replacement_members(shared, shard, config).is_some()
     })
 }
 
-/// A full set that keeps the members that are alive; `None` when there is nothing to gain.
-///
-/// A set of which one member is gone stays as it is until a daemon can take the place.
-fn better_members(
+/// Returns the alive members of a shard plus replacements, or `None` if no member is missing or no
+/// replacement is available.
+fn replacement_members(
     shared: &Shared,
     shard: ShardId,
     config: &ShardConfig,
@@ -263,14 +265,14 @@
     (members.len() > kept.len()).then_some(members)
 }
 
-/// Daemons that can hold replicas, with their zones.
+/// Returns the daemons that can host replicas, with their zones.
 fn candidates(shared: &Shared) -> Vec<(NodeId, String)> {
     let identity = &shared.identity;
-    let me = (identity.node.clone(), identity.zone.clone());
+    let local = (identity.node.clone(), identity.zone.clone());
     let members = shared.members.load();
     let others = members
         .iter()
         .filter(|member| member.liveness <= Liveness::Suspect)
         .map(|member| (member.id.clone(), member.zone.clone()));
-    std::iter::once(me).chain(others).collect()
+    std::iter::once(local).chain(others).collect()
 }
--- a/crates/heronbend-daemon/src/tasks/telemetry.rs
+++ b/crates/heronbend-daemon/src/tasks/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs the counters at an interval.
+//! Periodic logging of the counters.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const DEFAULT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>) {
     loop {
         let interval = {
@@ -17,6 +17,6 @@
             settings.as_ref().map_or(DEFAULT_INTERVAL, |known| known.policy.log_interval)
         };
         Timer::after(interval).await;
-        log::info!("event=counters {}", shared.metrics.line());
+        log::info!("event=counters {}", shared.metrics.log_line());
     }
 }
--- a/crates/heronbend-daemon/src/tasks/weights.rs
+++ b/crates/heronbend-daemon/src/tasks/weights.rs
@@ -1,4 +1,4 @@
-//! Rolls weight versions out: watches the weight store and sends fenced orders.
+//! Weight version rollout: polls the weight store and sends fenced load commands to engines.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,29 +21,29 @@
 use crate::shared::Shared;
 
 const TICK: Duration = Duration::from_millis(200);
-const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
-const MAX_ANSWER_BYTES: usize = 1 << 16;
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(60);
+const MAX_RESPONSE_BYTES: usize = 1 << 16;
 
-/// The rollout of one model, while this daemon paces it.
-struct Pacing {
+/// Rollout of one model that this daemon controls.
+struct ModelRollout {
     fence: u64,
     rollout: VersionRollout,
 }
 
-/// The highest token of each model that an engine refused as too low.
-type RefusedTokens = Rc<RefCell<BTreeMap<String, u64>>>;
-type Pacings = Rc<RefCell<BTreeMap<String, Pacing>>>;
+/// Fencing tokens that an engine rejected as too low, by model.
+type FencedTokens = Rc<RefCell<BTreeMap<String, u64>>>;
+type ModelRollouts = Rc<RefCell<BTreeMap<String, ModelRollout>>>;
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor) {
     let platform = PlatformClient::new(shared.identity.platform);
     let client = Client::new();
-    let pacings = Pacings::default();
-    let refused = RefusedTokens::default();
+    let rollouts = ModelRollouts::default();
+    let fenced = FencedTokens::default();
     loop {
         Timer::after(TICK).await;
-        if !shared.is_first_alive() || shared.is_draining() {
-            pacings.borrow_mut().clear();
+        if !shared.is_soft_leader() || shared.is_draining() {
+            rollouts.borrow_mut().clear();
             continue;
         }
         let Some(settings) = shared.settings.load_full() else {
@@ -51,23 +51,23 @@
         };
         for model in settings.policy.models.values() {
             let floor = settings.policy.pools[&model.pool].serving_floor;
-            if !ensure_fence(&shared, &pacings, &refused, &model.name, floor).await {
+            if !ensure_fence(&shared, &rollouts, &fenced, &model.name, floor).await {
                 continue;
             }
             if let Ok(versions) = platform.versions(&model.name).await {
-                with(&pacings, &model.name, |pacing| {
+                update_rollout(&rollouts, &model.name, |rollout_state| {
                     if let Some(latest) = versions.latest {
-                        pacing.rollout.publish(latest);
+                        rollout_state.rollout.publish(latest);
                     }
                 });
             }
-            for (order, backend, fence) in due_orders(&shared, &pacings, model, floor) {
-                let task = send_order(
+            for (command, backend, fence) in due_commands(&shared, &rollouts, model, floor) {
+                let task = send_command(
                     shared.clone(),
                     client.clone(),
-                    (pacings.clone(), refused.clone()),
+                    (rollouts.clone(), fenced.clone()),
                     model.name.clone(),
-                    order,
+                    command,
                     backend,
                     fence,
                 );
@@ -77,44 +77,45 @@
     }
 }
 
-fn with(pacings: &Pacings, model: &str, change: impl FnOnce(&mut Pacing)) {
-    if let Some(pacing) = pacings.borrow_mut().get_mut(model) {
-        change(pacing);
+fn update_rollout(rollouts: &ModelRollouts, model: &str, change: impl FnOnce(&mut ModelRollout)) {
+    if let Some(rollout_state) = rollouts.borrow_mut().get_mut(model) {
+        change(rollout_state);
     }
 }
 
-/// Gets a fencing token for a model, unless this daemon holds one already.
+/// Acquires a fencing token for a model unless this daemon already holds one; returns whether it does.
 async fn ensure_fence(
     shared: &Shared,
-    pacings: &Pacings,
-    refused: &RefusedTokens,
+    rollouts: &ModelRollouts,
+    fenced: &FencedTokens,
     model: &str,
     floor: f64,
 ) -> bool {
-    if pacings.borrow().contains_key(model) {
+    if rollouts.borrow().contains_key(model) {
         return true;
     }
     let holder = shared.identity.node.clone();
-    let above = refused.borrow().get(model).copied().unwrap_or(0);
+    let above = fenced.borrow().get(model).copied().unwrap_or(0);
     let change = RecordChange::Fence(FenceChange { holder, above });
     match change_register(shared, fence_key(model), change).await {
         Ok(RecordResponse::Fence(fence)) => {
             log::info!("event=fence_acquired model={model} token={}", fence.token);
-            let pacing = Pacing { fence: fence.token, rollout: VersionRollout::new(floor) };
-            pacings.borrow_mut().insert(model.to_owned(), pacing);
+            let rollout_state =
+                ModelRollout { fence: fence.token, rollout: VersionRollout::new(floor) };
+            rollouts.borrow_mut().insert(model.to_owned(), rollout_state);
             true
         }
         _ => false,
     }
 }
 
-/// Feeds the rollout what engines state, and gives the orders that are due.
+/// Updates a rollout with the engines' reported versions and returns the load commands to send.
 ///
-/// Engines outside this daemon's subset are not asked for reports: they are ordered the newest
-/// version once, and their answer states it.
-fn due_orders(
+/// Engines outside this daemon's subset are not polled. They receive one command for the latest version,
+/// and the response confirms it.
+fn due_commands(
     shared: &Shared,
-    pacings: &Pacings,
+    rollouts: &ModelRollouts,
     model: &ModelPolicy,
     floor: f64,
 ) -> Vec<(LoadCommand, Backend, u64)> {
@@ -125,67 +126,70 @@
         .filter(|known| known.backend.pool == model.pool && known.phase == Phase::Live)
         .map(|known| (&known.backend.name, known))
         .collect();
-    let mut due = Vec::new();
-    with(pacings, &model.name, |pacing| {
-        pacing.rollout.set_serving_floor(floor);
+    let mut commands = Vec::new();
+    update_rollout(rollouts, &model.name, |rollout_state| {
+        rollout_state.rollout.set_serving_floor(floor);
         for (name, known) in &engines {
             let incarnation = known.backend.incarnation;
             if known.in_subset {
-                pacing.rollout.observe(name, incarnation, known.report.version);
+                rollout_state.rollout.observe(name, incarnation, known.report.version);
             } else {
-                pacing.rollout.observe_presence(name, incarnation);
+                rollout_state.rollout.observe_presence(name, incarnation);
             }
         }
-        pacing.rollout.retain(|name| engines.contains_key(name));
-        for order in pacing.rollout.tick(shared.now()) {
-            let backend = engines[&order.engine].backend.clone();
-            due.push((order, backend, pacing.fence));
+        rollout_state.rollout.retain(|name| engines.contains_key(name));
+        for command in rollout_state.rollout.tick(shared.now()) {
+            let backend = engines[&command.engine].backend.clone();
+            commands.push((command, backend, rollout_state.fence));
         }
     });
-    due
+    commands
 }
 
-async fn send_order(
+async fn send_command(
     shared: Arc<Shared>,
     client: Client,
-    (pacings, refused): (Pacings, RefusedTokens),
+    (rollouts, fenced): (ModelRollouts, FencedTokens),
     model: String,
-    order: LoadCommand,
+    command: LoadCommand,
     backend: Backend,
     fence: u64,
 ) {
     shared.metrics.weight_orders.inc();
-    let result = order_engine(&client, &backend, &order, fence).await;
-    let engine = &order.engine;
-    log::info!("event=order_ended engine={engine} version={} result={result:?}", order.version);
+    let result = execute_command(&client, &backend, &command, fence).await;
+    let engine = &command.engine;
+    log::info!("event=order_ended engine={engine} version={} result={result:?}", command.version);
     if result == LoadResult::Fenced {
-        // Another daemon paces this model, or the register has forgotten its tokens; a higher one is
-        // asked for if this daemon still should.
-        refused.borrow_mut().insert(model.clone(), fence);
-        pacings.borrow_mut().remove(&model);
+        // Another daemon controls the rollout, or the register lost its tokens. The next tick acquires a
+        // higher token if this daemon is still the soft leader.
+        fenced.borrow_mut().insert(model.clone(), fence);
+        rollouts.borrow_mut().remove(&model);
         return;
     }
-    with(&pacings, &model, |pacing| pacing.rollout.on_result(shared.now(), &order, result));
+    update_rollout(&rollouts, &model, |rollout_state| {
+        rollout_state.rollout.on_result(shared.now(), &command, result)
+    });
 }
 
-async fn order_engine(
+async fn execute_command(
     client: &Client,
     backend: &Backend,
-    order: &LoadCommand,
+    command: &LoadCommand,
     fence: u64,
 ) -> LoadResult {
     let body =
-        EngineCommand { fence, action: CommandAction::LoadVersion { version: order.version } };
+        EngineCommand { fence, action: CommandAction::LoadVersion { version: command.version } };
     let url = Url::parse(&format!("http://{}/orders", backend.address));
     let (Ok(url), Ok(body)) = (url, serde_json::to_vec(&body)) else {
         return LoadResult::Failed;
     };
     let mut request = Request::new(Method::Post, url);
     request.set_body(body);
-    let answer = client.fetch(backend.address, request, ORDER_TIMEOUT, MAX_ANSWER_BYTES).await;
-    match answer {
+    let response =
+        client.fetch(backend.address, request, COMMAND_TIMEOUT, MAX_RESPONSE_BYTES).await;
+    match response {
         Ok((StatusCode::Ok, bytes)) => match serde_json::from_slice::<CommandResponse>(&bytes) {
-            Ok(done) if done.version == Some(order.version) => LoadResult::Loaded,
+            Ok(done) if done.version == Some(command.version) => LoadResult::Loaded,
             _ => LoadResult::Failed,
         },
         Ok((StatusCode::Conflict, bytes)) => match serde_json::from_slice::<ErrorBody>(&bytes) {
--- a/crates/heronbend-daemon/src/telemetry.rs
+++ b/crates/heronbend-daemon/src/telemetry.rs
@@ -10,7 +10,7 @@
 
 /// Labels of an answered request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct AnswerLabels {
+pub struct ResponseLabels {
     /// HTTP status.
     pub status: u16,
 }
@@ -21,7 +21,7 @@
 #[derive(Default, Clone)]
 pub struct Metrics {
     /// Requests answered, by status.
-    pub answers: Family<AnswerLabels, Count>,
+    pub answers: Family<ResponseLabels, Count>,
     /// Requests refused by their heads.
     pub refused_heads: Count,
     /// Attempts at back ends.
@@ -64,7 +64,7 @@
 
 impl Metrics {
     /// The page of `GET /metrics`.
-    pub fn render(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut registry = Registry::with_prefix("heronbend");
         registry.register("answers", "Requests answered, by status", self.answers.clone());
         for (name, help, counter) in self.counters() {
@@ -80,7 +80,7 @@
     }
 
     /// The counters as one log line.
-    pub fn line(&self) -> String {
+    pub fn log_line(&self) -> String {
         let counters = self.counters().into_iter().map(|(name, _, counter)| (name, counter.get()));
         let shown = counters.filter(|(_, count)| *count > 0);
         let fields: Vec<String> = shown.map(|(name, count)| format!("{name}={count}")).collect();
--- a/crates/heronbend-daemon/tests/command_line.rs
+++ b/crates/heronbend-daemon/tests/command_line.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_examples_have_no_findings() {
+fn example_settings_have_no_findings() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     for name in ["gauge", "dispute"] {
         let output = heronbend(&["check", &format!("{examples}/{name}/settings.toml")]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn serve_names_every_missing_flag_at_once() {
+fn serve_reports_all_missing_flags() {
     let output = heronbend(&["serve", "--node", "a"]);
     assert_eq!(output.status.code(), Some(1));
     let printed = text(&output.stderr);
