--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, on a listener of its own.
+//! Operators' HTTP interface, on a separate listener.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -26,85 +26,85 @@
 const MAX_BODY_BYTES: u64 = 4 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answer of `GET /admin/status`.
+/// Response of `GET /admin/status`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The daemon and its run.
+    /// Name and incarnation of the daemon.
     pub node: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Whether it is stopping.
+    /// Whether the daemon is draining.
     pub draining: bool,
-    /// Whether it serves: settings known and confirmed.
+    /// Whether the daemon can serve: settings are loaded and confirmed.
     pub serves: bool,
-    /// Revision of the settings in force.
+    /// Revision of the active settings.
     pub settings_revision: u64,
     /// Sum of the shards' epochs.
     pub shard_epochs: u64,
-    /// Whether a shard waits for a member to be replaced.
+    /// Whether a shard has a missing member that can be replaced.
     pub shards_need_placing: bool,
-    /// Steps that this daemon coordinates.
+    /// Steps that the daemon coordinates.
     pub steps: Vec<StepStatus>,
-    /// Requests under way.
+    /// Requests in flight.
     pub exchanges: u64,
     /// Other daemons.
     pub members: Vec<Member>,
-    /// Back ends.
+    /// Known backends.
     pub backends: Vec<BackendStatus>,
-    /// Replica sets.
+    /// Replica sets of the shards.
     pub shard_map: ShardMap,
 }
 
-/// A back end in [`Status`].
+/// A backend in [`Status`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct BackendStatus {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its pool.
+    /// Pool.
     pub pool: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its phase.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Its weight version.
+    /// Loaded weight version.
     pub version: Option<u64>,
 }
 
 /// Body of `POST /admin/drain`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DrainRequest {
-    /// Name of the back end, or of this daemon.
+    /// Name of a backend, or of this daemon.
     pub node: String,
 }
 
 /// Body of `POST /admin/shards/rebuild`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RebuildRequest {
-    /// The operator accepts that what the shards held may be lost.
+    /// Must be `true`: the operator accepts that data of the shards may be lost.
     pub accept_loss: bool,
 }
 
-/// Answer of `POST /admin/shards/rebuild`.
+/// Response of `POST /admin/shards/rebuild`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Rebuilt {
-    /// Shards that were opened again.
+    /// Number of reopened shards.
     pub shards: usize,
 }
 
-/// Answer of `POST /admin/settings`.
+/// Response of `POST /admin/settings`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EditAccepted {
-    /// The revision that the edit made.
+    /// Revision created by the edit.
     pub revision: u64,
 }
 
-/// Runs until the process ends.
+/// Serves the interface until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor, listener: TcpListener) {
     let handler = move |request| handle(shared.clone(), request);
     let limits = ServerLimits { max_body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
@@ -183,7 +183,7 @@
     }
 }
 
-/// Opens shards that have lost a majority; only for an operator who accepts the loss.
+/// Reopens shards that have lost a majority of their replicas, if the operator accepts data loss.
 async fn rebuild(shared: &Shared, body: &RebuildRequest) -> Response {
     if !body.accept_loss {
         return reject(StatusCode::BadRequest, "loss_not_accepted");
@@ -202,7 +202,7 @@
     }
 }
 
-/// Drains this daemon, or tells everybody that a back end leaves.
+/// Drains this daemon, or marks a backend as leaving on all daemons.
 fn drain(shared: &Shared, body: &DrainRequest) -> Response {
     if body.node == shared.identity.node.name.0 {
         shared.draining.store(true, Ordering::Release);
--- a/crates/heronbend-daemon/src/cli/check.rs
+++ b/crates/heronbend-daemon/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `heronbend check`.
+//! The `heronbend check` command.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
     json: bool,
 }
 
-/// Checks files and prints all findings of all of them.
+/// Checks all files and prints their findings.
 pub fn run(arguments: &CheckArguments) -> anyhow::Result<ExitCode> {
     let mut findings = Vec::new();
     for path in &arguments.files {
@@ -39,7 +39,7 @@
     Ok(if findings.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FINDINGS) })
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file; the inner result holds the findings of an invalid file.
 pub fn read_tree(path: &PathBuf) -> anyhow::Result<Result<Tree, Findings>> {
     let name = path.display().to_string();
     let bytes = std::fs::read(path).with_context(|| format!("reading {name}"))?;
--- a/crates/heronbend-daemon/src/cli/drain.rs
+++ b/crates/heronbend-daemon/src/cli/drain.rs
@@ -1,4 +1,4 @@
-//! `heronbend drain`.
+//! The `heronbend drain` command.
 
 use std::process::ExitCode;
 
@@ -10,13 +10,13 @@
 /// Flags of `drain`.
 #[derive(Args)]
 pub struct DrainArguments {
-    /// Name of a back end, or of the daemon asked.
+    /// Name of a backend, or of the daemon at the admin address.
     node: String,
     #[command(flatten)]
     target: Target,
 }
 
-/// Drains a node.
+/// Requests a drain of the node.
 pub fn run(arguments: &DrainArguments) -> anyhow::Result<ExitCode> {
     let request_body = DrainRequest { node: arguments.node.clone() };
     let (status, bytes) = arguments.target.post("/admin/drain", &request_body)?;
--- a/crates/heronbend-daemon/src/cli/mod.rs
+++ b/crates/heronbend-daemon/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line towards a running daemon.
+//! Commands for operators, most of which call a running daemon.
 
 pub mod check;
 pub mod drain;
@@ -19,22 +19,22 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Refused or failed.
+/// Exit code: the request was rejected or failed.
 pub const EXIT_FAILED: u8 = 1;
-/// The settings have findings.
+/// Exit code: the settings have findings.
 pub const EXIT_FINDINGS: u8 = 3;
-/// Another edit is in the way.
+/// Exit code: the edit conflicts with another edit.
 pub const EXIT_CONFLICT: u8 = 4;
-/// Whether the edit was accepted is unknown.
+/// Exit code: it is unknown whether the edit was applied.
 pub const EXIT_UNKNOWN: u8 = 5;
 
 const TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_BYTES: usize = 64 << 20;
 
-/// Which daemon to ask, and how to print.
+/// Daemon to connect to, and output format.
 #[derive(Args, Debug, Clone)]
 pub struct Target {
-    /// Operators' address of any daemon.
+    /// Admin address of any daemon.
     #[arg(long, env = "HERONBEND_ADMIN", default_value = "127.0.0.1:7300")]
     pub admin: SocketAddr,
     /// Print JSON.
@@ -43,7 +43,7 @@
 }
 
 impl Target {
-    /// Fetches a document.
+    /// Sends a GET request and decodes the JSON response.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> anyhow::Result<T> {
         let (status, bytes) = self.send(Method::Get, path, Vec::new())?;
         anyhow::ensure!(
@@ -54,7 +54,7 @@
         Ok(serde_json::from_slice(&bytes)?)
     }
 
-    /// Posts a document.
+    /// Sends a POST request with a JSON body; returns the response status and body.
     pub fn post(&self, path: &str, body: &impl Serialize) -> anyhow::Result<(StatusCode, Vec<u8>)> {
         self.send(Method::Post, path, serde_json::to_vec(body)?)
     }
@@ -69,7 +69,7 @@
         let mut request = Request::new(method, url);
         request.set_body(body);
         smol::block_on(Client::new().fetch(self.admin, request, TIMEOUT, MAX_BYTES))
-            .with_context(|| format!("asking the daemon at {}", self.admin))
+            .with_context(|| format!("calling the daemon at {}", self.admin))
     }
 }
 
--- a/crates/heronbend-daemon/src/cli/settings.rs
+++ b/crates/heronbend-daemon/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! `heronbend settings`.
+//! The `heronbend settings` commands.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,11 +19,11 @@
 /// Subcommands of `settings`.
 #[derive(Subcommand)]
 pub enum SettingsCommand {
-    /// Print a node, or all of them.
+    /// Print one node, or all nodes.
     Get(GetArguments),
-    /// Change fields of a node: FIELD=VALUE, or FIELD= to remove one.
+    /// Change fields of a node: FIELD=VALUE to set one, FIELD= to remove it.
     Set(SetArguments),
-    /// Make the settings in force equal to a file.
+    /// Replace the active settings with those of a file.
     Apply(FileArguments),
     /// Show what `apply` would change.
     Diff(FileArguments),
@@ -34,9 +34,9 @@
 /// Flags of `settings get`.
 #[derive(Args)]
 pub struct GetArguments {
-    /// The node; all nodes when left out.
+    /// Path of the node; all nodes if omitted.
     node: Option<String>,
-    /// Show every value in force, and the node it comes from.
+    /// Show all effective values, and the node each comes from.
     #[arg(long)]
     resolved: bool,
     #[command(flatten)]
@@ -46,12 +46,12 @@
 /// Flags of `settings set`.
 #[derive(Args)]
 pub struct SetArguments {
-    /// The node.
+    /// Path of the node.
     node: String,
-    /// FIELD=VALUE; values as in a settings file, quotes around a text may be left out.
+    /// FIELD=VALUE, with values as in a settings file; quotes around strings may be omitted.
     #[arg(required = true)]
     fields: Vec<String>,
-    /// Identifier of the edit, to send one again whose outcome is unknown.
+    /// Identifier of the edit, to retry an edit with an unknown outcome.
     #[arg(long)]
     id: Option<String>,
     #[command(flatten)]
@@ -61,9 +61,9 @@
 /// Flags of `settings apply` and `settings diff`.
 #[derive(Args)]
 pub struct FileArguments {
-    /// The settings file.
+    /// Settings file.
     file: PathBuf,
-    /// Identifier of the edit, to send one again whose outcome is unknown.
+    /// Identifier of the edit, to retry an edit with an unknown outcome.
     #[arg(long)]
     id: Option<String>,
     #[command(flatten)]
@@ -77,7 +77,7 @@
     target: Target,
 }
 
-/// Runs a subcommand.
+/// Runs a `settings` subcommand.
 pub fn run(command: SettingsCommand) -> anyhow::Result<ExitCode> {
     match command {
         SettingsCommand::Get(arguments) => get(&arguments),
@@ -159,8 +159,9 @@
     send(&arguments.target, arguments.id.as_deref(), edits)
 }
 
-/// The edits that make the settings in force equal to a file; `None` when the file has findings,
-/// which are printed.
+/// Returns the edits that make the active settings equal to a file.
+///
+/// If the file has findings, prints them and returns `None`.
 fn edits_to_file(arguments: &FileArguments) -> anyhow::Result<Option<Vec<NodeEdit>>> {
     match read_tree(&arguments.file)? {
         Ok(wanted) => Ok(Some(differences(&current(&arguments.target)?.tree, &wanted))),
@@ -210,7 +211,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The edits that turn one tree into another.
+/// Returns the edits that turn one tree into another.
 fn differences(from: &Tree, to: &Tree) -> Vec<NodeEdit> {
     let mut paths: Vec<&NodePath> = from.nodes.keys().chain(to.nodes.keys()).collect();
     paths.sort();
@@ -250,7 +251,7 @@
         EditError::Conflict(EditConflict::SameNode { .. }) => EXIT_CONFLICT,
         EditError::StoreDown => EXIT_FAILED,
         EditError::Unknown => {
-            eprintln!("ask again with --id {id}");
+            eprintln!("retry with --id {id}");
             EXIT_UNKNOWN
         }
     }))
@@ -260,7 +261,7 @@
     NodePath::parse(text).map_err(|message| anyhow::anyhow!("{text}: {message}"))
 }
 
-/// A value as in a settings file; what is no TOML value counts as a text.
+/// Parses a value as in a settings file; anything that is not valid TOML is taken as a string.
 fn parse_value(text: &str) -> RawValue {
     let parsed: Result<toml::Table, _> = format!("value = {text}").parse();
     let value = parsed.ok().and_then(|mut table| table.remove("value"));
--- a/crates/heronbend-daemon/src/cli/shards.rs
+++ b/crates/heronbend-daemon/src/cli/shards.rs
@@ -1,4 +1,4 @@
-//! `heronbend shards`.
+//! The `heronbend shards` commands.
 
 use std::process::ExitCode;
 
@@ -10,23 +10,23 @@
 /// Subcommands of `shards`.
 #[derive(Subcommand)]
 pub enum ShardsCommand {
-    /// Open shards again that have lost a majority of their replicas for good, as after a restart of
-    /// all daemons at once. Keys of requests that they held may run again, and steps that were being
-    /// drawn begin anew.
+    /// Reopen shards that have permanently lost a majority of their replicas, for example after all
+    /// daemons restarted at once. Requests with keys stored in them may run again, and steps in progress
+    /// start over.
     Rebuild(RebuildArguments),
 }
 
 /// Flags of `shards rebuild`.
 #[derive(Args)]
 pub struct RebuildArguments {
-    /// Accept that what these shards held is lost.
+    /// Accept that the data of these shards is lost.
     #[arg(long, required = true)]
     accept_loss: bool,
     #[command(flatten)]
     target: Target,
 }
 
-/// Runs a subcommand.
+/// Runs a `shards` subcommand.
 pub fn run(command: &ShardsCommand) -> anyhow::Result<ExitCode> {
     let ShardsCommand::Rebuild(arguments) = command;
     let request_body = RebuildRequest { accept_loss: arguments.accept_loss };
--- a/crates/heronbend-daemon/src/cli/status.rs
+++ b/crates/heronbend-daemon/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `heronbend status`.
+//! The `heronbend status` command.
 
 use std::process::ExitCode;
 
@@ -14,7 +14,7 @@
     target: Target,
 }
 
-/// Prints what a daemon knows.
+/// Prints a daemon's status.
 pub fn run(arguments: &StatusArguments) -> anyhow::Result<ExitCode> {
     let status: Status = arguments.target.get("/admin/status")?;
     if arguments.target.json {
--- a/crates/heronbend-daemon/src/failpoints.rs
+++ b/crates/heronbend-daemon/src/failpoints.rs
@@ -1,6 +1,6 @@
-//! Faults at named places, for tests only.
+//! Fault injection for tests.
 //!
-//! They exist only in a daemon started with `--allow-failpoints`; otherwise every check is false.
+//! Only available in daemons started with `--allow-failpoints`; otherwise no fault can be set.
 
 use std::collections::BTreeSet;
 
@@ -8,17 +8,17 @@
 use heronbend::identity::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// The faults in force.
+/// Active faults.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is sent to these peers.
+    /// Peers to which all messages are dropped.
     pub drop_to: BTreeSet<NodeName>,
-    /// Nothing from these peers is heard.
+    /// Peers from which all messages are dropped.
     pub drop_from: BTreeSet<NodeName>,
 }
 
-/// Holds the faults, and whether any may be set.
+/// The active faults, and whether faults may be set.
 #[derive(Debug, Default)]
 pub struct Failpoints {
     allowed: bool,
@@ -26,12 +26,12 @@
 }
 
 impl Failpoints {
-    /// Without faults.
+    /// Creates an instance without faults.
     pub fn new(allowed: bool) -> Self {
         Self { allowed, faults: ArcSwap::default() }
     }
 
-    /// Sets the faults; whether that is allowed.
+    /// Replaces the active faults if this is allowed; returns whether it is.
     pub fn set(&self, faults: Faults) -> bool {
         if self.allowed {
             log::warn!("event=failpoints_set faults={faults:?}");
@@ -40,12 +40,12 @@
         self.allowed
     }
 
-    /// Whether messages to a peer are to be dropped.
+    /// Returns whether messages to a peer are dropped.
     pub fn drops_to(&self, peer: &NodeName) -> bool {
         self.allowed && self.faults.load().drop_to.contains(peer)
     }
 
-    /// Whether messages from a peer are to be dropped.
+    /// Returns whether messages from a peer are dropped.
     pub fn drops_from(&self, peer: &NodeName) -> bool {
         self.allowed && self.faults.load().drop_from.contains(peer)
     }
--- a/crates/heronbend-daemon/src/front/completions.rs
+++ b/crates/heronbend-daemon/src/front/completions.rs
@@ -1,4 +1,4 @@
-//! Completion endpoints, compatible with the OpenAI API, full or streamed.
+//! Text and chat completion endpoints in the common inference API format, full or streamed.
 //!
 //! In addition to the usual fields, responses contain the segments: which engine and weight version
 //! generated which tokens.
--- a/crates/heronbend-daemon/src/main.rs
+++ b/crates/heronbend-daemon/src/main.rs
@@ -44,17 +44,17 @@
     Serve(serve::ServeArguments),
     /// Check a settings file and print all findings.
     Check(cli::check::CheckArguments),
-    /// Read and edit the settings in force.
+    /// Read and edit the active settings.
     #[command(subcommand)]
     Settings(cli::settings::SettingsCommand),
     /// Show pools, engines, versions, daemons, drains and revision.
     Status(cli::status::StatusArguments),
-    /// Stop new work to a back end, or stop the daemon asked.
+    /// Drain a backend, or drain and stop the daemon at the admin address.
     Drain(cli::drain::DrainArguments),
     /// Repair replica sets.
     #[command(subcommand)]
     Shards(cli::shards::ShardsCommand),
-    /// Print the digest under which settings keep a bearer token read from standard input.
+    /// Read a bearer token from standard input and print its digest for use in settings.
     Digest,
 }
 
@@ -63,7 +63,7 @@
     let is_daemon = matches!(arguments.command, Command::Serve(_));
     let level = if is_daemon { log::LevelFilter::Info } else { log::LevelFilter::Warn };
     let config = simplelog::ConfigBuilder::new().set_time_format_rfc3339().build();
-    // Only a second logger could make this fail, and there is none.
+    // Fails only if a logger is already installed.
     let _ = simplelog::WriteLogger::init(level, config, std::io::stderr());
     let result = match arguments.command {
         Command::Serve(arguments) => serve::run(arguments).map(|()| ExitCode::SUCCESS),
--- a/crates/heronbend-daemon/src/peer.rs
+++ b/crates/heronbend-daemon/src/peer.rs
@@ -1,4 +1,6 @@
-//! Calls between daemons: length-prefixed musli frames over TCP.
+//! RPC between daemons: length-prefixed musli frames over TCP.
+//!
+//! Calls to one peer share a connection and are matched with their replies by call number.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,45 +23,45 @@
 
 use crate::shared::Shared;
 
-/// Largest frame in bytes; checked before it is read.
+/// Maximum frame size in bytes, checked before the body is read.
 const MAX_FRAME_BYTES: u32 = 64 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const OUTGOING_CAPACITY: usize = 1024;
 const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// What one daemon asks of another.
+/// A request to another daemon.
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum PeerRequest {
-    /// A request to a replica, for one run of a daemon only.
+    /// A request to a replica of a specific daemon incarnation.
     Shard {
-        /// The replica's node.
+        /// Node that hosts the replica.
         to: NodeId,
-        /// The request.
+        /// Request to the replica.
         request: ShardRequest<Record>,
     },
-    /// Asks for settings, shard map and members.
+    /// Fetches settings, shard map and members.
     Control,
 }
 
-/// Control data of a daemon.
+/// Control data held by a daemon.
 #[derive(Debug, Clone, Encode, Decode)]
 pub struct ControlData {
-    /// The settings object in JSON; empty when none is known.
+    /// Settings object in JSON; empty if not loaded.
     pub settings: Vec<u8>,
-    /// The shard map.
+    /// Shard map.
     pub shard_map: ShardMap,
-    /// The daemon itself and all that it knows.
+    /// The daemon itself and all members known to it.
     pub members: Vec<Member>,
 }
 
-/// The answer to a [`PeerRequest`].
+/// The reply to a [`PeerRequest`].
 #[derive(Debug, Clone, Encode, Decode)]
 pub enum PeerReply {
     /// A replica's reply.
     Shard(ReplicaReply<Record>),
     /// Control data.
     Control(ControlData),
-    /// The request was for another run of this daemon.
+    /// The request was addressed to another incarnation of this daemon.
     WrongRun,
 }
 
@@ -82,7 +84,7 @@
     reply: Sender<PeerReply>,
 }
 
-/// Makes calls, for one thread. Clones share connections.
+/// Client for calls to other daemons, for use by one thread. Clones share connections.
 #[derive(Clone)]
 pub struct PeerClient {
     shared: Arc<Shared>,
@@ -92,12 +94,12 @@
 }
 
 impl PeerClient {
-    /// A client whose connections live on `executor`.
+    /// Creates a client whose connections run on `executor`.
     pub fn new(shared: Arc<Shared>, executor: Rc<LocalExecutor<'static>>) -> Self {
         Self { shared, executor, connections: Rc::default(), next_call: Rc::default() }
     }
 
-    /// Calls a peer; `None` when no reply came in time.
+    /// Calls a peer; returns `None` on failure or timeout.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -149,10 +151,11 @@
 
 type PendingCalls = RefCell<HashMap<u64, Sender<PeerReply>>>;
 
-/// Sends requests and hands replies to their callers; ends when either side fails, upon which all
-/// calls that wait get no reply.
+/// Runs a connection: sends requests and dispatches replies to their callers.
+///
+/// Returns when sending or receiving fails; pending calls then fail without a reply.
 async fn drive_connection(address: SocketAddr, outgoing: Receiver<OutgoingCall>) -> io::Result<()> {
-    // Dropping the receiver closes the channel, so that the next call makes a new connection.
+    // Returning drops the receiver, which closes the channel, so the next call opens a new connection.
     let connecting = TcpStream::connect(address).or(async {
         Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -180,7 +183,7 @@
     send.or(receive).await
 }
 
-/// Accepts calls and answers each with `handle`.
+/// Accepts connections and replies to each request with the result of `handle`.
 pub async fn serve_peers(
     shared: Arc<Shared>,
     executor: Rc<LocalExecutor<'static>>,
--- a/crates/heronbend-daemon/src/platform_client.rs
+++ b/crates/heronbend-daemon/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Typed requests to the platform.
+//! Client of the platform API: stored objects, machines and weight versions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use thiserror::Error;
 
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time that a watch is held open by the platform, with room for its answer.
+/// Timeout of a watch; longer than the platform holds one open.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Why a request to the platform failed.
+/// Errors of platform requests.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No answer: for a write it is unknown whether it took effect.
+    /// No response; a write may or may not have been applied.
     #[error("no answer: {0}")]
     NoResponse(#[from] ClientError),
-    /// The platform refused; nothing was changed.
+    /// The platform rejected the request; nothing was changed.
     #[error("the platform refused with status {0}")]
     Rejected(StatusCode),
-    /// Somebody else wrote the object first; nothing was changed.
+    /// The object was modified concurrently; nothing was changed.
     #[error("the object was changed by somebody else")]
     Conflict,
-    /// The answer could not be read.
+    /// The response could not be decoded.
     #[error("unreadable answer: {0}")]
     InvalidResponse(#[from] serde_json::Error),
 }
 
-/// A client of the platform, for one thread.
+/// Client of the platform, for use by one thread. Clones share connections.
 #[derive(Clone)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -40,12 +40,12 @@
 }
 
 impl PlatformClient {
-    /// A client for the platform at an address.
+    /// Creates a client for the platform at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, client: Client::new() }
     }
 
-    /// Reads an object; `None` when it does not exist.
+    /// Reads an object; returns `None` if it does not exist.
     pub async fn read<T: DeserializeOwned>(
         &self,
         object: &str,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Waits until an object is newer than a version; `None` when nothing changed for a while.
+    /// Waits until an object is newer than version `after`; returns `None` if the long poll expires.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         object: &str,
@@ -72,7 +72,7 @@
         Ok(Some(serde_json::from_slice(&bytes)?))
     }
 
-    /// Replaces an object if it still has `version`, 0 for an object that must not exist.
+    /// Replaces an object if it still has `version`; version 0 creates an object that must not exist.
     pub async fn write<T: Serialize>(
         &self,
         object: &str,
@@ -88,19 +88,19 @@
         }
     }
 
-    /// The list of machines.
+    /// Reads the machine list.
     pub async fn machines(&self) -> Result<MachineList, PlatformError> {
         Ok(serde_json::from_slice(&self.get("/machines", TIMEOUT).await?)?)
     }
 
-    /// Writes this machine's entry in the list.
+    /// Creates or renews a machine's registration.
     pub async fn register(&self, machine: &Machine) -> Result<(), PlatformError> {
         let path = format!("/machines/{}", machine.name);
         let body = serde_json::to_vec(machine)?;
         self.send(Method::Put, &path, body, TIMEOUT).await.map(drop)
     }
 
-    /// Versions of a model in the weight store.
+    /// Reads a model's versions in the weight store.
     pub async fn versions(&self, model: &str) -> Result<StoredVersions, PlatformError> {
         let path = format!("/weights/{model}");
         Ok(serde_json::from_slice(&self.get(&path, TIMEOUT).await?)?)
--- a/crates/heronbend-daemon/src/telemetry.rs
+++ b/crates/heronbend-daemon/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Counters, their Prometheus page, and the lines that a log shows of them.
+//! Metrics, with encoders for OpenMetrics and for log lines.
 
 use std::sync::atomic::AtomicU64;
 
@@ -8,62 +8,62 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Labels of an answered request.
+/// Labels of the response counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ResponseLabels {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
 }
 
 type Count = Counter<u64, AtomicU64>;
 
-/// All counters of a daemon.
+/// Metrics of a daemon.
 #[derive(Default, Clone)]
 pub struct Metrics {
-    /// Requests answered, by status.
+    /// Responses, by status.
     pub answers: Family<ResponseLabels, Count>,
-    /// Requests refused by their heads.
+    /// Requests rejected because of an invalid head.
     pub refused_heads: Count,
-    /// Attempts at back ends.
+    /// Attempts sent to backends.
     pub attempts: Count,
-    /// Attempts after the first for one request.
+    /// Attempts after a request's first one.
     pub retries: Count,
-    /// Retries not made because the budget was used up.
+    /// Retries suppressed because the retry budget was exhausted.
     pub retries_withheld: Count,
-    /// Answers that did not belong to their attempt, and were dropped.
+    /// Responses and chunks dropped because they did not match their attempt.
     pub foreign_answers: Count,
-    /// Generations that went on at another engine.
+    /// Generations resumed on another engine.
     pub resumed: Count,
-    /// Tokens passed on.
+    /// Chunks received from engines.
     pub tokens: Count,
-    /// Samples drawn.
+    /// Samples generated and scored.
     pub samples_drawn: Count,
     /// Samples sealed into batches.
     pub samples_sealed: Count,
-    /// Draws that failed.
+    /// Sample attempts that failed.
     pub draws_failed: Count,
-    /// Register changes made.
+    /// Register changes applied.
     pub register_changes: Count,
-    /// Register rounds that were interrupted and started anew.
+    /// Register change rounds that were retried.
     pub register_retries: Count,
-    /// Register changes whose outcome is unknown.
+    /// Register changes with an unknown outcome.
     pub register_unknown: Count,
-    /// Weight orders sent.
+    /// Weight load commands sent to engines.
     pub weight_orders: Count,
-    /// Bytes sent to peers, datagrams and frames.
+    /// Bytes sent to peers, in datagrams and frames.
     pub peer_bytes_sent: Count,
-    /// Reads of the platform's object API.
+    /// Reads and watches of the platform's object API.
     pub store_reads: Count,
-    /// Revision of the settings in force.
+    /// Revision of the active settings.
     pub settings_revision: Gauge,
-    /// Back ends that are live.
+    /// Live backends.
     pub backends_live: Gauge,
-    /// Daemons that are alive, this one included.
+    /// Alive daemons, including this one.
     pub members_alive: Gauge,
 }
 
 impl Metrics {
-    /// The page of `GET /metrics`.
+    /// Encodes all metrics in OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut registry = Registry::with_prefix("heronbend");
         registry.register("answers", "Requests answered, by status", self.answers.clone());
@@ -79,7 +79,7 @@
         page
     }
 
-    /// The counters as one log line.
+    /// Formats the non-zero counters as `name=count` pairs for a log line.
     pub fn log_line(&self) -> String {
         let counters = self.counters().into_iter().map(|(name, _, counter)| (name, counter.get()));
         let shown = counters.filter(|(_, count)| *count > 0);
--- a/crates/heronbend-daemon/tests/command_line.rs
+++ b/crates/heronbend-daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line without a daemon.
+//! Tests of commands that need no running daemon.
 
 use std::process::{Command, Output};
 
