--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -125,7 +125,7 @@
         }
         (Method::Get, "/admin/status") => json_response(StatusCode::Ok, &status(&shared)),
         (Method::Get, "/admin/settings") => match shared.settings.load_full() {
-            Some(known) => json_response(StatusCode::Ok, &known.object),
+            Some(active) => json_response(StatusCode::Ok, &active.object),
             None => json_response(StatusCode::Ok, &heronbend::settings::SettingsObject::default()),
         },
         (Method::Post, "/admin/settings") => match read_json(&mut request).await {
@@ -209,13 +209,13 @@
         return Response::new(StatusCode::Accepted);
     }
     let table = shared.backends.load();
-    let known = table.backends.iter().find(|known| known.backend.name.0 == body.node);
-    let Some(known) = known else {
+    let entry = table.backends.iter().find(|entry| entry.backend.name.0 == body.node);
+    let Some(entry) = entry else {
         return reject(StatusCode::NotFound, "unknown_node");
     };
     let stated = BackendPhase {
         name: BackendName(body.node.clone()),
-        incarnation: known.backend.incarnation,
+        incarnation: entry.backend.incarnation,
         phase: Phase::Leaving,
     };
     let signal = Signal { source: SignalSource::Operator, stated };
@@ -243,14 +243,14 @@
         backends: table
             .backends
             .iter()
-            .map(|known| BackendStatus {
-                name: known.backend.name.0.clone(),
-                pool: known.backend.pool.clone(),
-                zone: known.backend.zone.clone(),
-                phase: known.phase,
-                running: known.report.running,
-                waiting: known.report.waiting,
-                version: known.report.version,
+            .map(|entry| BackendStatus {
+                name: entry.backend.name.0.clone(),
+                pool: entry.backend.pool.clone(),
+                zone: entry.backend.zone.clone(),
+                phase: entry.phase,
+                running: entry.report.running,
+                waiting: entry.report.waiting,
+                version: entry.report.version,
             })
             .collect(),
         shard_map: shard_map.as_ref().clone(),
--- a/crates/heronbend-daemon/src/cli/shards.rs
+++ b/crates/heronbend-daemon/src/cli/shards.rs
@@ -11,8 +11,8 @@
 #[derive(Subcommand)]
 pub enum ShardsCommand {
     /// Reopen shards that have permanently lost a majority of their replicas, for example after all
-    /// daemons restarted at once. Requests with keys stored in them may run again, and steps in progress
-    /// start over.
+    /// daemons restarted at once. Requests with keys stored in them may run again, and steps in
+    /// progress start over.
     Rebuild(RebuildArguments),
 }
 
--- a/crates/heronbend-daemon/src/cli/status.rs
+++ b/crates/heronbend-daemon/src/cli/status.rs
@@ -27,7 +27,7 @@
 
 fn print(status: &Status) {
     println!(
-        "{} in {} ({}): revision {}, {}, {} requests and {} steps under way",
+        "{} in {} ({}): revision {}, {}, {} requests and {} steps in progress",
         status.node,
         status.zone,
         status.region,
@@ -40,7 +40,7 @@
         "{} shards, epochs {}{}",
         status.shard_map.shards.len(),
         status.shard_epochs,
-        if status.shards_need_placing { ", a member is to be replaced" } else { "" }
+        if status.shards_need_placing { ", a member must be replaced" } else { "" }
     );
     println!("\n{:<24} {:<16} LIVENESS", "DAEMON", "ZONE");
     for member in &status.members {
--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -1,7 +1,8 @@
 //! Request dispatch: backend selection, attempts, retries and outcome classification.
 //!
-//! Each sending thread has its own [`Dispatcher`]. Before every selection it refreshes its router from
-//! the published [`BackendTable`](crate::shared::BackendTable), so leaving backends get no new requests.
+//! Each sending thread has its own [`Dispatcher`]. Before every selection it refreshes its router
+//! from the published [`BackendTable`](crate::shared::BackendTable), so leaving backends get no new
+//! requests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -28,7 +29,7 @@
 /// Maximum size of an application server's response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Interval at which a request retries selection while no backend has a free slot.
-const RECOVERY_POLL: Duration = Duration::from_millis(2);
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Errors of dispatching a request.
@@ -43,7 +44,8 @@
     /// Every attempt was rejected or could not be delivered; the request did not run.
     #[error("no back end took the request: {0}")]
     NotRun(String),
-    /// Requests with the same fingerprint crashed backends; holds the time until a retry is allowed.
+    /// Requests with the same fingerprint crashed backends; holds the time until a retry is
+    /// allowed.
     #[error("requests like this one ended the back ends that ran them")]
     Quarantined(Duration),
     /// A backend may have run the request, entirely or in part.
@@ -52,7 +54,7 @@
 }
 
 impl DispatchError {
-    /// Returns whether the request may have run.
+    /// Returns the outcome to report to the caller.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Unknown(_) => Outcome::Unknown,
@@ -110,7 +112,7 @@
     NotRun(String),
     /// The connection was lost before the response was complete; the request may have run.
     ConnectionBroken(String),
-    /// The request may have run.
+    /// Any other failure after which the request may have run.
     Unknown(String),
 }
 
@@ -215,8 +217,8 @@
                 min_version,
                 exclude: tried,
             };
-            let chosen = self.inner.router.borrow_mut().choose(self.inner.shared.now(), &query);
-            let error = match chosen {
+            let selected = self.inner.router.borrow_mut().choose(self.inner.shared.now(), &query);
+            let error = match selected {
                 Ok(backend) => {
                     return Ok(SelectedBackend {
                         dispatcher: self.clone(),
@@ -230,11 +232,12 @@
             if Instant::now() >= window_end {
                 return Err(error);
             }
-            Timer::after(RECOVERY_POLL).await;
+            Timer::after(RECOVERY_POLL_INTERVAL).await;
         }
     }
 
-    /// Withdraws a retry from the budget and waits for the backoff; returns `false` if the budget is empty.
+    /// Withdraws a retry from the budget and waits for the backoff; returns `false` if the budget
+    /// is empty.
     pub async fn prepare_retry(&self, retry: u32) -> bool {
         let metrics = &self.inner.shared.metrics;
         if !self.inner.budget.borrow_mut().withdraw() {
@@ -250,7 +253,7 @@
     /// Deposits the retry ratio of a new request into the retry budget.
     pub fn record_new_request(&self) {
         let settings = self.inner.shared.settings.load();
-        let ratio = settings.as_ref().map_or(0.0, |known| known.policy.retry_budget);
+        let ratio = settings.as_ref().map_or(0.0, |active| active.policy.retry_budget);
         self.inner.budget.borrow_mut().deposit(ratio);
     }
 
@@ -261,7 +264,7 @@
     /// Returns [`DispatchError::Quarantined`] if requests with its fingerprint crashed backends.
     pub fn admit(&self, request: impl FnOnce() -> Fingerprint) -> Result<(), DispatchError> {
         let admitted = self.inner.quarantine.admit(self.inner.shared.now(), request);
-        admitted.map_err(|refused| DispatchError::Quarantined(refused.retry_after))
+        admitted.map_err(|rejection| DispatchError::Quarantined(rejection.retry_after))
     }
 
     /// Records a complete response, which clears the request's fingerprint in the quarantine.
@@ -329,34 +332,34 @@
             if let Err(error) = self.admit(|| request.fingerprint()) {
                 return Err(last_error.unwrap_or(error));
             }
-            let chosen = match self.select_backend(pool, None, None, &tried).await {
-                Ok(chosen) => chosen,
+            let selected = match self.select_backend(pool, None, None, &tried).await {
+                Ok(selected) => selected,
                 Err(error) => return Err(last_error.unwrap_or(error)),
             };
             let remaining = deadline.saturating_duration_since(Instant::now());
-            let name = chosen.backend.name.clone();
-            match self.attempt_full_response(&chosen.backend, request, remaining).await {
-                Ok(answer) => {
-                    let failed = answer.status.is_server_error();
+            let name = selected.backend.name.clone();
+            match self.attempt_full_response(&selected.backend, request, remaining).await {
+                Ok(response) => {
+                    let failed = response.status.is_server_error();
                     if !failed {
                         self.note_response(|| request.fingerprint());
                     }
-                    chosen.finish(if failed {
+                    selected.finish(if failed {
                         RequestOutcome::Failed
                     } else {
                         RequestOutcome::Answered
                     });
-                    return Ok(answer);
+                    return Ok(response);
                 }
                 Err(AttemptFailure::NotRun(message)) => {
-                    chosen.finish(RequestOutcome::Failed);
+                    selected.finish(RequestOutcome::Failed);
                     last_error = last_error.or(Some(DispatchError::NotRun(message)));
                 }
                 Err(
                     failure @ (AttemptFailure::ConnectionBroken(_) | AttemptFailure::Unknown(_)),
                 ) => {
-                    let backend = chosen.backend.clone();
-                    chosen.finish(RequestOutcome::Failed);
+                    let backend = selected.backend.clone();
+                    selected.finish(RequestOutcome::Failed);
                     let message =
                         self.record_failure(failure, request.fingerprint(), &backend).await;
                     last_error = Some(DispatchError::Unknown(message));
@@ -434,10 +437,10 @@
         }
         self.inner.generation.set(table.generation);
         let mut router = self.inner.router.borrow_mut();
-        let subset = || table.backends.iter().filter(|known| known.in_subset);
-        router.update(subset().map(|known| (known.backend.clone(), known.phase)));
-        for known in subset() {
-            router.report(&known.backend.name, known.report);
+        let subset = || table.backends.iter().filter(|entry| entry.in_subset);
+        router.update(subset().map(|entry| (entry.backend.clone(), entry.phase)));
+        for entry in subset() {
+            router.report(&entry.backend.name, entry.report);
         }
     }
 }
--- a/crates/heronbend-daemon/src/front/application.rs
+++ b/crates/heronbend-daemon/src/front/application.rs
@@ -10,7 +10,8 @@
 use super::{AdmittedRequest, Front};
 use crate::dispatch::{ApplicationRequest, ApplicationResponse};
 
-/// Request headers that are not forwarded: hop-by-hop headers and those that this daemon sets itself.
+/// Request headers that are not forwarded: hop-by-hop headers and those that this daemon sets
+/// itself.
 const EXCLUDED_HEADERS: [&str; 10] = [
     "authorization",
     "connection",
--- a/crates/heronbend-daemon/src/front/claims.rs
+++ b/crates/heronbend-daemon/src/front/claims.rs
@@ -16,8 +16,8 @@
 use crate::tasks::register::{change_register, RegisterError};
 
 const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Maximum size of a response body stored in a register, in bytes. A larger response is returned once and
-/// stored as unknown.
+/// Maximum size of a response body stored in a register, in bytes. A larger response is returned
+/// once and stored as unknown.
 const MAX_STORED_RESPONSE_BYTES: usize = 1 << 20;
 
 /// Message for a claim whose earlier attempt has an unknown outcome.
@@ -52,15 +52,17 @@
         let result = self.dispatcher.send_to_application(pool, request).await;
         let expires = epoch_seconds() + retention.as_secs();
         let settlement = match &result {
-            Ok(answer) if answer.body.len() <= MAX_STORED_RESPONSE_BYTES => ClaimChange::Settle {
-                attempt,
-                answer: StoredAnswer::Answer {
-                    status: answer.status.into(),
-                    content_type: answer.content_type.clone(),
-                    body: answer.body.clone(),
-                },
-                expires,
-            },
+            Ok(response) if response.body.len() <= MAX_STORED_RESPONSE_BYTES => {
+                ClaimChange::Settle {
+                    attempt,
+                    answer: StoredAnswer::Answer {
+                        status: response.status.into(),
+                        content_type: response.content_type.clone(),
+                        body: response.body.clone(),
+                    },
+                    expires,
+                }
+            }
             Err(error) if error.outcome() == Outcome::NotRun => ClaimChange::Release { attempt },
             Ok(_) | Err(_) => {
                 ClaimChange::Settle { attempt, answer: StoredAnswer::Unknown, expires }
--- a/crates/heronbend-daemon/src/front/completions.rs
+++ b/crates/heronbend-daemon/src/front/completions.rs
@@ -191,7 +191,8 @@
 
     /// Responds with a stream fed by a background task.
     ///
-    /// The response starts with the first chunk, so an earlier failure still returns an error status.
+    /// The response starts with the first chunk, so an earlier failure still returns an error
+    /// status.
     async fn stream(
         self: Rc<Self>,
         pool: PoolPolicy,
--- a/crates/heronbend-daemon/src/front/mod.rs
+++ b/crates/heronbend-daemon/src/front/mod.rs
@@ -79,8 +79,8 @@
     std::future::pending::<()>().await;
 }
 
-/// Adds this thread's request and connection counts to the shared totals, and applies draining to its
-/// connections.
+/// Adds this thread's request and connection counts to the shared totals, and applies draining to
+/// its connections.
 async fn publish_counts(shared: Arc<Shared>, connections: Connections) {
     let (mut in_flight, mut open, mut refused) = (0, 0, 0);
     loop {
--- a/crates/heronbend-daemon/src/front/rollouts.rs
+++ b/crates/heronbend-daemon/src/front/rollouts.rs
@@ -72,9 +72,9 @@
 }
 
 fn check_trainer(admitted: &AdmittedRequest, trainer: &str) -> Result<(), Rejection> {
-    let known = admitted.policy().trainers.get(trainer);
-    let known = known.ok_or(RolloutError::UnknownTrainer)?;
-    if known.caller == admitted.caller.name {
+    let policy = admitted.policy().trainers.get(trainer);
+    let policy = policy.ok_or(RolloutError::UnknownTrainer)?;
+    if policy.caller == admitted.caller.name {
         return Ok(());
     }
     let message = format!("caller {} may not act for trainer {trainer}", admitted.caller.name);
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -101,7 +101,8 @@
 
 /// Receives the chunks of a generation.
 pub trait ChunkSink {
-    /// Minimum time between two reads from the engine; tokens that arrive meanwhile are read together.
+    /// Minimum time between two reads from the engine; tokens that arrive meanwhile are read
+    /// together.
     fn batch_interval(&self) -> Duration {
         DEFAULT_BATCH_INTERVAL
     }
@@ -162,25 +163,26 @@
         }
         let choice =
             dispatcher.select_backend(pool, Some(prefix), request.min_version, &tried).await;
-        let chosen = match choice {
-            Ok(chosen) => chosen,
+        let selected = match choice {
+            Ok(selected) => selected,
             Err(error) => return Err(failure.unwrap_or(error).into()),
         };
-        tried.push(chosen.backend.name.clone());
-        let outgoing = engine_request(&chosen.backend.address.to_string(), request, &output);
+        tried.push(selected.backend.name.clone());
+        let outgoing = engine_request(&selected.backend.address.to_string(), request, &output);
         let remaining = deadline.saturating_duration_since(Instant::now());
-        let attempt =
-            dispatcher.attempt(&chosen.backend, outgoing, &request.caller_request, remaining).await;
+        let attempt = dispatcher
+            .attempt(&selected.backend, outgoing, &request.caller_request, remaining)
+            .await;
         let (reply, attempt) = match attempt {
             Ok(started) => started,
             Err(AttemptFailure::NotRun(message)) => {
-                chosen.finish(RequestOutcome::Failed);
+                selected.finish(RequestOutcome::Failed);
                 failure = Some(failure.unwrap_or(DispatchError::NotRun(message)));
                 continue;
             }
             Err(broken @ (AttemptFailure::ConnectionBroken(_) | AttemptFailure::Unknown(_))) => {
-                let backend = chosen.backend.clone();
-                chosen.finish(RequestOutcome::Failed);
+                let backend = selected.backend.clone();
+                selected.finish(RequestOutcome::Failed);
                 let request = request.fingerprint();
                 let message = dispatcher.record_failure(broken, request, &backend).await;
                 failure = Some(DispatchError::Unknown(message));
@@ -194,7 +196,7 @@
         match end {
             StreamOutcome::Finished(finish_reason) => {
                 dispatcher.note_response(|| request.fingerprint());
-                chosen.finish(RequestOutcome::Answered);
+                selected.finish(RequestOutcome::Answered);
                 return Ok(GenerationOutput {
                     text: output.text,
                     segments: output.segments,
@@ -202,8 +204,8 @@
                 });
             }
             StreamOutcome::Interrupted(message) => {
-                let backend = chosen.backend.clone();
-                chosen.finish(RequestOutcome::Failed);
+                let backend = selected.backend.clone();
+                selected.finish(RequestOutcome::Failed);
                 if output.segments.is_empty() {
                     let broken = AttemptFailure::ConnectionBroken(message.clone());
                     dispatcher.record_failure(broken, request.fingerprint(), &backend).await;
@@ -261,7 +263,8 @@
             if let Some(read) = poll_once(reading.as_mut()).await {
                 return Some(read);
             }
-            // No data is buffered: wait until the next read is due, so that tokens are read in batches.
+            // No data is buffered: wait until the next read is due, so that tokens are read in
+            // batches.
             Timer::at(next_read).await;
             let read = reading.await;
             next_read = Instant::now() + sink.batch_interval();
--- a/crates/heronbend-daemon/src/main.rs
+++ b/crates/heronbend-daemon/src/main.rs
@@ -27,8 +27,8 @@
   heronbend status --admin 127.0.0.1:7301 --json
   heronbend drain engine-3 --admin 127.0.0.1:7301
 
-Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 settings have findings;
-4 conflict with another edit; 5 outcome unknown, ask again.";
+Exit codes: 0 success; 1 rejected or failed; 2 usage error; 3 settings have findings;
+4 conflict with another edit; 5 outcome unknown, retry.";
 
 /// Rollout service for reinforcement learning.
 #[derive(Parser)]
--- a/crates/heronbend-daemon/src/peer.rs
+++ b/crates/heronbend-daemon/src/peer.rs
@@ -155,7 +155,8 @@
 ///
 /// Returns when sending or receiving fails; pending calls then fail without a reply.
 async fn drive_connection(address: SocketAddr, outgoing: Receiver<OutgoingCall>) -> io::Result<()> {
-    // Returning drops the receiver, which closes the channel, so the next call opens a new connection.
+    // Returning drops the receiver, which closes the channel, so the next call opens a new
+    // connection.
     let connecting = TcpStream::connect(address).or(async {
         Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/heronbend-daemon/src/platform_client.rs
+++ b/crates/heronbend-daemon/src/platform_client.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Waits until an object is newer than version `after`; returns `None` if the long poll expires.
+    /// Waits until an object is newer than version `after`; returns `None` if the long poll
+    /// expires.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         object: &str,
@@ -72,7 +73,8 @@
         Ok(Some(serde_json::from_slice(&bytes)?))
     }
 
-    /// Replaces an object if it still has `version`; version 0 creates an object that must not exist.
+    /// Replaces an object if it still has `version`; version 0 creates an object that must not
+    /// exist.
     pub async fn write<T: Serialize>(
         &self,
         object: &str,
--- a/crates/heronbend-daemon/src/quarantine.rs
+++ b/crates/heronbend-daemon/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash backends.
 //!
-//! Drives [`heronbend::quarantine`]. Crashes are counted by request fingerprint, so that a caller that
-//! retries does not crash one backend after another. The state is local to each thread: it is not shared
-//! between daemons, and each thread grants its own probes.
+//! Drives [`heronbend::quarantine`]. Crashes are counted by request fingerprint, so that a caller
+//! that retries does not crash one backend after another. The state is local to each thread: it is
+//! not shared between daemons, and each thread grants its own probes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Records that a backend's connection broke before the response was complete, and probes whether the
-    /// backend still accepts connections.
+    /// Records that a backend's connection broke before the response was complete, and probes
+    /// whether the backend still accepts connections.
     pub async fn note_broken_connection(
         &self,
         now: Moment,
@@ -84,8 +84,8 @@
 
     /// Returns the identifier of a backend's current run.
     fn run_id(&self, backend: &Backend) -> String {
-        let exit_counts = self.exit_counts.borrow().get(&backend.name).copied().unwrap_or(0);
-        format!("{}#{}/{exit_counts}", backend.name, backend.incarnation)
+        let exits = self.exit_counts.borrow().get(&backend.name).copied().unwrap_or(0);
+        format!("{}#{}/{exits}", backend.name, backend.incarnation)
     }
 
     fn note_backend_gone(&self, now: Moment, name: &BackendName, run: &str) {
--- a/crates/heronbend-daemon/src/serve.rs
+++ b/crates/heronbend-daemon/src/serve.rs
@@ -21,7 +21,7 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time for load balancers and peers to notice that this daemon is draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long idle connections are kept open during draining.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time that readiness waits for complete replica sets.
@@ -222,7 +222,7 @@
             shared.joined.store(true, Ordering::Release);
             log::info!("event=joined waited_in_vain={timed_out}");
         }
-        std::thread::sleep(DRAIN_POLL);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
     }
     log::info!("event=draining exchanges={}", shared.in_flight.load(Ordering::Relaxed));
     std::thread::sleep(DRAIN_GRACE);
@@ -242,13 +242,13 @@
 
 /// Waits until no request is in flight and clients have closed their connections.
 ///
-/// Responses during draining ask clients to close. Connections still open after [`IDLE_TIMEOUT`] are
-/// closed at exit; a request sent on one at that moment is lost.
+/// Responses during draining ask clients to close. Connections still open after [`IDLE_TIMEOUT`]
+/// are closed at exit; a request sent on one at that moment is lost.
 fn wait_until_drained(shared: &Shared) {
     let deadline = Instant::now() + DRAIN_TIMEOUT;
     let mut idle_since = Instant::now();
     while Instant::now() < deadline {
-        std::thread::sleep(DRAIN_POLL);
+        std::thread::sleep(DRAIN_POLL_INTERVAL);
         if shared.in_flight.load(Ordering::Acquire) > 0 {
             idle_since = Instant::now();
         }
--- a/crates/heronbend-daemon/src/shared.rs
+++ b/crates/heronbend-daemon/src/shared.rs
@@ -1,7 +1,7 @@
 //! State shared between a daemon's threads: published snapshots and channels, no locks.
 //!
-//! Each snapshot has a single writer, the named task, and any number of readers. Channels are bounded:
-//! sending to a full one fails at once, and the request is rejected as not run.
+//! Each snapshot has a single writer, the named task, and any number of readers. Channels are
+//! bounded: sending to a full one fails at once, and the request is rejected as not run.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -64,7 +64,7 @@
 
 /// A backend with its current state.
 #[derive(Debug, Clone)]
-pub struct KnownBackend {
+pub struct BackendEntry {
     /// Name, address and pool.
     pub backend: Backend,
     /// Lifecycle phase.
@@ -81,7 +81,7 @@
     /// Incremented with each publication.
     pub generation: u64,
     /// The backends, by name.
-    pub backends: Vec<KnownBackend>,
+    pub backends: Vec<BackendEntry>,
 }
 
 /// Active settings, published by the settings task.
@@ -235,8 +235,8 @@
         self.clock.elapsed()
     }
 
-    /// Returns a number that is unique across daemons and runs: a hash of node name, incarnation and a
-    /// counter.
+    /// Returns a number that is unique across daemons and runs: a hash of node name, incarnation
+    /// and a counter.
     pub fn unique_number(&self) -> u64 {
         let count = self.next_number.fetch_add(1, Ordering::Relaxed);
         let node = &self.identity.node;
@@ -252,7 +252,8 @@
         self.last_tick.store(now, Ordering::Release);
     }
 
-    /// Returns whether requests may be served: settings are loaded, and confirmed since the last pause.
+    /// Returns whether requests may be served: settings are loaded, and confirmed since the last
+    /// pause.
     pub fn can_serve(&self) -> bool {
         self.detect_pause();
         self.settings_confirmed.load(Ordering::Acquire) && self.settings.load().is_some()
@@ -276,7 +277,8 @@
         }
     }
 
-    /// Returns name, zone and region of all daemons considered alive, including this one, sorted by name.
+    /// Returns name, zone and region of all daemons considered alive, including this one, sorted by
+    /// name.
     pub fn alive_nodes(&self) -> Vec<(NodeName, String, String)> {
         let identity = &self.identity;
         let local = (identity.node.name.clone(), identity.zone.clone(), identity.region.clone());
@@ -292,8 +294,8 @@
 
     /// Returns whether this daemon has the lowest name of those alive.
     ///
-    /// This is a hint to avoid duplicate work. Several daemons may hold it at once, so correctness must
-    /// not depend on it.
+    /// This is a hint to avoid duplicate work. Several daemons may hold it at once, so correctness
+    /// must not depend on it.
     pub fn is_soft_leader(&self) -> bool {
         let alive = self.alive_nodes();
         alive.first().map(|(name, _, _)| name) == Some(&self.identity.node.name)
--- a/crates/heronbend-daemon/src/tasks/backends.rs
+++ b/crates/heronbend-daemon/src/tasks/backends.rs
@@ -21,7 +21,7 @@
 
 use super::Executor;
 use crate::platform_client::PlatformClient;
-use crate::shared::{BackendTable, BackendsInput, KnownBackend, MembershipInput, Shared};
+use crate::shared::{BackendEntry, BackendTable, BackendsInput, MembershipInput, Shared};
 
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -29,8 +29,8 @@
 const FAST_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_REPORT_BYTES: usize = 1 << 16;
-/// How long a backend missing from the machine list is kept after its last status report. The list may
-/// omit healthy machines, for example after a platform outage.
+/// How long a backend missing from the machine list is kept after its last status report. The list
+/// may omit healthy machines, for example after a platform outage.
 const UNLISTED_TIMEOUT: Duration = Duration::from_secs(5);
 /// Subset size of pools whose settings are not loaded.
 const DEFAULT_SUBSET: usize = 40;
@@ -42,7 +42,7 @@
     backends: BTreeMap<BackendName, Backend>,
     /// Backends missing from the latest machine list.
     unlisted: BTreeSet<BackendName>,
-    last_response: BTreeMap<BackendName, Moment>,
+    last_response_at: BTreeMap<BackendName, Moment>,
     reports: BTreeMap<BackendName, EngineStatus>,
     /// Whether reports arrived since the last publication.
     has_new_reports: bool,
@@ -101,7 +101,7 @@
                     phase: status.phase,
                 };
                 let changed = self.observe(shared, SignalSource::BackendReport, stated);
-                self.last_response.insert(name.clone(), shared.now());
+                self.last_response_at.insert(name.clone(), shared.now());
                 self.reports.insert(name, status);
                 self.has_new_reports = true;
                 changed
@@ -121,16 +121,18 @@
         let mut changed = false;
         for backend in listed {
             self.unlisted.remove(&backend.name);
-            let known = self.backends.insert(backend.name.clone(), backend.clone());
-            changed |= known != Some(backend);
+            let previous = self.backends.insert(backend.name.clone(), backend.clone());
+            changed |= previous != Some(backend);
         }
         changed
     }
 
     fn drop_unresponsive_unlisted(&mut self, now: Moment) -> bool {
-        let last_response = &self.last_response;
+        let last_response_at = &self.last_response_at;
         let is_unresponsive = |name: &BackendName| {
-            last_response.get(name).is_none_or(|answer| now >= *answer + UNLISTED_TIMEOUT)
+            last_response_at
+                .get(name)
+                .is_none_or(|response_at| now >= *response_at + UNLISTED_TIMEOUT)
         };
         let dropped: Vec<BackendName> =
             self.unlisted.iter().filter(|name| is_unresponsive(name)).cloned().collect();
@@ -139,7 +141,7 @@
             self.unlisted.remove(name);
             self.backends.remove(name);
             self.reports.remove(name);
-            self.last_response.remove(name);
+            self.last_response_at.remove(name);
         }
         !dropped.is_empty()
     }
@@ -170,7 +172,7 @@
             .values()
             .map(|backend| self.table_entry(backend, subset.contains(&backend.name)))
             .collect();
-        let live = backends.iter().filter(|known| known.phase == Phase::Live).count();
+        let live = backends.iter().filter(|entry| entry.phase == Phase::Live).count();
         shared.metrics.backends_live.set(live as i64);
         shared.backends.store(Arc::new(BackendTable { generation: self.generation, backends }));
     }
@@ -179,7 +181,7 @@
     fn subset(&self, shared: &Shared) -> BTreeSet<BackendName> {
         let identity = &shared.identity;
         let settings = shared.settings.load();
-        let pools = settings.as_ref().map(|known| &known.policy.pools);
+        let pools = settings.as_ref().map(|active| &active.policy.pools);
         let mut members: BTreeMap<&str, Vec<&Backend>> = BTreeMap::new();
         for backend in self.backends.values() {
             members.entry(backend.pool.as_str()).or_default().push(backend);
@@ -195,12 +197,12 @@
         subset
     }
 
-    fn table_entry(&self, backend: &Backend, in_subset: bool) -> KnownBackend {
+    fn table_entry(&self, backend: &Backend, in_subset: bool) -> BackendEntry {
         let report = self
             .reports
             .get(&backend.name)
             .filter(|report| report.incarnation == backend.incarnation);
-        KnownBackend {
+        BackendEntry {
             backend: backend.clone(),
             phase: self.lifecycle.phase(&backend.name, backend.incarnation),
             in_subset,
@@ -292,8 +294,8 @@
         }
         let _ = events.try_send(Event::Tick);
         let table = shared.backends.load_full();
-        for known in table.backends.iter().filter(|known| known.in_subset) {
-            let backend = known.backend.clone();
+        for entry in table.backends.iter().filter(|entry| entry.in_subset) {
+            let backend = entry.backend.clone();
             let (client, events) = (client.clone(), events.clone());
             executor
                 .spawn(async move {
--- a/crates/heronbend-daemon/src/tasks/membership.rs
+++ b/crates/heronbend-daemon/src/tasks/membership.rs
@@ -80,13 +80,13 @@
 fn announce_control_versions(
     shared: &Shared,
     detector: &mut Detector,
-    known: &mut ControlVersions,
+    announced: &mut ControlVersions,
 ) -> Vec<Effect> {
     let versions = shared.control_versions();
-    if versions == *known {
+    if versions == *announced {
         return Vec::new();
     }
-    *known = versions;
+    *announced = versions;
     detector.set_control_versions(versions);
     detector.announce()
 }
--- a/crates/heronbend-daemon/src/tasks/register.rs
+++ b/crates/heronbend-daemon/src/tasks/register.rs
@@ -1,4 +1,5 @@
-//! Replicated registers: hosts this daemon's replicas, runs proposals and serves calls of other daemons.
+//! Replicated registers: hosts this daemon's replicas, runs proposals and serves calls of other
+//! daemons.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -102,8 +103,8 @@
     pub peers: PeerClient,
     replicas: Rc<RefCell<BTreeMap<ShardId, Replica<Record>>>>,
     highest_round: Rc<RefCell<u64>>,
-    /// Shards whose current epoch was reported as sealed by a member: a transition was started but not
-    /// committed, and only a new transition reopens the shard.
+    /// Shards whose current epoch was reported as sealed by a member: a transition was started but
+    /// not committed, and only a new transition reopens the shard.
     sealed: Rc<RefCell<BTreeSet<ShardId>>>,
 }
 
@@ -261,7 +262,8 @@
         }
     }
 
-    /// Calls one replica; returns `None` if it is unknown or did not reply within [`ROUND_TIMEOUT`].
+    /// Calls one replica; returns `None` if it is unknown or did not reply within
+    /// [`ROUND_TIMEOUT`].
     pub async fn call_replica(
         &self,
         shard: ShardId,
@@ -273,8 +275,8 @@
         }
         let address = {
             let members = self.shared.members.load();
-            let known = members.iter().find(|known| known.id == *member)?;
-            known.address
+            let entry = members.iter().find(|entry| entry.id == *member)?;
+            entry.address
         };
         let request =
             PeerRequest::Shard { to: member.clone(), request: ShardRequest { shard, request } };
@@ -304,7 +306,7 @@
 
     fn control_data(&self) -> ControlData {
         let settings = self.shared.settings.load_full();
-        let settings = settings.and_then(|known| serde_json::to_vec(&known.object).ok());
+        let settings = settings.and_then(|active| serde_json::to_vec(&active.object).ok());
         let mut members = self.shared.members.load_full().as_ref().clone();
         members.push(self.shared.identity.member());
         ControlData {
@@ -331,12 +333,12 @@
 
     /// Merges newer replica sets into the shard map and configures this daemon's replicas.
     pub fn merge_shard_map(&self, map: &ShardMap) {
-        let mut known = self.shared.shard_map.load_full().as_ref().clone();
-        if !known.merge(map) {
+        let mut current = self.shared.shard_map.load_full().as_ref().clone();
+        if !current.merge(map) {
             return;
         }
-        self.shared.shard_map.store(Arc::new(known.clone()));
-        for (index, config) in known.shards.into_iter().enumerate() {
+        self.shared.shard_map.store(Arc::new(current.clone()));
+        for (index, config) in current.shards.into_iter().enumerate() {
             let shard = ShardId(u32::try_from(index).unwrap_or(u32::MAX));
             self.handle(shard, ReplicaRequest::Configure { config });
         }
@@ -347,14 +349,20 @@
         self.sealed.take()
     }
 
-    /// Sends the current replica set to a replica with an older epoch. If the replica rejected its own
-    /// epoch, records the shard as sealed.
-    fn update_stale_replica(&self, shard: ShardId, from: &NodeId, known: u64, proposed: u64) {
-        if known == proposed {
+    /// Sends the current replica set to a replica with an older epoch. If the replica rejected its
+    /// own epoch, records the shard as sealed.
+    fn update_stale_replica(
+        &self,
+        shard: ShardId,
+        from: &NodeId,
+        known_epoch: u64,
+        proposed_epoch: u64,
+    ) {
+        if known_epoch == proposed_epoch {
             self.sealed.borrow_mut().insert(shard);
         }
         let map = self.shared.shard_map.load();
-        let newer = map.config(shard).filter(|config| config.epoch > known).cloned();
+        let newer = map.config(shard).filter(|config| config.epoch > known_epoch).cloned();
         if let Some(config) = newer {
             self.configure(shard, from.clone(), config);
         }
--- a/crates/heronbend-daemon/src/tasks/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/mod.rs
@@ -33,8 +33,8 @@
 use crate::shared::{epoch_seconds, Shared};
 
 /// Long-poll timeout of a fetch.
-const FETCH_WAIT: Duration = Duration::from_secs(5);
-const FETCH_POLL: Duration = Duration::from_millis(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
+const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Clone)]
 struct RolloutManager {
@@ -83,7 +83,7 @@
             return Err(RolloutError::Draining);
         }
         let settings = self.shared.settings.load_full();
-        let policy = settings.as_ref().map(|known| &known.policy);
+        let policy = settings.as_ref().map(|active| &active.policy);
         let policy = policy.and_then(|policy| StepPolicy::find(policy, &name.trainer));
         let policy = policy.ok_or(RolloutError::UnknownTrainer)?;
         let plan = plan_for(&request).ok_or(RolloutError::BadStep)?;
@@ -115,8 +115,8 @@
         record: OpenStep,
     ) {
         let mut steps = self.steps.borrow_mut();
-        let known_term = steps.get(&name).map(|step| step.state.borrow().record.term);
-        if known_term == Some(record.term) {
+        let active_term = steps.get(&name).map(|step| step.state.borrow().record.term);
+        if active_term == Some(record.term) {
             return;
         }
         log::info!(
@@ -159,14 +159,14 @@
             state.floor = state.floor.max(floor);
             state.last_fetch = Instant::now();
         }
-        let deadline = Instant::now() + FETCH_WAIT;
+        let deadline = Instant::now() + FETCH_TIMEOUT;
         let _seal_guard = step.seal_lock.lock().await;
         loop {
             match self.try_fetch(&step, number, floor).await? {
                 Some(batch) => return Ok(Some(batch)),
                 None if self.shared.is_draining() => return Err(RolloutError::Draining),
                 None if Instant::now() >= deadline => return Ok(None),
-                None => drop(Timer::after(FETCH_POLL).await),
+                None => drop(Timer::after(FETCH_POLL_INTERVAL).await),
             }
         }
     }
@@ -265,7 +265,7 @@
 
     async fn complete(&self, name: &StepName, number: u32) -> Result<(), RolloutError> {
         let settings = self.shared.settings.load_full();
-        let retention = settings.map_or(Duration::ZERO, |known| known.policy.claim_retention);
+        let retention = settings.map_or(Duration::ZERO, |active| active.policy.claim_retention);
         let expires = epoch_seconds() + retention.as_secs();
         match self.change(name, StepChange::Complete { number, expires }).await? {
             StepResponse::Completed => {
--- a/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Returns whether a step may be sampled: it is its trainer's oldest, or the trainer samples ahead.
+    /// Returns whether a step may be sampled: it is its trainer's oldest, or the trainer samples
+    /// ahead.
     fn may_sample(&self, step: &Step) -> bool {
         if step.policy.samples_ahead {
             return true;
@@ -140,11 +141,11 @@
             caller_request,
             idempotent: true,
         };
-        let answer = self.dispatcher.send_to_application(scorer, &score_request).await.ok()?;
-        if answer.status != StatusCode::Ok {
+        let response = self.dispatcher.send_to_application(scorer, &score_request).await.ok()?;
+        if response.status != StatusCode::Ok {
             return None;
         }
-        let score: Score = serde_json::from_slice(&answer.body).ok()?;
+        let score: Score = serde_json::from_slice(&response.body).ok()?;
         Some(Sample {
             slot,
             seed,
--- a/crates/heronbend-daemon/src/tasks/rollout/step.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/step.rs
@@ -81,7 +81,8 @@
     }
 }
 
-/// Creates the sampling plan of a step; returns `None` if it has no slots or more than [`MAX_SLOTS`].
+/// Creates the sampling plan of a step; returns `None` if it has no slots or more than
+/// [`MAX_SLOTS`].
 pub(super) fn plan_for(request: &StepRequest) -> Option<StepPlan> {
     let prompts = u32::try_from(request.prompts.len()).ok()?;
     let slots = prompts.checked_mul(request.samples_per_prompt)?;
--- a/crates/heronbend-daemon/src/tasks/settings.rs
+++ b/crates/heronbend-daemon/src/tasks/settings.rs
@@ -30,7 +30,8 @@
 /// An edit request of an operator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EditRequest {
-    /// Identifier chosen by the client; repeated requests with the same identifier are applied once.
+    /// Identifier chosen by the client; repeated requests with the same identifier are applied
+    /// once.
     pub id: String,
     /// Changes, by settings node.
     pub edits: Vec<NodeEdit>,
@@ -98,8 +99,8 @@
 
 /// Activates settings if their revision is newer and they are valid.
 fn apply_if_newer(shared: &Shared, object: SettingsObject) {
-    let known = shared.settings.load();
-    let is_newer = known.as_ref().is_none_or(|known| object.revision > known.object.revision);
+    let current = shared.settings.load();
+    let is_newer = current.as_ref().is_none_or(|current| object.revision > current.object.revision);
     if !is_newer || object.revision == 0 {
         return;
     }
@@ -117,7 +118,8 @@
     shared.settings.store(Some(Arc::new(ActiveSettings { object, policy })));
 }
 
-/// Reads and activates the stored settings; returns the version of the stored object, or 0 if absent.
+/// Reads and activates the stored settings; returns the version of the stored object, or 0 if
+/// absent.
 async fn read_store(shared: &Shared, platform: &PlatformClient) -> Result<u64, PlatformError> {
     shared.metrics.store_reads.inc();
     let stored: Option<Versioned<SettingsObject>> = platform.read(SETTINGS_OBJECT).await?;
@@ -178,8 +180,8 @@
     Ok(changed.version)
 }
 
-/// Confirms the settings at startup and after a pause: from the store or, if it is unavailable, from a
-/// majority of the known daemons.
+/// Confirms the settings at startup and after a pause: from the store or, if it is unavailable,
+/// from a majority of the known daemons.
 async fn confirm_settings(shared: Arc<Shared>, platform: PlatformClient, seeds: Vec<SocketAddr>) {
     loop {
         Timer::after(CONFIRM_INTERVAL).await;
@@ -213,17 +215,18 @@
         .collect();
     peers.sort();
     peers.dedup();
-    let known = peers.len() + 1;
+    let cluster_size = peers.len() + 1;
     let (reply, result) = bounded(1);
     let call = RegisterCall::Survey { peers, reply };
     if shared.register.sender.try_send(call).is_err() {
         return false;
     }
     let replied = result.recv().await.unwrap_or(0);
-    replied > 0 && replied + 1 > known / 2
+    replied > 0 && replied + 1 > cluster_size / 2
 }
 
-/// Commits an edit by compare-and-swap. A lost response is resolved by reading the stored edits back.
+/// Commits an edit by compare-and-swap. A lost response is resolved by reading the stored edits
+/// back.
 async fn commit_edit(
     shared: &Shared,
     platform: &PlatformClient,
--- a/crates/heronbend-daemon/src/tasks/shards.rs
+++ b/crates/heronbend-daemon/src/tasks/shards.rs
@@ -1,7 +1,8 @@
 //! Shard placement: creates the shard map and replaces members that left the cluster.
 //!
 //! Several daemons may change the placement concurrently, since the shard map is written by
-//! compare-and-swap. To avoid duplicate work, only the soft leader does so.
+//! compare-and-swap. To avoid duplicate work, only the soft leader replaces members; any daemon may
+//! reopen a shard that it found sealed.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -64,12 +65,12 @@
     let stored: Option<Versioned<ShardMap>> = platform.read(SHARD_MAP_OBJECT).await?;
     match stored {
         Some(stored) => {
-            let known = manager.shared.shard_map.load_full();
+            let previous = manager.shared.shard_map.load_full();
             manager.merge_shard_map(&stored.value);
             // Skip shards that were reopened in a newer epoch.
             let still_sealed = |shard: &&ShardId| {
                 let epoch = |map: &ShardMap| map.config(**shard).map(|config| config.epoch);
-                epoch(&known) == epoch(&stored.value)
+                epoch(&previous) == epoch(&stored.value)
             };
             let sealed: BTreeSet<ShardId> = sealed.iter().filter(still_sealed).copied().collect();
             if !sealed.is_empty() || (may_place && needs_placement(&manager.shared)) {
@@ -86,7 +87,8 @@
     Ok(())
 }
 
-/// Runs a transition for every shard that needs new members, then commits all new replica sets at once.
+/// Runs a transition for every shard that needs new members, then commits all new replica sets at
+/// once.
 async fn replace_members(
     manager: &RegisterManager,
     platform: &PlatformClient,
@@ -118,7 +120,8 @@
     Ok(())
 }
 
-/// Reopens shards that have permanently lost a majority of their members, from the remaining replicas.
+/// Reopens shards that have permanently lost a majority of their members, from the remaining
+/// replicas.
 ///
 /// Committed data may be lost, so this is only run on an operator's request. Returns the number of
 /// reopened shards.
@@ -162,7 +165,8 @@
     match platform.write(SHARD_MAP_OBJECT, version, &map).await {
         Ok(()) => {}
         Err(error) => {
-            // The write may have succeeded although the response was lost, so read the stored map back.
+            // The write may have succeeded although the response was lost, so read the stored map
+            // back.
             log::warn!("event=shard_map_write_failed error={error}");
             if let Some(stored) = platform.read::<ShardMap>(SHARD_MAP_OBJECT).await? {
                 map = stored.value;
@@ -180,7 +184,8 @@
     Ok(())
 }
 
-/// Seals the old replica set and stages its state at the new one; returns the replica set to commit.
+/// Seals the old replica set and stages its state at the new one; returns the replica set to
+/// commit.
 ///
 /// With `survivors`, only their state is used, see [`Transition::start_forced_recovery`].
 async fn run_transition(
--- a/crates/heronbend-daemon/src/tasks/telemetry.rs
+++ b/crates/heronbend-daemon/src/tasks/telemetry.rs
@@ -14,7 +14,7 @@
     loop {
         let interval = {
             let settings = shared.settings.load();
-            settings.as_ref().map_or(DEFAULT_INTERVAL, |known| known.policy.log_interval)
+            settings.as_ref().map_or(DEFAULT_INTERVAL, |active| active.policy.log_interval)
         };
         Timer::after(interval).await;
         log::info!("event=counters {}", shared.metrics.log_line());
--- a/crates/heronbend-daemon/src/tasks/weights.rs
+++ b/crates/heronbend-daemon/src/tasks/weights.rs
@@ -30,7 +30,7 @@
     rollout: VersionRollout,
 }
 
-/// Fencing tokens that an engine rejected as too low, by model.
+/// Highest fencing token that an engine rejected as too low, by model.
 type FencedTokens = Rc<RefCell<BTreeMap<String, u64>>>;
 type ModelRollouts = Rc<RefCell<BTreeMap<String, ModelRollout>>>;
 
@@ -83,7 +83,8 @@
     }
 }
 
-/// Acquires a fencing token for a model unless this daemon already holds one; returns whether it does.
+/// Acquires a fencing token for a model unless this daemon already holds one; returns whether it
+/// does.
 async fn ensure_fence(
     shared: &Shared,
     rollouts: &ModelRollouts,
@@ -111,8 +112,8 @@
 
 /// Updates a rollout with the engines' reported versions and returns the load commands to send.
 ///
-/// Engines outside this daemon's subset are not polled. They receive one command for the latest version,
-/// and the response confirms it.
+/// Engines outside this daemon's subset are not polled. They receive one command for the latest
+/// version, and the response confirms it.
 fn due_commands(
     shared: &Shared,
     rollouts: &ModelRollouts,
@@ -123,16 +124,16 @@
     let engines: BTreeMap<_, _> = table
         .backends
         .iter()
-        .filter(|known| known.backend.pool == model.pool && known.phase == Phase::Live)
-        .map(|known| (&known.backend.name, known))
+        .filter(|entry| entry.backend.pool == model.pool && entry.phase == Phase::Live)
+        .map(|entry| (&entry.backend.name, entry))
         .collect();
     let mut commands = Vec::new();
     update_rollout(rollouts, &model.name, |rollout_state| {
         rollout_state.rollout.set_serving_floor(floor);
-        for (name, known) in &engines {
-            let incarnation = known.backend.incarnation;
-            if known.in_subset {
-                rollout_state.rollout.observe(name, incarnation, known.report.version);
+        for (name, entry) in &engines {
+            let incarnation = entry.backend.incarnation;
+            if entry.in_subset {
+                rollout_state.rollout.observe(name, incarnation, entry.report.version);
             } else {
                 rollout_state.rollout.observe_presence(name, incarnation);
             }
@@ -160,8 +161,8 @@
     let engine = &command.engine;
     log::info!("event=order_ended engine={engine} version={} result={result:?}", command.version);
     if result == LoadResult::Fenced {
-        // Another daemon controls the rollout, or the register lost its tokens. The next tick acquires a
-        // higher token if this daemon is still the soft leader.
+        // Another daemon controls the rollout, or the register lost its tokens. The next tick
+        // acquires a higher token if this daemon is still the soft leader.
         fenced.borrow_mut().insert(model.clone(), fence);
         rollouts.borrow_mut().remove(&model);
         return;
--- a/crates/heronbend-daemon/src/telemetry.rs
+++ b/crates/heronbend-daemon/src/telemetry.rs
@@ -34,7 +34,7 @@
     pub foreign_answers: Count,
     /// Generations resumed on another engine.
     pub resumed: Count,
-    /// Chunks received from engines.
+    /// Generated tokens passed on.
     pub tokens: Count,
     /// Samples generated and scored.
     pub samples_drawn: Count,
