--- a/crates/heronbend-daemon/src/tasks/register.rs
+++ b/crates/heronbend-daemon/src/tasks/register.rs
@@ -349,8 +349,9 @@
         self.sealed.take()
     }
 
-    /// Sends the current replica set to a replica with an older epoch. If the replica rejected its
-    /// own epoch, records the shard as sealed.
+    /// Handles a rejected epoch: sends the current replica set to a replica with an older one.
+    ///
+    /// A replica that rejects the epoch it has itself has sealed it; the shard is recorded as sealed.
     fn update_stale_replica(
         &self,
         shard: ShardId,
@@ -400,9 +401,13 @@
     }
 }
 
+/// Outcome of one proposal round.
 #[derive(Default)]
 struct RoundOutcome {
+    /// Result of the change if the round completed.
     response: Option<RecordResponse>,
+    /// Whether a value was sent to replicas, which may have accepted it.
     sent_value: bool,
+    /// Round of the competing ballot if this one was preempted, else 0.
     above: u64,
 }
