--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -182,7 +182,7 @@
 
     /// Returns the number of free slots in a pool on engines with at least `min_version`.
     ///
-    /// Requests fresh load reports if there are none.
+    /// If there are none, fresh load reports are requested.
     pub fn free_slots(&self, pool: &PoolPolicy, min_version: Option<u64>) -> usize {
         self.refresh();
         let query = Query {
--- a/crates/heronbend-daemon/src/front/mod.rs
+++ b/crates/heronbend-daemon/src/front/mod.rs
@@ -86,9 +86,9 @@
     loop {
         publish_change(&shared.in_flight, &mut in_flight, connections.exchanges());
         publish_change(&shared.connections, &mut open, connections.open());
-        let heads = connections.refused_heads();
-        shared.metrics.refused_heads.inc_by(heads - refused);
-        refused = heads;
+        let refused_heads = connections.refused_heads();
+        shared.metrics.refused_heads.inc_by(refused_heads - refused);
+        refused = refused_heads;
         if shared.is_draining() {
             connections.start_draining();
         }
@@ -100,10 +100,10 @@
 }
 
 /// Adds the change of this thread's count since the last call to the total.
-fn publish_change(sum: &AtomicU64, published: &mut u64, now: usize) {
-    let now = now as u64;
-    sum.fetch_add(now.wrapping_sub(*published), Ordering::AcqRel);
-    *published = now;
+fn publish_change(sum: &AtomicU64, published: &mut u64, current: usize) {
+    let current = current as u64;
+    sum.fetch_add(current.wrapping_sub(*published), Ordering::AcqRel);
+    *published = current;
 }
 
 impl Front {
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -154,8 +154,8 @@
     let mut output = PartialOutput { text: String::new(), segments: Vec::new() };
     let mut tried: Vec<BackendName> = Vec::new();
     let mut failure = None;
-    for number in 1..=pool.max_attempts {
-        if number > 1 && !dispatcher.prepare_retry(number - 1).await {
+    for attempt_number in 1..=pool.max_attempts {
+        if attempt_number > 1 && !dispatcher.prepare_retry(attempt_number - 1).await {
             break;
         }
         if let Err(error) = dispatcher.admit(|| request.fingerprint()) {
@@ -192,8 +192,8 @@
         if !output.segments.is_empty() {
             dispatcher.shared().metrics.resumed.inc();
         }
-        let end = read_stream(dispatcher, reply, &attempt, deadline, &mut output, sink).await?;
-        match end {
+        let outcome = read_stream(dispatcher, reply, &attempt, deadline, &mut output, sink).await?;
+        match outcome {
             StreamOutcome::Finished(finish_reason) => {
                 dispatcher.note_response(|| request.fingerprint());
                 selected.finish(RequestOutcome::Answered);
@@ -259,20 +259,20 @@
     loop {
         line.clear();
         let read = async {
-            let mut reading = pin!(reply.body_mut().read_line(&mut line));
-            if let Some(read) = poll_once(reading.as_mut()).await {
+            let mut pending_read = pin!(reply.body_mut().read_line(&mut line));
+            if let Some(read) = poll_once(pending_read.as_mut()).await {
                 return Some(read);
             }
             // No data is buffered: wait until the next read is due, so that tokens are read in
             // batches.
             Timer::at(next_read).await;
-            let read = reading.await;
+            let read = pending_read.await;
             next_read = Instant::now() + sink.batch_interval();
             Some(read)
         };
-        let limit = deadline.min(Instant::now() + CHUNK_TIMEOUT);
+        let chunk_deadline = deadline.min(Instant::now() + CHUNK_TIMEOUT);
         let read = read.or(async {
-            Timer::at(limit).await;
+            Timer::at(chunk_deadline).await;
             None
         });
         match read.await {
--- a/crates/heronbend-daemon/src/serve.rs
+++ b/crates/heronbend-daemon/src/serve.rs
@@ -119,10 +119,10 @@
     if let Err(error) = rlimit::increase_nofile_limit(u64::MAX) {
         log::warn!("event=descriptor_limit_not_raised error={error}");
     }
-    let unset = SocketAddr::from(([127, 0, 0, 1], 0));
-    let http = listen(arguments.listen.unwrap_or(unset))?;
-    let peer = listen(arguments.peer_listen.unwrap_or(unset))?;
-    let admin = listen(arguments.admin_listen.unwrap_or(unset))?;
+    let unspecified = SocketAddr::from(([127, 0, 0, 1], 0));
+    let http = listen(arguments.listen.unwrap_or(unspecified))?;
+    let peer = listen(arguments.peer_listen.unwrap_or(unspecified))?;
+    let admin = listen(arguments.admin_listen.unwrap_or(unspecified))?;
     let peer_address = peer.local_addr()?;
     let datagrams = UdpSocket::bind(peer_address).context("binding the peer UDP port")?;
     let identity = Identity {
@@ -134,7 +134,7 @@
         region: arguments.region.unwrap_or_default(),
         http_address: http.local_addr()?,
         peer_address,
-        platform: arguments.platform.unwrap_or(unset),
+        platform: arguments.platform.unwrap_or(unspecified),
     };
     log::info!(
         "event=started node={} zone={} http={} peer={peer_address} admin={}",
@@ -240,7 +240,8 @@
     Ok(())
 }
 
-/// Waits until no request is in flight and clients have closed their connections.
+/// Waits until no request is in flight and clients have closed their connections, for at most
+/// [`DRAIN_TIMEOUT`].
 ///
 /// Responses during draining ask clients to close. Connections still open after [`IDLE_TIMEOUT`]
 /// are closed at exit; a request sent on one at that moment is lost.
--- a/crates/heronbend-daemon/src/tasks/backends.rs
+++ b/crates/heronbend-daemon/src/tasks/backends.rs
@@ -36,12 +36,14 @@
 const DEFAULT_SUBSET: usize = 40;
 const REGISTER_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Backends and their reports, as known to the backends task.
 #[derive(Default)]
 struct State {
     lifecycle: Lifecycle,
     backends: BTreeMap<BackendName, Backend>,
     /// Backends missing from the latest machine list.
     unlisted: BTreeSet<BackendName>,
+    /// Time of the last status report of each backend.
     last_response_at: BTreeMap<BackendName, Moment>,
     reports: BTreeMap<BackendName, EngineStatus>,
     /// Whether reports arrived since the last publication.
@@ -60,20 +62,20 @@
 /// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor) {
     let platform = PlatformClient::new(shared.identity.platform);
-    let (events, inbox) = smol::channel::bounded(1024);
+    let (events, event_receiver) = smol::channel::bounded(1024);
     executor.spawn(register_periodically(shared.clone(), platform.clone())).detach();
     executor.spawn(poll_machine_list(shared.clone(), platform)).detach();
     executor.spawn(poll_backend_status(shared.clone(), executor.clone(), events.clone())).detach();
-    let forwarding = shared.clone();
+    let input_shared = shared.clone();
     executor
         .spawn(async move {
-            while let Ok(input) = forwarding.backends_channel.receiver.recv().await {
+            while let Ok(input) = input_shared.backends_channel.receiver.recv().await {
                 let _ = events.send(Event::Input(input)).await;
             }
         })
         .detach();
     let mut state = State::default();
-    while let Ok(event) = inbox.recv().await {
+    while let Ok(event) = event_receiver.recv().await {
         if state.handle_event(&shared, event) {
             state.publish(&shared);
         }
@@ -127,6 +129,7 @@
         changed
     }
 
+    /// Removes unlisted backends without a recent status report; returns whether any was removed.
     fn drop_unresponsive_unlisted(&mut self, now: Moment) -> bool {
         let last_response_at = &self.last_response_at;
         let is_unresponsive = |name: &BackendName| {
@@ -146,6 +149,8 @@
         !dropped.is_empty()
     }
 
+    /// Applies a reported phase; returns whether the backend's phase changed. Backends that leave
+    /// are gossiped unless the machine list is the source.
     fn observe(&mut self, shared: &Shared, source: SignalSource, stated: BackendPhase) -> bool {
         let Some(change) = self.lifecycle.observe(shared.now(), Signal { source, stated }) else {
             return false;
--- a/crates/heronbend-daemon/src/tasks/register.rs
+++ b/crates/heronbend-daemon/src/tasks/register.rs
@@ -316,6 +316,7 @@
         }
     }
 
+    /// Fetches a peer's control data and merges it; returns `None` if the peer did not reply.
     async fn fetch_control(&self, peer: SocketAddr) -> Option<()> {
         let reply = self.peers.call(peer, None, PeerRequest::Control, CONTROL_TIMEOUT).await?;
         let PeerReply::Control(control) = reply else {
@@ -351,7 +352,8 @@
 
     /// Handles a rejected epoch: sends the current replica set to a replica with an older one.
     ///
-    /// A replica that rejects the epoch it has itself has sealed it; the shard is recorded as sealed.
+    /// A replica that rejects the epoch it has itself has sealed it; the shard is recorded as
+    /// sealed.
     fn update_stale_replica(
         &self,
         shard: ShardId,
@@ -390,6 +392,7 @@
         *highest = (*highest).max(round);
     }
 
+    /// Removes expired records from this daemon's replicas.
     async fn remove_expired_periodically(self) {
         loop {
             Timer::after(EXPIRY_INTERVAL).await;
--- a/crates/heronbend-daemon/src/tasks/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/mod.rs
@@ -36,6 +36,7 @@
 const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
+/// State of the rollout task. Clones share it within the task's thread.
 #[derive(Clone)]
 struct RolloutManager {
     shared: Arc<Shared>,
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Makes this daemon the step's coordinator and starts sampling.
     async fn post(
         &self,
         name: StepName,
@@ -146,6 +148,7 @@
         steps.insert(name, Rc::new(step));
     }
 
+    /// Waits for a batch, up to [`FETCH_TIMEOUT`].
     async fn fetch(
         &self,
         name: &StepName,
@@ -171,6 +174,7 @@
         }
     }
 
+    /// Returns the open batch, or seals the next one if enough samples are ready.
     async fn try_fetch(
         &self,
         step: &Rc<Step>,
@@ -246,6 +250,8 @@
         })
     }
 
+    /// Applies a change of the open batch to the step's record; stops the step if it is fenced or
+    /// complete.
     async fn change_batch(
         &self,
         step: &Step,
@@ -263,6 +269,7 @@
         }
     }
 
+    /// Acknowledges the last batch and stops the step.
     async fn complete(&self, name: &StepName, number: u32) -> Result<(), RolloutError> {
         let settings = self.shared.settings.load_full();
         let retention = settings.map_or(Duration::ZERO, |active| active.policy.claim_retention);
--- a/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/sampling.rs
@@ -23,6 +23,7 @@
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(10);
 
 impl RolloutManager {
+    /// Schedules attempts of all active steps, publishes their progress and drops idle ones.
     pub(super) async fn schedule_steps(self) {
         let mut last_published = Instant::now();
         loop {
@@ -72,6 +73,7 @@
         self.apply(step, effects);
     }
 
+    /// Starts and cancels attempts as requested by the coordinator.
     pub(super) fn apply(&self, step: &Rc<Step>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -90,6 +92,7 @@
         }
     }
 
+    /// Runs one attempt and reports its result to the coordinator.
     async fn run_attempt(&self, step: &Rc<Step>, attempt: AttemptId, slot: SlotIndex) {
         let sample = self.generate_and_score(step, slot).await;
         let effects = {
@@ -114,6 +117,7 @@
         self.schedule(step);
     }
 
+    /// Generates a sample and requests its reward from the scorer pool; returns `None` on failure.
     async fn generate_and_score(&self, step: &Step, slot: SlotIndex) -> Option<Sample> {
         let settings = self.shared.settings.load_full()?;
         let pool = settings.policy.pools.get(&step.policy.pool)?;
--- a/crates/heronbend-daemon/src/tasks/rollout/step.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/step.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Settings that apply to a step, fixed when it is posted.
 #[derive(Clone)]
 pub(super) struct StepPolicy {
     pub(super) model: String,
@@ -58,15 +59,19 @@
     pub(super) samples_ahead: bool,
 }
 
+/// Mutable state of a step.
 pub(super) struct StepState {
     pub(super) record: OpenStep,
     pub(super) coordinator: StepCoordinator,
+    /// Tasks of the attempts in flight; dropping one cancels its attempt.
     pub(super) attempts: BTreeMap<AttemptId, Task<()>>,
+    /// Oldest weight version allowed for new samples.
     pub(super) floor: u64,
     pub(super) last_fetch: Instant,
 }
 
 impl StepPolicy {
+    /// Looks up the policy of a trainer's steps.
     pub(super) fn find(policy: &Policy, trainer: &str) -> Option<Self> {
         let trainer = policy.trainers.get(trainer)?;
         let model = policy.models.get(&trainer.model)?;
--- a/crates/heronbend-daemon/src/tasks/settings.rs
+++ b/crates/heronbend-daemon/src/tasks/settings.rs
@@ -130,6 +130,7 @@
     Ok(version)
 }
 
+/// Returns whether this daemon watches the store on behalf of its region.
 fn is_watcher(shared: &Shared) -> bool {
     let identity = &shared.identity;
     shared
@@ -140,6 +141,7 @@
         .any(|(name, _, _)| *name == identity.node.name)
 }
 
+/// Watches the store for new settings while this daemon is a watcher or has no settings yet.
 async fn watch_settings(shared: Arc<Shared>, platform: PlatformClient) {
     let mut version = None;
     loop {
@@ -166,6 +168,8 @@
     }
 }
 
+/// Waits for a change of the stored settings after a version and activates it; returns the version
+/// of the stored object.
 async fn watch_store(
     shared: &Shared,
     platform: &PlatformClient,
--- a/crates/heronbend-daemon/src/tasks/shards.rs
+++ b/crates/heronbend-daemon/src/tasks/shards.rs
@@ -55,6 +55,7 @@
     }
 }
 
+/// Loads the shard map and, where allowed, creates it, replaces members and reopens sealed shards.
 async fn update_placement(
     manager: &RegisterManager,
     platform: &PlatformClient,
@@ -78,8 +79,8 @@
             }
         }
         None if may_place && manager.shared.settings.load().is_some() => {
-            let first = ShardMap::initial(SHARD_COUNT, &candidates(&manager.shared));
-            platform.write(SHARD_MAP_OBJECT, 0, &first).await?;
+            let initial = ShardMap::initial(SHARD_COUNT, &candidates(&manager.shared));
+            platform.write(SHARD_MAP_OBJECT, 0, &initial).await?;
             log::info!("event=shard_map_created shards={SHARD_COUNT}");
         }
         None => {}
@@ -101,9 +102,10 @@
     let started = Instant::now();
     for (index, config) in map.shards.clone().into_iter().enumerate() {
         let shard = ShardId(u32::try_from(index).unwrap_or(u32::MAX));
-        let better = replacement_members(&manager.shared, shard, &config).filter(|_| may_place);
-        let same = sealed.contains(&shard).then(|| config.members.clone());
-        let Some(members) = better.or(same) else {
+        let replacement =
+            replacement_members(&manager.shared, shard, &config).filter(|_| may_place);
+        let unchanged = sealed.contains(&shard).then(|| config.members.clone());
+        let Some(members) = replacement.or(unchanged) else {
             continue;
         };
         if let Some(next) = run_transition(manager, shard, config, members, None).await {
--- a/crates/heronbend-daemon/src/tasks/weights.rs
+++ b/crates/heronbend-daemon/src/tasks/weights.rs
@@ -77,6 +77,7 @@
     }
 }
 
+/// Calls `change` on a model's rollout if this daemon controls it.
 fn update_rollout(rollouts: &ModelRollouts, model: &str, change: impl FnOnce(&mut ModelRollout)) {
     if let Some(rollout_state) = rollouts.borrow_mut().get_mut(model) {
         change(rollout_state);
@@ -147,6 +148,7 @@
     commands
 }
 
+/// Sends a load command to an engine and records its result.
 async fn send_command(
     shared: Arc<Shared>,
     client: Client,
@@ -172,6 +174,7 @@
     });
 }
 
+/// Sends a load command to an engine and classifies the response.
 async fn execute_command(
     client: &Client,
     backend: &Backend,
