--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -11,8 +11,8 @@
 use super::registry::{chunk_name, results_kind, Job, OWNERSHIPS};
 use super::result_log::{Chunk, ItemResult};
 use crate::gateway::Gateway;
-use crate::mirror::{backoff, list_all};
 use crate::ports::{Object, ObjectStore, StoreError};
+use crate::reflector::{backoff, list_all};
 use crate::wait;
 
 /// Rest between two looks whether this daemon owns the job again.
--- a/crates/heronbend-gateway/src/batch/checkpoint.rs
+++ b/crates/heronbend-gateway/src/batch/checkpoint.rs
@@ -16,10 +16,10 @@
 use super::registry::Job;
 use super::segment::Segment;
 use crate::gateway::Gateway;
-use crate::mirror::list_all;
 use crate::ports::Object;
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
+use crate::reflector::list_all;
 
 /// Time between two checkpoints of a job: what a new owner has to make again at most.
 const PERIOD: Duration = Duration::from_millis(1000);
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -24,9 +24,9 @@
 use crate::access;
 use crate::gateway::Gateway;
 use crate::homes;
-use crate::mirror::backoff;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::backoff;
 
 /// Room that an object needs apart from a specification's own bytes.
 const OBJECT_OVERHEAD: usize = 4 * 1024;
--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -22,10 +22,10 @@
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::homes;
-use crate::mirror::{list_all, wait_for_store};
-use crate::news_way::Way;
-use crate::peers::{client, introduction, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
+use crate::peers::{bootstrap, client, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::{list_all, wait_for_store};
+use crate::upstream::Way;
 use crate::wait;
 
 /// Time between two looks for jobs without a living owner.
@@ -89,7 +89,7 @@
             Way::Store => {}
             Way::Watchers(watchers) => {
                 for watcher in watchers {
-                    if introduction::learn_jobs_of(gateway, &watcher).await {
+                    if bootstrap::learn_jobs_of(gateway, &watcher).await {
                         return Ok(());
                     }
                 }
--- a/crates/heronbend-gateway/src/batch/runner.rs
+++ b/crates/heronbend-gateway/src/batch/runner.rs
@@ -11,8 +11,8 @@
 use super::texts::Texts;
 use super::{appender, checkpoint, item_run, ownership_duty};
 use crate::gateway::Gateway;
-use crate::mirror::backoff;
 use crate::ports::{ObjectStore, StoreError};
+use crate::reflector::backoff;
 
 /// Starts every job that this daemon owns and does not run yet.
 pub fn start_own_jobs(gateway: &Rc<Gateway>) {
--- a/crates/heronbend-gateway/src/dissemination.rs
+++ b/crates/heronbend-gateway/src/dissemination.rs
@@ -27,11 +27,10 @@
 use heronbend::Moment;
 use rapidhash::v3::rapidhash_v3;
 
+use crate::compressed_update;
+use crate::compressed_update::Span;
 use crate::encoded_object::EncodedObject;
 use crate::gateway::Gateway;
-use crate::news_way::Way;
-use crate::packed_news;
-use crate::packed_news::Span;
 use crate::peers::client;
 use crate::peers::messages::KindState;
 use crate::peers::messages::PackedKind;
@@ -43,6 +42,7 @@
 use crate::replica::Checking;
 use crate::replica::News;
 use crate::replica::Replica;
+use crate::upstream::Way;
 use crate::wait;
 
 /// Daemons that a daemon follows at most.
@@ -333,7 +333,7 @@
             Some(PeerReply::Uninformed) => return Err(Untelling::Uninformed),
             _ => return Err(Untelling::Silent),
         };
-        let news = packed_news::unpack(&packed).map_err(|error| {
+        let news = compressed_update::unpack(&packed).map_err(|error| {
             log::warn!("event=news_malformed kind={kind} from={upstream} error=\"{error}\"");
             Untelling::Silent
         })?;
@@ -420,7 +420,7 @@
         return Known::Nothing;
     }
     let pack = || match replica.since(since, checking) {
-        Some(news) => packed_news::pack(&news),
+        Some(news) => compressed_update::pack(&news),
         None => Err(std::io::Error::other("there is no news")),
     };
     let span = Span { since, at: replica.at(), checking };
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -12,8 +12,7 @@
 use super::book::Book;
 use super::line;
 use crate::gateway::Gateway;
-use crate::lease_keeper::LeaseKeeper;
-use crate::mirror::backoff;
+use crate::lease_manager::LeaseKeeper;
 use crate::peers::Hint;
 use crate::peers::INTRODUCTION;
 use crate::ports::Actor;
@@ -23,6 +22,7 @@
 use crate::ports::Provider;
 use crate::ports::ProviderError;
 use crate::ports::StoreError;
+use crate::reflector::backoff;
 use crate::versions::lease::LEASE_DURATION;
 
 /// Kind and name of the record of settled windows.
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -22,7 +22,7 @@
 use crate::configuration::Scaling;
 use crate::directory::ServerState;
 use crate::gateway::Gateway;
-use crate::lease_keeper::LeaseKeeper;
+use crate::lease_manager::LeaseKeeper;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use crate::gateway::Gateway;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
 use crate::ports::Object;
+use crate::reflector;
+use crate::reflector::MirrorSink;
+use crate::reflector::Source;
 
 /// Evacuations that come within this time cost one call. The whole bound is seconds.
 const GATHERING: Duration = Duration::from_millis(100);
@@ -24,7 +24,7 @@
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
-    mirror::follow(gateway, kind, Source::Watchers, GATHERING, sink).await;
+    reflector::follow(gateway, kind, Source::Watchers, GATHERING, sink).await;
 }
 
 impl EvacuationSink {
--- a/crates/heronbend-gateway/src/relayed_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::gateway::Gateway;
 use crate::metrics::Metrics;
-use crate::peers::relayed::{StoreCall, StoreReply};
+use crate::peers::store_messages::{StoreCall, StoreReply};
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Changes, Condition, Listing, Object, ObjectStore, Revision, StoreError};
 
--- a/crates/heronbend-gateway/src/keeper.rs
+++ b/crates/heronbend-gateway/src/keeper.rs
@@ -12,8 +12,8 @@
 use smol::{LocalExecutor, Timer};
 
 use crate::gateway::{Gateway, Identity, Tuning};
-use crate::mirror::{self, MirrorSink, Source};
 use crate::ports::{Condition, Object, ObjectStore, Ports};
+use crate::reflector::{self, MirrorSink, Source};
 use crate::service::StartError;
 
 const GATHERING: Duration = Duration::from_millis(200);
@@ -66,7 +66,7 @@
         let kind = gateway.dialect.kinds().retirements;
         let sink = RetirementSink { gateway: gateway.clone(), open: RefCell::default() };
         executor
-            .spawn(mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, sink))
+            .spawn(reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, sink))
             .detach();
         executor.spawn(log_reloads(reload)).detach();
         stop.wait().await;
--- a/crates/heronbend-gateway/src/lease_keeper.rs
+++ b/crates/heronbend-gateway/src/lease_manager.rs
@@ -7,8 +7,8 @@
 use heronbend::Moment;
 
 use crate::gateway::Gateway;
-use crate::lease_news::LeaseName;
-use crate::lease_news::LeaseNews;
+use crate::lease_state::LeaseName;
+use crate::lease_state::LeaseNews;
 use crate::peers::Hint;
 use crate::ports::Condition;
 use crate::ports::Object;
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //! store, reached through [`ports::ObjectStore`]; how calls and objects are spelled is behind
 //! [`ports::Dialect`]. An adapter implements both and starts [`service::run`].
 //!
-//! - [`duties`], [`lease_keeper`], [`lease_news`]: what one daemon at a time does for all.
+//! - [`duties`], [`lease_manager`], [`lease_state`]: what one daemon at a time does for all.
 //! - [`access`]: on whose behalf a call is made.
 //! - [`calls`], [`forward`], [`stream`], [`exchange`], [`split`]: requests passed on.
 //! - [`directory`], [`places`], [`permits`], [`evacuations`], [`homes`]: what decides where they go.
@@ -16,8 +16,8 @@
 //! - [`batch`]: batch jobs.
 //! - [`versions`]: versions of weights.
 //! - [`peers`]: the daemons among themselves.
-//! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`],
-//!   [`news_way`], [`dissemination`], [`configuration`]:
+//! - [`failover_store`], [`reflector`], [`replica`], [`compressed_update`],
+//!   [`upstream`], [`dissemination`], [`configuration`]:
 //!   the store and what it says.
 //! - [`service`], [`keeper`], [`settings`], [`reload`]: the programs and their settings.
 //! - [`logging`], [`metrics`]: what they tell.
@@ -27,6 +27,7 @@
 pub mod batch;
 pub mod calls;
 pub mod clock;
+pub mod compressed_update;
 pub mod configuration;
 pub mod day;
 pub mod day_plot;
@@ -38,27 +39,25 @@
 pub mod events;
 pub mod exchange;
 pub mod explain;
+pub mod failover_store;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
 pub mod homes;
 pub mod http;
 pub mod keeper;
-pub mod lease_keeper;
-pub mod lease_news;
+pub mod lease_manager;
+pub mod lease_state;
 pub mod logging;
 pub mod memory;
 pub mod metrics;
-pub mod mirror;
-pub mod news_way;
-pub mod packed_news;
 pub mod peers;
 pub mod permits;
 pub mod places;
 pub mod pool;
 pub mod ports;
 pub mod quarantine;
-pub mod relayed_store;
+pub mod reflector;
 pub mod reload;
 pub mod replica;
 pub mod service;
@@ -66,5 +65,6 @@
 pub mod split;
 pub mod steps;
 pub mod stream;
+pub mod upstream;
 pub mod versions;
 pub mod wait;
--- a/crates/heronbend-gateway/src/peers/introduction.rs
+++ b/crates/heronbend-gateway/src/peers/bootstrap.rs
@@ -27,12 +27,12 @@
 use super::Untelling;
 use crate::batch::registry::Job;
 use crate::batch::runner::start_own_jobs;
+use crate::compressed_update;
 use crate::dissemination;
 use crate::gateway::Gateway;
-use crate::mirror::KnownObjects;
-use crate::news_way::Way;
-use crate::packed_news;
 use crate::quarantine::news;
+use crate::reflector::KnownObjects;
+use crate::upstream::Way;
 use crate::wait;
 
 /// Time after the start in which some other daemon has to be heard of.
@@ -237,7 +237,7 @@
     Some(Told { by: peer, knows_objects, knows_jobs })
 }
 
-/// Keeps the objects of a kind until its mirror begins.
+/// Keeps the objects of a kind until its reflector begins.
 fn keep(gateway: &Gateway, state: KindState) {
     let KindState { kind, objects, at } = state;
     let objects = objects.into_iter().map(Rc::new).collect();
@@ -246,7 +246,7 @@
 
 /// The same, where the objects are packed.
 fn keep_packed(gateway: &Gateway, kind: &PackedKind) {
-    match packed_news::unpack(&kind.packed) {
+    match compressed_update::unpack(&kind.packed) {
         Ok(news) => {
             let told = (news.objects, news.at);
             gateway.members.introduction.kinds.borrow_mut().insert(kind.kind.clone(), told);
--- a/crates/heronbend-gateway/src/peers/duty.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -15,10 +15,10 @@
 use smol::net::UdpSocket;
 use smol::Timer;
 
-use super::introduction::Wanted;
+use super::bootstrap::Wanted;
+use super::membership_log::ViewLog;
 use super::messages::{Datagram, Hint, PeerReply, PeerRequest};
-use super::view_log::ViewLog;
-use super::{introduction, store_relay, Command};
+use super::{bootstrap, store_relay, Command};
 use crate::batch::{hand_in, ownership_duty, reading};
 use crate::clock::steady_now;
 use crate::clock::SuspensionWatch;
@@ -313,7 +313,7 @@
         PeerRequest::Introduce { with_objects, takes_packed, without_members } => {
             let members = !without_members;
             let wanted = Wanted { objects: with_objects, takes_packed, members };
-            introduction::answer(&gateway, wanted)
+            bootstrap::answer(&gateway, wanted)
         }
         PeerRequest::ConfirmOwner { job, revision } => {
             ownership_duty::confirm_owner(&gateway, &job, revision)
--- a/crates/heronbend-gateway/src/peers/messages.rs
+++ b/crates/heronbend-gateway/src/peers/messages.rs
@@ -9,12 +9,12 @@
 use heronbend::usage::Window;
 use musli::{Decode, Encode};
 
-use super::relayed::{StoreCall, StoreReply};
+use super::store_messages::{StoreCall, StoreReply};
 use crate::batch::ownership::Ownership;
 use crate::batch::specification::JobSpecification;
 use crate::batch::ItemResult;
 use crate::encoded_object::EncodedObject;
-use crate::lease_news::LeaseName;
+use crate::lease_state::LeaseName;
 use crate::versions::lease::LeaseRecord;
 
 /// A datagram.
@@ -122,7 +122,7 @@
 pub struct PackedKind {
     /// Kind.
     pub kind: String,
-    /// What [`crate::packed_news::pack`] made.
+    /// What [`crate::compressed_update::pack`] made.
     pub packed: Vec<u8>,
 }
 
@@ -214,7 +214,7 @@
     NoNews,
     /// What has changed of the objects of a kind, encoded and compressed.
     News {
-        /// What [`crate::packed_news::pack`] made.
+        /// What [`crate::compressed_update::pack`] made.
         packed: Vec<u8>,
         /// How long ago this was all that the store held, in milliseconds.
         #[musli(default)]
--- a/crates/heronbend-gateway/src/peers/mod.rs
+++ b/crates/heronbend-gateway/src/peers/mod.rs
@@ -3,13 +3,13 @@
 //! Nothing here carries safety. A daemon that hears nobody still serves; the store decides who owns
 //! a job and who may give orders.
 
+pub mod bootstrap;
 pub mod client;
-pub mod duty;
-pub mod introduction;
+pub mod membership;
+pub mod membership_log;
 pub mod messages;
-pub mod relayed;
+pub mod store_messages;
 pub mod store_relay;
-pub mod view_log;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -85,7 +85,7 @@
     commands: Sender<Command>,
     commands_to_do: Receiver<Command>,
     /// What a peer told this daemon when it started.
-    pub introduction: introduction::Introduction,
+    pub introduction: bootstrap::Introduction,
     /// Notified when a member's state has changed.
     pub changed: Event,
     /// Notified when others took this daemon for lost.
@@ -101,7 +101,7 @@
             untold: RefCell::default(),
             commands,
             commands_to_do,
-            introduction: introduction::Introduction::default(),
+            introduction: bootstrap::Introduction::default(),
             changed: Event::new(),
             was_doubted: Event::new(),
         }
--- a/crates/heronbend-gateway/src/peers/store_relay.rs
+++ b/crates/heronbend-gateway/src/peers/store_relay.rs
@@ -3,8 +3,8 @@
 //! The platform may refuse or drop single machines while it serves others. A daemon whose own way
 //! to the store is lost asks a peer, which makes the call itself or says at once that it cannot.
 
-use super::relayed::StoreCall;
-use super::relayed::StoreReply;
+use super::store_messages::StoreCall;
+use super::store_messages::StoreReply;
 use crate::gateway::Gateway;
 use crate::ports::Condition;
 
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -23,13 +23,13 @@
 use super::By;
 use super::Refused;
 use crate::gateway::Gateway;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
 use crate::ports::Condition;
 use crate::ports::Object;
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
+use crate::reflector;
+use crate::reflector::MirrorSink;
+use crate::reflector::Source;
 
 /// Kind of the records.
 pub const KIND: &str = "heronbend-quarantine";
@@ -259,7 +259,7 @@
 /// Follows the records until the daemon ends.
 pub async fn follow(gateway: Rc<Gateway>) {
     let sink = Sink { gateway: gateway.clone(), listed: RefCell::default() };
-    mirror::follow(gateway, KIND, Source::Watchers, GATHERING, sink).await;
+    reflector::follow(gateway, KIND, Source::Watchers, GATHERING, sink).await;
 }
 
 struct Sink {
--- a/crates/heronbend-gateway/src/mirror.rs
+++ b/crates/heronbend-gateway/src/reflector.rs
@@ -12,9 +12,9 @@
 use crate::dissemination;
 use crate::encoded_object::EncodedObject;
 use crate::gateway::Gateway;
-use crate::news_way::Way;
 use crate::ports::{Change, Changes, Object, ObjectStore, Revision, StoreError};
 use crate::replica::Replica;
+use crate::upstream::Way;
 use crate::wait;
 
 /// Longest wait of one watch. A dead path is noticed by probes on the connection and not by this.
@@ -45,7 +45,7 @@
 /// All objects of a kind, with the revision up to which they are known.
 pub type KnownObjects = (Vec<Rc<EncodedObject>>, Revision);
 
-/// Takes in what a mirror learns.
+/// Takes in what a reflector learns.
 pub trait MirrorSink {
     /// All objects of the kind were listed, and those that are not named are gone. The others follow as
     /// changes.
@@ -60,7 +60,7 @@
     fn applied(&self) {}
 }
 
-/// Where a mirror hears of its kind.
+/// Where a reflector hears of its kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// From the store alone.
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -24,13 +24,13 @@
 use crate::gateway::Gateway;
 use crate::http::server::{Listener, ListenerLimits};
 use crate::http::{bytes_answer, text_answer, Answer};
-use crate::lease_keeper::LeaseKeeper;
-use crate::lease_news::LeaseName;
-use crate::mirror::{self, MirrorSink, Source};
+use crate::lease_manager::LeaseKeeper;
+use crate::lease_state::LeaseName;
 use crate::peers;
 use crate::ports::{DialectError, Object, Ports};
 use crate::quarantine;
 use crate::quarantine::evidence;
+use crate::reflector::{self, MirrorSink, Source};
 use crate::reload;
 use crate::versions;
 use crate::wait;
@@ -133,7 +133,7 @@
     {
         let served = gateway.clone();
         listen(gateway, addresses.peers, "peers", move |request| {
-            peers::duty::answer_peer(served.clone(), request)
+            peers::membership::answer_peer(served.clone(), request)
         })?;
     }
     if let Some(address) = addresses.metrics {
@@ -194,7 +194,7 @@
     };
     let others = addresses.seeds.iter().copied().filter(|seed| *seed != address);
     *gateway.seeds.borrow_mut() = others.collect();
-    let membership = peers::duty::run_membership(gateway.clone(), socket.into(), me);
+    let membership = peers::membership::run_membership(gateway.clone(), socket.into(), me);
     gateway.executor.spawn(membership).detach();
     Ok(())
 }
@@ -207,11 +207,12 @@
     let followed = gateway.clone();
     spawn(Box::pin(async move {
         let gathering = followed.tuning().configuration_notice.mul_f64(CONFIGURATION_GATHERING);
-        mirror::follow(followed, configurations, Source::Watchers, gathering, configuration).await;
+        reflector::follow(followed, configurations, Source::Watchers, gathering, configuration)
+            .await;
     }) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
     let directory = DirectorySink::new(gateway.clone());
     let gathering = gateway.tuning().drain_notice.mul_f64(DIRECTORY_GATHERING);
-    spawn(Box::pin(mirror::follow(
+    spawn(Box::pin(reflector::follow(
         gateway.clone(),
         servers,
         Source::Watchers,
@@ -224,8 +225,8 @@
     }
     spawn(Box::pin(quarantine::record::follow(gateway.clone())));
     spawn(Box::pin(quarantine::keep_up(gateway.clone())));
-    spawn(Box::pin(peers::introduction::run(gateway.clone())));
-    spawn(Box::pin(mirror::probe_store(gateway.clone())));
+    spawn(Box::pin(peers::bootstrap::run(gateway.clone())));
+    spawn(Box::pin(reflector::probe_store(gateway.clone())));
     spawn(Box::pin(log_counts(gateway.clone())));
     spawn(Box::pin(ownership_duty::follow(gateway.clone())));
     spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
--- a/crates/heronbend-gateway/src/versions/board.rs
+++ b/crates/heronbend-gateway/src/versions/board.rs
@@ -9,7 +9,7 @@
 use heronbend::identity::NodeName;
 use heronbend::Moment;
 
-use crate::lease_news::LeaseNews;
+use crate::lease_state::LeaseNews;
 
 /// A step that takes longer, with its training, needs more than half of its model's servers.
 const SLOW_STEP: Duration = Duration::from_millis(4200);
--- a/crates/heronbend-gateway/src/versions/named.rs
+++ b/crates/heronbend-gateway/src/versions/named.rs
@@ -13,11 +13,11 @@
 use crate::batch::ownership;
 use crate::batch::registry::Job;
 use crate::gateway::Gateway;
-use crate::lease_news::LeaseName;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
+use crate::lease_state::LeaseName;
 use crate::ports::Object;
+use crate::reflector;
+use crate::reflector::MirrorSink;
+use crate::reflector::Source;
 
 /// Daemons that are ready to take the lease.
 const CANDIDATES: usize = 3;
@@ -77,7 +77,7 @@
             continue;
         }
         let sink = VersionSink(gateway.clone());
-        let follow = mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, sink);
+        let follow = reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, sink);
         let dismissed = async {
             while is_candidate(&gateway) {
                 gateway.members.changed.listen().or(rest()).await;
--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -17,15 +17,15 @@
 use heronbend_gateway::batch::ownership::Ownership;
 use heronbend_gateway::batch::segment::Segment;
 use heronbend_gateway::batch::JobSpecification;
+use heronbend_gateway::compressed_update;
 use heronbend_gateway::encoded_object::EncodedObject;
-use heronbend_gateway::lease_news::LeaseName;
-use heronbend_gateway::packed_news;
+use heronbend_gateway::lease_state::LeaseName;
 use heronbend_gateway::peers::messages::Datagram;
 use heronbend_gateway::peers::messages::JobEntry;
 use heronbend_gateway::peers::messages::KindState;
 use heronbend_gateway::peers::messages::LeaseRenewal;
-use heronbend_gateway::peers::relayed::StoreCall;
-use heronbend_gateway::peers::relayed::StoreReply;
+use heronbend_gateway::peers::store_messages::StoreCall;
+use heronbend_gateway::peers::store_messages::StoreReply;
 use heronbend_gateway::peers::Hint;
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::peers::PeerRequest;
@@ -195,7 +195,7 @@
         let told: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
         assert_eq!(told, reply, "{name}");
     }
-    assert_eq!(packed_news::unpack(&sample("packed_news")).unwrap(), news());
+    assert_eq!(compressed_update::unpack(&sample("compressed_update")).unwrap(), news());
 }
 
 #[test]
--- a/crates/heronbend-gateway/tests/packed_news.rs
+++ b/crates/heronbend-gateway/tests/packed_news.rs
@@ -3,11 +3,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
+use heronbend_gateway::compressed_update::pack;
+use heronbend_gateway::compressed_update::unpack;
+use heronbend_gateway::compressed_update::Span;
+use heronbend_gateway::compressed_update::Texts;
 use heronbend_gateway::encoded_object::EncodedObject;
-use heronbend_gateway::packed_news::pack;
-use heronbend_gateway::packed_news::unpack;
-use heronbend_gateway::packed_news::Span;
-use heronbend_gateway::packed_news::Texts;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::replica::Checking;
 use heronbend_gateway::replica::News;
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -22,9 +22,9 @@
 };
 use heronbend_gateway::batch::{appender, ownership_duty, reading};
 use heronbend_gateway::gateway::Gateway;
-use heronbend_gateway::mirror::{self, MirrorSink, Source};
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::ports::{Object, ObjectStore};
+use heronbend_gateway::reflector::{self, MirrorSink, Source};
 use serde_json::json;
 use smol::LocalExecutor;
 use support::memory_store::{MemoryStore, WatchFault, WriteFault};
@@ -41,7 +41,7 @@
     run(|executor| test(Rc::new(MemoryStore::default()), executor))
 }
 
-/// Names of the objects that a mirror knows.
+/// Names of the objects that a reflector knows.
 #[derive(Clone, Default)]
 struct Names(Rc<RefCell<Vec<String>>>);
 
@@ -73,8 +73,9 @@
     kind: &'static str,
     names: &Names,
 ) {
-    let mirror = mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
-    executor.spawn(mirror).detach();
+    let reflector =
+        reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
+    executor.spawn(reflector).detach();
 }
 
 #[test]
@@ -380,7 +381,7 @@
             store.fail_watches(&[WatchFault::Deaf]);
             let names = Names::default();
             follow(&executor, &gateway, KIND, &names);
-            executor.spawn(mirror::probe_store(gateway.clone())).detach();
+            executor.spawn(reflector::probe_store(gateway.clone())).detach();
             smol::Timer::after(Duration::from_millis(30)).await;
             store.set_down(true);
             let calls = store.calls.get();
--- a/crates/heronbend-gateway/tests/view_log.rs
+++ b/crates/heronbend-gateway/tests/view_log.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use heronbend::membership::Liveness;
-use heronbend_gateway::peers::view_log::ViewLog;
+use heronbend_gateway::peers::membership_log::ViewLog;
 use support::member;
 use support::node;
 
