--- a/crates/heronbend-gateway/src/batch/adoption.rs
+++ b/crates/heronbend-gateway/src/batch/adoption.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::peers::Standing;
+use crate::peers::PeerStatus;
 
 /// Time that each daemon in line for a lost daemon's job is given before the next one takes it over.
 const LINE_WAIT: Duration = Duration::from_millis(800);
@@ -50,12 +50,12 @@
 /// Why the daemon at a place in line, counted from 0, takes a job over whose owner has been lost to it
 /// for so long, if it is its turn. Those behind the first wait for it: it may not know the job yet, or
 /// may be cut off from the store without the others knowing.
-pub fn reason(owner: Standing, lost_for: Duration, place: usize) -> Option<Reason> {
+pub fn reason(owner: PeerStatus, lost_for: Duration, place: usize) -> Option<Reason> {
     let (reason, wait) = match owner {
-        Standing::Alive => return None,
-        Standing::Silent => (Reason::Silent, Duration::ZERO),
-        Standing::Ended => (Reason::Ended, Duration::ZERO),
-        Standing::Unknown => (Reason::Unknown, UNKNOWN_WAIT),
+        PeerStatus::Alive => return None,
+        PeerStatus::Unreachable => (Reason::Silent, Duration::ZERO),
+        PeerStatus::Terminated => (Reason::Ended, Duration::ZERO),
+        PeerStatus::Unknown => (Reason::Unknown, UNKNOWN_WAIT),
     };
     let turn = LINE_WAIT.saturating_mul(u32::try_from(place).unwrap_or(u32::MAX));
     (lost_for >= wait.saturating_add(turn)).then_some(reason)
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -220,7 +220,7 @@
     is_local: bool,
 ) -> PeerReply {
     // For a job that was handed in at this daemon itself there is nobody to refuse to.
-    let is_fit = !gateway.draining.get() && gateway.store.is_reached();
+    let is_fit = !gateway.draining.get() && gateway.store.is_reachable();
     if ownership.owner != gateway.identity.node || !(is_fit || is_local) {
         return PeerReply::NotOwner;
     }
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -494,7 +494,7 @@
             *self.text.borrow_mut() = ItemText::default();
         }
         if outcome.is_ok() {
-            exchange.keep();
+            exchange.return_to_pool();
         }
         outcome
     }
--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -22,10 +22,10 @@
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::homes;
-use crate::peers::{bootstrap, client, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
+use crate::peers::{bootstrap, client, Hint, PeerReply, PeerRequest, PeerStatus, MEMBERSHIP_GRACE};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
 use crate::reflector::{list_all, wait_for_store};
-use crate::upstream::Way;
+use crate::upstream::Upstream;
 use crate::wait;
 
 /// Time between two looks for jobs without a living owner.
@@ -50,7 +50,7 @@
 
 /// Learns the ownerships whenever hints may have been missed.
 pub async fn follow(gateway: Rc<Gateway>) {
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     let mut failures = 0;
     let mut is_asked = false;
     loop {
@@ -85,16 +85,18 @@
 /// store otherwise, and where they are wanted because a daemon was lost.
 async fn learn_ownerships(gateway: &Rc<Gateway>, from_store: bool) -> Result<(), StoreError> {
     if !from_store {
-        match dissemination::way(gateway) {
-            Way::Store => {}
-            Way::Watchers(watchers) => {
+        match dissemination::select_upstream(gateway) {
+            Upstream::Store => {}
+            Upstream::Peers(watchers) => {
                 for watcher in watchers {
-                    if bootstrap::learn_jobs_of(gateway, &watcher).await {
+                    if bootstrap::fetch_jobs_from(gateway, &watcher).await {
                         return Ok(());
                     }
                 }
             }
-            Way::Outage => return Err(StoreError::NotDone("those that watch hear nothing".into())),
+            Upstream::Unavailable => {
+                return Err(StoreError::NotDone("those that watch hear nothing".into()))
+            }
         }
     }
     let (objects, _) = list_all(gateway, OWNERSHIPS).await?;
@@ -133,7 +135,7 @@
 /// Tells the other daemons of an ownership that was written.
 pub fn tell(gateway: &Gateway, job: &str, ownership: &Ownership, revision: Revision, is_new: bool) {
     let (job, ownership) = (job.to_owned(), ownership.clone());
-    gateway.members.tell_all(Hint::JobOwned { job, ownership, revision, is_new });
+    gateway.members.broadcast(Hint::JobOwned { job, ownership, revision, is_new });
 }
 
 /// Takes in what another daemon tells of an ownership.
@@ -164,7 +166,7 @@
 pub async fn watch_for_end(gateway: &Rc<Gateway>, job: &Job) {
     loop {
         // Who was taken for lost may have been replaced.
-        wait::at_most(OWN_LOOK, gateway.members.was_doubted.listen()).await;
+        wait::at_most(OWN_LOOK, gateway.members.suspicion_refuted.listen()).await;
         let asked = gateway.now();
         if let Ok(Some(object)) = gateway.store.get(OWNERSHIPS, &job.id).await {
             gateway.jobs.learn_object(&object);
@@ -180,7 +182,7 @@
 
 /// Looks for jobs whose owner is lost, and takes over those that fall to this daemon.
 pub async fn adopt_orphans(gateway: Rc<Gateway>) {
-    Timer::after(INTRODUCTION).await;
+    Timer::after(MEMBERSHIP_GRACE).await;
     loop {
         for job in gateway.jobs.all() {
             let Some(reason) = reason_to_adopt(&gateway, &job) else {
@@ -201,8 +203,8 @@
 fn reason_to_adopt(gateway: &Gateway, job: &Job) -> Option<Reason> {
     let (owner, me) = (job.owner(), &gateway.identity.node);
     let is_open = !job.ended.get() && !job.is_complete();
-    let standing = gateway.members.standing(&owner);
-    if !is_open || owner == *me || standing == Standing::Alive {
+    let standing = gateway.members.status_of(&owner);
+    if !is_open || owner == *me || standing == PeerStatus::Alive {
         job.orphaned_since.set(None);
         return None;
     }
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -15,7 +15,7 @@
 use crate::forward::{forward, Allowance, ForwardError};
 use crate::gateway::Gateway;
 use crate::homes;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 
 /// Servers that one round of a call may be sent to.
 const ATTEMPTS_A_ROUND: u32 = 2;
@@ -75,7 +75,7 @@
 }
 
 /// Rest before the next round: longer where the call is kept from servers.
-fn rest(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
+fn rest(answer: &Result<FullResponse, ForwardError>) -> Duration {
     match answer {
         Err(ForwardError::Quarantined(refused)) => refused.retry_after.clamp(REST, HELD_REST),
         _ => REST,
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -24,9 +24,9 @@
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::homes;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 use crate::http::server::{read_body, BodyError, BodyLimits};
-use crate::http::{bytes_answer, text_answer, Answer, AnswerBody};
+use crate::http::{bytes_response, text_response, HttpResponse, ResponseBody};
 use crate::memory::Hold;
 use crate::ports::Call;
 use crate::quarantine::Refused;
@@ -38,7 +38,7 @@
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Answers a call.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
+pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> HttpResponse {
     let arrived = gateway.now();
     let (head, body) = request.into_parts();
     let id = headers::text(&head.headers, &gateway.dialect.headers().request_id);
@@ -47,7 +47,7 @@
     let (name, mut answer) = match call {
         Call::Forward => answer_by_route(&gateway, &id, head, body, arrived).await,
         Call::Malformed(problem) => {
-            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, problem))
+            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, problem))
         }
         call => answer_job_call(&gateway, call, &head, arrived).await,
     };
@@ -68,7 +68,7 @@
     call: Call,
     head: &Parts,
     arrived: Moment,
-) -> (String, Answer) {
+) -> (String, HttpResponse) {
     let Some(configuration) = gateway.configuration() else {
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
@@ -101,7 +101,7 @@
             ("end_job".to_owned(), end_answer(ended))
         }
         Call::Forward | Call::Malformed(_) => {
-            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, "not a call of a job"))
+            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, "not a call of a job"))
         }
     }
 }
@@ -112,7 +112,7 @@
     head: Parts,
     body: Incoming,
     arrived: Moment,
-) -> (String, Answer) {
+) -> (String, HttpResponse) {
     let Some(configuration) = gateway.configuration() else {
         log::warn!("event=refused id={id} reason=\"no configuration yet\"");
         return ("unknown".to_owned(), not_run("no configuration yet"));
@@ -127,7 +127,7 @@
             head.uri.path(),
             configuration.version
         );
-        return ("none".to_owned(), text_answer(StatusCode::NOT_FOUND, "no such route"));
+        return ("none".to_owned(), text_response(StatusCode::NOT_FOUND, "no such route"));
     };
     let name = route.name.clone();
     let identified = route_caller(gateway, &configuration, &route, &head);
@@ -192,7 +192,7 @@
 }
 
 /// The answer to a call that is denied; `id` and `place` tell which it was.
-fn deny(gateway: &Gateway, denial: Denial, id: &str, place: &str) -> Answer {
+fn deny(gateway: &Gateway, denial: Denial, id: &str, place: &str) -> HttpResponse {
     match denial {
         Denial::Closed => refuse_closed(gateway, id),
         Denial::Behind => refuse_behind(gateway, id),
@@ -207,7 +207,7 @@
 }
 
 /// Refuses what a newer configuration, of which a peer has told, may allow.
-fn refuse_behind(gateway: &Gateway, id: &str) -> Answer {
+fn refuse_behind(gateway: &Gateway, id: &str) -> HttpResponse {
     log::info!(
         "event=refused id={id} reason=\"the configuration is behind\" version={} peer_version={}",
         gateway.configuration_version(),
@@ -217,7 +217,7 @@
 }
 
 /// Refuses a caller whose key may have been taken away unheard.
-fn refuse_closed(gateway: &Gateway, id: &str) -> Answer {
+fn refuse_closed(gateway: &Gateway, id: &str) -> HttpResponse {
     log::info!(
         "event=refused id={id} reason=\"no news of keys\" configuration={} age_ms={}",
         gateway.configuration_version(),
@@ -255,7 +255,7 @@
     request: Accepted,
     route: &Route,
     configuration: &Configuration,
-) -> Answer {
+) -> HttpResponse {
     let Accepted { head, body, hold, caller, arrived } = request;
     let service = gateway.splitter.borrow_mut().next(route).map(str::to_owned);
     let Some(service) = service else {
@@ -297,7 +297,7 @@
         Ok(answer) => server_answer(answer, route),
         Err(ForwardError::NotRun(refusal)) => unplaced(gateway, &refusal),
         Err(ForwardError::Quarantined(refused)) => quarantined(refused),
-        Err(error) => text_answer(error.status(), "no answer of a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
@@ -314,7 +314,7 @@
     outgoing: Outgoing,
     allowance: Allowance,
     route: &Route,
-) -> Answer {
+) -> HttpResponse {
     let (id, begun) = (outgoing.id.clone(), gateway.now());
     let opened = stream::open(gateway, service, outgoing, allowance, route.resumable).await;
     let outcome = match &opened {
@@ -329,7 +329,7 @@
     );
     match opened {
         Ok(Opened::Events { status, headers, body }) => {
-            let mut answer = Answer::new(body);
+            let mut answer = HttpResponse::new(body);
             *answer.status_mut() = status;
             *answer.headers_mut() = headers;
             answer
@@ -337,13 +337,13 @@
         Ok(Opened::Whole(answer)) => server_answer(answer, route),
         Err(ForwardError::NotRun(refusal)) => unplaced(gateway, &refusal),
         Err(ForwardError::Quarantined(refused)) => quarantined(refused),
-        Err(error) => text_answer(error.status(), "no answer of a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
 /// A server's answer as it is passed on. A status that promises that nothing has run is passed on
 /// only where that does not matter.
-fn server_answer(answer: WholeAnswer, route: &Route) -> Answer {
+fn server_answer(answer: FullResponse, route: &Route) -> HttpResponse {
     let promises = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
@@ -351,53 +351,53 @@
         StatusCode::SERVICE_UNAVAILABLE,
     ];
     if !route.is_repeatable() && promises.contains(&answer.status) {
-        return text_answer(StatusCode::BAD_GATEWAY, "the outcome is unknown");
+        return text_response(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
-    let mut passed = Answer::new(AnswerBody::whole(answer.body));
+    let mut passed = HttpResponse::new(ResponseBody::full(answer.body));
     *passed.status_mut() = answer.status;
     *passed.headers_mut() = headers::passed_on(&answer.headers);
     passed
 }
 
 /// The answer to a request whose body was not read whole; nothing of it has run.
-fn body_refusal(error: &BodyError) -> Answer {
+fn body_refusal(error: &BodyError) -> HttpResponse {
     match error {
         BodyError::TooLarge(_) => {
-            text_answer(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
+            text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
         }
-        BodyError::NoRoom => not_run("no memory for the body"),
-        BodyError::Slow => text_answer(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
-        BodyError::Cut(_) => text_answer(StatusCode::BAD_REQUEST, "the body was cut"),
+        BodyError::OutOfMemory => not_run("no memory for the body"),
+        BodyError::Timeout => text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+        BodyError::Aborted(_) => text_response(StatusCode::BAD_REQUEST, "the body was cut"),
     }
 }
 
 /// The answer to a call that needs a key which it does not present; it has not run.
-fn unauthorized(refusal: Refusal) -> Answer {
-    let mut answer = text_answer(StatusCode::UNAUTHORIZED, refusal.text());
+fn unauthorized(refusal: Refusal) -> HttpResponse {
+    let mut answer = text_response(StatusCode::UNAUTHORIZED, refusal.text());
     let scheme = http::HeaderValue::from_static("Bearer");
     answer.headers_mut().insert(http::header::WWW_AUTHENTICATE, scheme);
     answer
 }
 
 /// The answer to a request that has not run and never will.
-fn not_run(reason: &'static str) -> Answer {
+fn not_run(reason: &'static str) -> HttpResponse {
     not_run_until(reason, DEFAULT_RETRY_AFTER)
 }
 
-fn not_run_until(reason: &'static str, come_back: Duration) -> Answer {
-    let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
+fn not_run_until(reason: &'static str, come_back: Duration) -> HttpResponse {
+    let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, reason);
     answer.headers_mut().insert(http::header::RETRY_AFTER, retry_after(come_back));
     answer
 }
 
 /// The answer to a request that no server could be sent.
-fn unplaced(gateway: &Gateway, refusal: &Unplaced) -> Answer {
+fn unplaced(gateway: &Gateway, refusal: &Unplaced) -> HttpResponse {
     gateway.metrics.unplaced(refusal.reason);
     not_run_until("no server took it", refusal.retry_after)
 }
 
 /// The answer to a request that is kept from servers since others like it ended theirs.
-fn quarantined(refused: Refused) -> Answer {
+fn quarantined(refused: Refused) -> HttpResponse {
     not_run_until("requests like this one ended the servers that ran them", refused.retry_after)
 }
 
@@ -408,12 +408,12 @@
     head: &Parts,
     body: &[u8],
     arrived: Moment,
-) -> Answer {
+) -> HttpResponse {
     let mut specification = match gateway.dialect.job(id, body) {
         Ok(specification) => specification,
         Err(error) => {
             log::warn!("event=job_malformed job={id} error=\"{error}\"");
-            return text_answer(StatusCode::BAD_REQUEST, "the batch job is malformed");
+            return text_response(StatusCode::BAD_REQUEST, "the batch job is malformed");
         }
     };
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
@@ -435,9 +435,9 @@
         gateway.now().saturating_sub(arrived).as_millis()
     );
     match taken {
-        Ok(()) => text_answer(StatusCode::ACCEPTED, "accepted"),
+        Ok(()) => text_response(StatusCode::ACCEPTED, "accepted"),
         Err(HandInError::NotTaken) => not_run("not taken"),
-        Err(error) => text_answer(error.status(), "not accepted"),
+        Err(error) => text_response(error.status(), "not accepted"),
     }
 }
 
@@ -446,10 +446,10 @@
     job: &str,
     from: usize,
     page: Result<crate::batch::ResultsPage, ReadError>,
-) -> Answer {
+) -> HttpResponse {
     match page {
         Ok(page) => {
-            bytes_answer(StatusCode::OK, "application/json", gateway.dialect.results(&page))
+            bytes_response(StatusCode::OK, "application/json", gateway.dialect.results(&page))
         }
         Err(error) => {
             log::info!("event=results_refused job={job} from={from} reason={error:?}");
@@ -458,9 +458,9 @@
     }
 }
 
-fn item_answer(job: &str, item: &str, body: Result<Bytes, ReadError>) -> Answer {
+fn item_answer(job: &str, item: &str, body: Result<Bytes, ReadError>) -> HttpResponse {
     match body {
-        Ok(body) => bytes_answer(StatusCode::OK, "application/octet-stream", body),
+        Ok(body) => bytes_response(StatusCode::OK, "application/octet-stream", body),
         Err(error) => {
             log::info!("event=item_refused job={job} item={item} reason={error:?}");
             read_error(error)
@@ -468,17 +468,17 @@
     }
 }
 
-fn read_error(error: ReadError) -> Answer {
+fn read_error(error: ReadError) -> HttpResponse {
     match error {
-        ReadError::NotFound => text_answer(StatusCode::NOT_FOUND, "there is no such thing"),
+        ReadError::NotFound => text_response(StatusCode::NOT_FOUND, "there is no such thing"),
         ReadError::Unavailable => not_run("it cannot be told now"),
     }
 }
 
-fn end_answer(ended: Result<(), EndError>) -> Answer {
+fn end_answer(ended: Result<(), EndError>) -> HttpResponse {
     match ended {
-        Ok(()) => text_answer(StatusCode::OK, "ended"),
-        Err(EndError::NoSuchJob) => text_answer(StatusCode::NOT_FOUND, "there is no such job"),
+        Ok(()) => text_response(StatusCode::OK, "ended"),
+        Err(EndError::NoSuchJob) => text_response(StatusCode::NOT_FOUND, "there is no such job"),
         Err(EndError::Unavailable) => not_run("the end could not be recorded"),
     }
 }
--- a/crates/heronbend-gateway/src/compressed_update.rs
+++ b/crates/heronbend-gateway/src/compressed_update.rs
@@ -1,8 +1,6 @@
-//! News of a kind as it travels to followers: encoded and compressed once for all that ask from the
-//! same revision.
+//! Encoded and compressed updates of a kind, as they are sent to peers.
 //!
-//! Entries of servers differ in few bytes. A tenth of the bytes is left of a batch of them, and a
-//! watcher that tells a hundred followers of a change makes the text once.
+//! An update is compressed once for all followers that request it from the same revision.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,17 +17,16 @@
 
 use crate::encoded_object::EncodedObject;
 use crate::ports::Revision;
-use crate::replica::Checking;
 use crate::replica::Digest;
-use crate::replica::News;
+use crate::replica::Update;
+use crate::replica::Verification;
 
-/// Largest news in bytes before it is compressed; bounds what a malformed one may take.
+/// Largest update in bytes before compression; bounds the memory that a malformed one may take.
 const MAX_BYTES: u64 = 64 * 1024 * 1024;
-/// Texts that are kept for other followers of the same kind: those between the slowest and the
-/// fastest of them.
-const KEPT_TEXTS: usize = 4;
+/// Compressed updates that are cached per kind, for followers at different revisions.
+const MAX_CACHED_PER_KIND: usize = 4;
 
-/// What is encoded.
+/// Wire form of an [`Update`].
 #[derive(Debug, Encode, Decode)]
 struct Content {
     is_whole: bool,
@@ -40,25 +37,25 @@
     digest: Option<Digest>,
 }
 
-/// News that cannot be understood.
+/// Why an update could not be decoded.
 #[derive(Debug, Error)]
-pub enum UnpackError {
-    /// It is not compressed as agreed, or too large.
+pub enum DecodeError {
+    /// The compressed data is malformed, or too large.
     #[error("decompressing: {0}")]
     Decompress(#[from] std::io::Error),
-    /// It is not encoded as agreed.
+    /// The decompressed data is malformed.
     #[error("decoding: {0}")]
     Decode(String),
 }
 
-/// Encodes and compresses news.
-pub fn pack(news: &News) -> std::io::Result<Vec<u8>> {
+/// Encodes and compresses an update.
+pub fn encode(update: &Update) -> std::io::Result<Vec<u8>> {
     let content = Content {
-        is_whole: news.is_whole,
-        objects: news.objects.clone(),
-        removed: news.removed.clone(),
-        at: news.at,
-        digest: news.digest,
+        is_whole: update.is_snapshot,
+        objects: update.objects.clone(),
+        removed: update.removed.clone(),
+        at: update.at,
+        digest: update.digest,
     };
     let bytes = musli::wire::to_vec(&content)
         .map_err(|error| std::io::Error::other(format!("encoding: {error}")))?;
@@ -67,14 +64,14 @@
     encoder.finish()
 }
 
-/// What [`pack`] made.
-pub fn unpack(packed: &[u8]) -> Result<News, UnpackError> {
+/// Decompresses and decodes the result of [`encode`].
+pub fn decode(compressed: &[u8]) -> Result<Update, DecodeError> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(MAX_BYTES).read_to_end(&mut bytes)?;
+    DeflateDecoder::new(compressed).take(MAX_BYTES).read_to_end(&mut bytes)?;
     let content: Content =
-        musli::wire::from_slice(&bytes).map_err(|error| UnpackError::Decode(error.to_string()))?;
-    Ok(News {
-        is_whole: content.is_whole,
+        musli::wire::from_slice(&bytes).map_err(|error| DecodeError::Decode(error.to_string()))?;
+    Ok(Update {
+        is_snapshot: content.is_whole,
         objects: content.objects,
         removed: content.removed,
         at: content.at,
@@ -82,47 +79,51 @@
     })
 }
 
-/// What a text tells.
+/// Identifies a compressed update of a kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
-    /// The revision that those who are told know.
+pub struct CacheKey {
+    /// Revision of the followers that it is for.
     pub since: Revision,
-    /// The revision up to which it goes.
+    /// Revision of the replica after the update.
     pub at: Revision,
-    /// Whether they check what they are told.
-    pub checking: Checking,
+    /// How these followers verify the update.
+    pub verification: Verification,
 }
 
-struct Text {
-    span: Span,
-    packed: Rc<[u8]>,
+struct CachedUpdate {
+    key: CacheKey,
+    compressed: Rc<[u8]>,
 }
 
-/// Texts that were made a moment ago, by kind.
+/// Cache of recently compressed updates, by kind.
 #[derive(Default)]
-pub struct Texts {
-    kinds: RefCell<HashMap<&'static str, Vec<Text>>>,
+pub struct UpdateCache {
+    kinds: RefCell<HashMap<&'static str, Vec<CachedUpdate>>>,
 }
 
-impl Texts {
-    /// The text of a kind's news; made by `pack` unless it is known.
+impl UpdateCache {
+    /// Returns the cached update of a kind, or calls `encode` to create it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `encode` does.
     pub fn get(
         &self,
         kind: &'static str,
-        span: Span,
-        pack: impl FnOnce() -> std::io::Result<Vec<u8>>,
+        key: CacheKey,
+        encode: impl FnOnce() -> std::io::Result<Vec<u8>>,
     ) -> std::io::Result<Rc<[u8]>> {
         let mut kinds = self.kinds.borrow_mut();
-        let texts = kinds.entry(kind).or_default();
-        if let Some(text) = texts.iter().find(|text| text.span == span) {
-            return Ok(text.packed.clone());
+        let cached = kinds.entry(kind).or_default();
+        if let Some(entry) = cached.iter().find(|entry| entry.key == key) {
+            return Ok(entry.compressed.clone());
         }
-        let packed: Rc<[u8]> = pack()?.into();
-        texts.retain(|text| text.span.at == span.at);
-        if texts.len() >= KEPT_TEXTS {
-            texts.remove(0);
+        let compressed: Rc<[u8]> = encode()?.into();
+        cached.retain(|entry| entry.key.at == key.at);
+        if cached.len() >= MAX_CACHED_PER_KIND {
+            cached.remove(0);
         }
-        texts.push(Text { span, packed: packed.clone() });
-        Ok(packed)
+        cached.push(CachedUpdate { key, compressed: compressed.clone() });
+        Ok(compressed)
     }
 }
--- a/crates/heronbend-gateway/src/dissemination.rs
+++ b/crates/heronbend-gateway/src/dissemination.rs
@@ -1,19 +1,17 @@
-//! News of the store by way of peers.
+//! Distributes the contents of the store to all daemons through a tree of peers.
 //!
-//! Each daemon has to know the servers and the configuration; a watch at each of them costs a call
-//! for each daemon and change. So a few daemons of each zone watch the store, and the others follow
-//! them, or others that follow them, by the tree of [`heronbend::overlay`]: calls that are held until
-//! there is news, and whose regular ends are the heartbeat. A daemon that none of these answers watches
-//! for itself. So does every daemon of a small zone. A daemon that the store refuses follows those that
-//! watch, of other zones as well. Where these say that they hear nothing from the store, the others wait
-//! instead of asking it as well.
+//! Watching the store from every daemon would cost one call per daemon and change. Instead, the roots of
+//! each zone's tree (see [`heronbend::overlay`]) watch the store, and the other daemons follow their
+//! parents by long polls, which double as heartbeats. A daemon watches the store itself if it is a root or
+//! none of its upstream peers answers; in a small zone, every daemon is a root. A daemon that cannot reach
+//! the store follows roots, of other zones as well. While the roots report that they cannot reach the
+//! store, the other daemons wait instead of calling it.
 //!
-//! Every answer says how old the news is at its source, and each step adds the time since. A daemon whose
-//! news has grown old tells nothing, so that two that follow each other in a moment of differing views
-//! believe each other for no longer than that.
+//! Every reply carries the age of the data at its source, which accumulates over the hops. A daemon whose
+//! data is too old sends no updates, which bounds how long two daemons with differing views of the tree
+//! can follow each other.
 //!
-//! What a follower knows never runs backward: each piece of news says up to which revision of the
-//! store it goes, and is taken in only if that is later than what is known.
+//! Revisions only move forward: an update is applied only if its revision is newer than the known one.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -28,237 +26,234 @@
 use rapidhash::v3::rapidhash_v3;
 
 use crate::compressed_update;
-use crate::compressed_update::Span;
+use crate::compressed_update::CacheKey;
 use crate::encoded_object::EncodedObject;
 use crate::gateway::Gateway;
 use crate::peers::client;
-use crate::peers::messages::KindState;
-use crate::peers::messages::PackedKind;
+use crate::peers::messages::CompressedSnapshot;
+use crate::peers::messages::KindSnapshot;
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
-use crate::peers::Untelling;
+use crate::peers::UpstreamFailure;
 use crate::ports::Changes;
 use crate::ports::Revision;
-use crate::replica::Checking;
-use crate::replica::News;
 use crate::replica::Replica;
-use crate::upstream::Way;
+use crate::replica::Update;
+use crate::replica::Verification;
+use crate::upstream::Upstream;
 use crate::wait;
 
-/// Daemons that a daemon follows at most.
-const UPSTREAMS: usize = 3;
-/// Longest time that a watcher holds a call without news.
-const HOLD: Duration = Duration::from_millis(500);
-/// Longest time for a whole state: some thirty that start together share the link of the one that tells
-/// them, 60 Mbit/s at the least, and that of ten thousand servers is some half of a megabyte.
-const WHOLE_LIMIT: Duration = Duration::from_millis(2500);
-/// Time after which a watcher that failed is followed again.
-const FAILED_REST: Duration = Duration::from_millis(1500);
-/// A watcher that has not heard from the store for so long tells nothing: it may have missed news.
-const FRESHNESS: Duration = Duration::from_millis(1800);
-/// The same is longer by this for each daemon that the news passed: the time for which a call is held,
-/// and a tenth of a second on the way.
-const FRESHNESS_A_STEP: Duration = Duration::from_millis(600);
-/// Time that a whole state takes from one daemon of the tree to the next one: to list or to receive it,
-/// and to take it in. For thousands of servers that is some half of a second of an eighth of a core.
-const STEP_TIME: Duration = Duration::from_millis(600);
-/// Time after which a watcher that has not heard from the store is asked again.
-const UNINFORMED_REST: Duration = Duration::from_millis(400);
-/// Time that watchers are given to hear from a store that answers others again.
-const WATCHERS_FIRST: Duration = Duration::from_millis(400);
+/// Maximum number of peers that a daemon follows.
+const MAX_UPSTREAM_PEERS: usize = 3;
+/// Longest time for which a long poll is held without an update.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a call for a snapshot, which may share the sender's link with many others.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Backoff before a peer that did not respond is followed again.
+const NO_RESPONSE_BACKOFF: Duration = Duration::from_millis(1500);
+/// Maximum age of data that a root sends: after this time without a response from the store, it may have
+/// missed changes.
+const MAX_AGE: Duration = Duration::from_millis(1800);
+/// Added to [`MAX_AGE`] for each hop: the poll timeout and the network latency.
+const MAX_AGE_PER_HOP: Duration = Duration::from_millis(600);
+/// Time that a snapshot takes for one hop of the tree, including its processing.
+const SNAPSHOT_HOP_TIME: Duration = Duration::from_millis(600);
+/// Backoff before a peer that had only stale data is followed again.
+const STALE_BACKOFF: Duration = Duration::from_millis(400);
+/// Time per hop that the roots are given to recover after the store has become reachable again.
+const ROOT_RECOVERY_TIME: Duration = Duration::from_millis(400);
 
-/// A wait for news.
-type Listening<'a> = Pin<Box<dyn Future<Output = Option<News>> + 'a>>;
+/// A pending request for an update.
+type PendingUpdate<'a> = Pin<Box<dyn Future<Output = Option<Update>> + 'a>>;
 
-/// How long ago the news of a kind that a daemon was told was at its source, and when it was told.
+/// Age of the last update of a kind at its source, and when it was received.
 #[derive(Debug, Clone, Copy)]
-pub struct Telling {
+pub struct UpdateAge {
     at: Moment,
     age: Duration,
 }
 
-/// By which way this daemon hears of the store now.
+/// Selects where this daemon receives the contents of the store from now.
 ///
-/// Its parents in the tree of its zone come first, then the roots of that tree, then those of other
-/// zones. A daemon that none of them tells anything goes by itself.
-pub fn way(gateway: &Gateway) -> Way {
-    let me = &gateway.identity;
+/// Prefers its parents in the tree of its zone, then the roots of that tree, then those of other zones.
+/// Falls back to the store if all of them failed recently.
+pub fn select_upstream(gateway: &Gateway) -> Upstream {
+    let this_node = &gateway.identity;
     let tree = gateway.tree();
-    let is_served = gateway.store.is_reached();
-    if is_served && tree.is_root(&me.node) {
-        return Way::Store;
+    let is_store_reachable = gateway.store.is_reachable();
+    if is_store_reachable && tree.is_root(&this_node.node) {
+        return Upstream::Store;
     }
     let now = gateway.now();
     let is_usable =
-        |node: &NodeId| *node != me.node && !gateway.members.has_failed_to_tell(now, node);
+        |node: &NodeId| *node != this_node.node && !gateway.members.is_upstream_failed(now, node);
     let usable = |nodes: &[NodeId]| -> Vec<NodeId> {
         nodes.iter().filter(|node| is_usable(node)).cloned().collect()
     };
-    let mut line = usable(tree.parents(&me.node));
-    if line.is_empty() {
-        line = usable(tree.roots());
+    let mut candidates = usable(tree.parents(&this_node.node));
+    if candidates.is_empty() {
+        candidates = usable(tree.roots());
     }
-    if line.is_empty() || !is_served {
-        let zones = gateway.members.zones().into_iter().filter(|zone| *zone != me.zone);
+    if candidates.is_empty() || !is_store_reachable {
+        let zones = gateway.members.zones().into_iter().filter(|zone| *zone != this_node.zone);
         let first = |zone: String| gateway.tree_of(&zone).roots().first().cloned();
-        line.extend(zones.filter_map(first).filter(is_usable));
+        candidates.extend(zones.filter_map(first).filter(is_usable));
     }
-    line.truncate(UPSTREAMS);
-    if !line.is_empty() {
-        return Way::Watchers(line);
+    candidates.truncate(MAX_UPSTREAM_PEERS);
+    if !candidates.is_empty() {
+        return Upstream::Peers(candidates);
     }
-    if gateway.members.is_outage_told(now) && !hears_by_itself(gateway) {
-        return Way::Outage;
+    if gateway.members.is_outage_reported(now) && !has_store_recovered(gateway) {
+        return Upstream::Unavailable;
     }
-    if now < gateway.told_last.get() + patience(&tree, &me.node) {
-        return Way::Outage;
+    if now < gateway.told_last.get() + initial_wait(&tree, &this_node.node) {
+        return Upstream::Unavailable;
     }
-    Way::Store
+    Upstream::Store
 }
 
-/// How long a daemon that nobody tells anything waits before it asks the store: news that takes several
-/// steps to a daemon is on its way meanwhile. Nobody waits where the roots tell all others.
-fn patience(tree: &Tree, me: &NodeId) -> Duration {
+/// How long a daemon without a usable upstream waits for an update, which may take several hops, before it
+/// calls the store. Zero if the roots serve all other daemons directly.
+fn initial_wait(tree: &Tree, node: &NodeId) -> Duration {
     if tree.height() < 2 {
         return Duration::ZERO;
     }
-    STEP_TIME * (tree.depth(me) + 1)
+    SNAPSHOT_HOP_TIME * (tree.depth(node) + 1)
 }
 
-/// Whether the store has answered this daemon's own probes for a moment: those that watch it for
-/// others hear of it again meanwhile, unless it refuses them alone.
-fn hears_by_itself(gateway: &Gateway) -> bool {
-    let is_heard = gateway.store.silent_for() < FRESHNESS;
-    let steps = gateway.tree().depth(&gateway.identity.node).max(1);
-    is_heard && gateway.now() >= gateway.store_reached_since.get() + WATCHERS_FIRST * steps
+/// Whether the store has responded to this daemon for long enough that the roots should have recovered as
+/// well, unless the store rejects only them.
+fn has_store_recovered(gateway: &Gateway) -> bool {
+    let is_responding = gateway.store.since_last_response() < MAX_AGE;
+    let hops = gateway.tree().depth(&gateway.identity.node).max(1);
+    is_responding && gateway.now() >= gateway.store_reached_since.get() + ROOT_RECOVERY_TIME * hops
 }
 
-/// Whether this daemon is one of those that watch the store.
-pub fn is_watcher(gateway: &Gateway) -> bool {
+/// Whether this daemon is a root of its zone's tree, and so watches the store.
+pub fn is_tree_root(gateway: &Gateway) -> bool {
     gateway.tree().is_root(&gateway.identity.node)
 }
 
-/// The kinds of which this daemon may tell another one all that it knows.
-pub fn known_kinds(gateway: &Gateway) -> Vec<&'static str> {
+/// The kinds of which this daemon has data that is fresh enough to be sent to peers.
+pub fn servable_kinds(gateway: &Gateway) -> Vec<&'static str> {
     let kinds: Vec<&'static str> = gateway.replicas.borrow().keys().copied().collect();
-    kinds.into_iter().filter(|kind| fresh_age(gateway, kind).is_some()).collect()
+    kinds.into_iter().filter(|kind| servable_age(gateway, kind).is_some()).collect()
 }
 
-/// Bytes of all objects of some kinds that are known here, before they are packed.
-pub fn bytes(gateway: &Gateway, kinds: &[&'static str]) -> usize {
+/// Total size of all objects of some kinds in bytes, before compression.
+pub fn uncompressed_bytes(gateway: &Gateway, kinds: &[&'static str]) -> usize {
     let replicas = gateway.replicas.borrow();
     kinds.iter().filter_map(|kind| replicas.get(kind)).map(Replica::bytes).sum()
 }
 
-/// All objects of some kinds that are known here, packed, for a daemon that starts.
-pub fn packed_states(gateway: &Gateway, kinds: &[&'static str]) -> Vec<PackedKind> {
+/// Returns compressed snapshots of some kinds, for a daemon that starts.
+pub fn compressed_snapshots(gateway: &Gateway, kinds: &[&'static str]) -> Vec<CompressedSnapshot> {
     let packed =
-        kinds.iter().filter_map(|kind| match known_since(gateway, kind, 0, Checking::ByDigest) {
-            Known::Later(packed) => {
-                Some(PackedKind { kind: (*kind).to_owned(), packed: packed.to_vec() })
+        kinds.iter().filter_map(|kind| match update_for(gateway, kind, 0, Verification::Digest) {
+            Available::Update(packed) => {
+                Some(CompressedSnapshot { kind: (*kind).to_owned(), packed: packed.to_vec() })
             }
-            Known::Nothing | Known::Unknown => None,
+            Available::UpToDate | Available::UnknownKind => None,
         });
     packed.collect()
 }
 
-/// All objects that are known here for certain, for a daemon of an earlier build that starts.
-pub fn states(gateway: &Gateway) -> Vec<KindState> {
-    if way(gateway) != Way::Store || !is_fresh(gateway) {
+/// Returns uncompressed snapshots of all kinds, for a starting daemon of an earlier build. Empty unless this
+/// daemon watches the store and its data is fresh.
+pub fn legacy_snapshots(gateway: &Gateway) -> Vec<KindSnapshot> {
+    if select_upstream(gateway) != Upstream::Store || !is_store_current(gateway) {
         return Vec::new();
     }
     let replicas = gateway.replicas.borrow();
-    let state = |(kind, replica): (&&'static str, &Replica)| KindState {
+    let snapshot = |(kind, replica): (&&'static str, &Replica)| KindSnapshot {
         kind: (*kind).to_owned(),
         objects: replica.objects().map(|object| EncodedObject::clone(object)).collect(),
-        at: replica.at(),
+        at: replica.revision(),
     };
-    replicas.iter().map(state).collect()
+    replicas.iter().map(snapshot).collect()
 }
 
-/// Logs where news of a kind comes from, whenever that has changed.
-pub fn note_way(gateway: &Gateway, kind: &'static str, way: &Way) {
-    let mut ways = gateway.ways.borrow_mut();
-    if ways.get(kind).unwrap_or(&Way::Store) == way {
+/// Logs the upstream of a kind whenever it changes.
+pub fn log_upstream_change(gateway: &Gateway, kind: &'static str, upstream: &Upstream) {
+    let mut logged = gateway.ways.borrow_mut();
+    if logged.get(kind).unwrap_or(&Upstream::Store) == upstream {
         return;
     }
-    let source = match way {
-        Way::Store => "store".to_owned(),
-        Way::Outage => "nobody".to_owned(),
-        Way::Watchers(watchers) => {
-            let names: Vec<&str> = watchers.iter().map(|node| node.name.0.as_str()).collect();
+    let source = match upstream {
+        Upstream::Store => "store".to_owned(),
+        Upstream::Unavailable => "nobody".to_owned(),
+        Upstream::Peers(peers) => {
+            let names: Vec<&str> = peers.iter().map(|node| node.name.0.as_str()).collect();
             names.join(",")
         }
     };
     log::info!(
         "event=news_source kind={kind} source={source} store_reached={} daemons={}",
-        gateway.store.is_reached(),
-        gateway.members.count_alive() + 1
+        gateway.store.is_reachable(),
+        gateway.members.alive_count() + 1
     );
-    ways.insert(kind, way.clone());
+    logged.insert(kind, upstream.clone());
 }
 
-/// Waits for changes of a kind at the watchers that this daemon follows; nothing when none of them
-/// tells any.
-pub async fn changes(
+/// Waits for changes of a kind from the upstream peers; `None` if none of them sends any, or a list is
+/// needed.
+pub async fn next_changes(
     gateway: &Gateway,
     kind: &'static str,
     since: Revision,
-    upstreams: &[NodeId],
+    peers: &[NodeId],
 ) -> Option<Changes> {
-    let news = next_news(gateway, kind, since, upstreams).await?;
-    if news.is_whole {
-        // A whole state can't be told as changes: the caller lists.
+    let update = next_update(gateway, kind, since, peers).await?;
+    if update.is_snapshot {
+        // A snapshot cannot be applied as changes: the caller has to list.
         return None;
     }
-    let accepts = gateway.replicas.borrow().get(kind).is_some_and(|known| known.accepts(&news));
+    let accepts = gateway.replicas.borrow().get(kind).is_some_and(|known| known.accepts(&update));
     if !accepts {
-        log::warn!("event=news_incomplete kind={kind} since={since} at={}", news.at);
+        log::warn!("event=news_incomplete kind={kind} since={since} at={}", update.at);
         return None;
     }
-    Some(news.into_changes())
+    Some(update.into_changes())
 }
 
-/// All objects of a kind, from a watcher that this daemon follows; nothing from one that knows less
-/// than this daemon does.
-pub async fn whole(
+/// Fetches all objects of a kind from the upstream peers; `None` if all failed, or the snapshot is older
+/// than this daemon's own data.
+pub async fn fetch_snapshot(
     gateway: &Gateway,
     kind: &'static str,
-    upstreams: &[NodeId],
+    peers: &[NodeId],
 ) -> Option<(Vec<Rc<EncodedObject>>, Revision)> {
-    let news = next_news(gateway, kind, 0, upstreams).await?;
-    let known = gateway.replicas.borrow().get(kind).map_or(0, Replica::at);
-    (news.at >= known).then_some((news.objects, news.at))
+    let update = next_update(gateway, kind, 0, peers).await?;
+    let known = gateway.replicas.borrow().get(kind).map_or(0, Replica::revision);
+    (update.at >= known).then_some((update.objects, update.at))
 }
 
-/// The next news of a kind; nothing once all watchers have failed.
+/// Waits for the next update of a kind; `None` once all peers have failed.
 ///
-/// The configuration is small and has to be in force soon: whichever watcher tells it first is
-/// heard. Entries of servers are many: one watcher tells them, and another one is asked once that
-/// one has failed, which shows within the time that a call is held. So they travel once to each
-/// follower, and no connection is given up because the other watcher was faster.
-async fn next_news(
+/// The configuration is small and urgent, so all peers are polled at once and the first update wins. Other
+/// kinds can be large: one peer is polled at a time, and the next one only after it has failed.
+async fn next_update(
     gateway: &Gateway,
     kind: &'static str,
     since: Revision,
-    upstreams: &[NodeId],
-) -> Option<News> {
+    peers: &[NodeId],
+) -> Option<Update> {
     if kind == gateway.dialect.kinds().configuration {
-        return first_news(gateway, kind, since, upstreams).await;
+        return first_update(gateway, kind, since, peers).await;
     }
-    for upstream in own_order(&gateway.identity.node, upstreams) {
-        match listen(gateway, kind, since, &upstream).await {
-            Ok(news) => return Some(news),
-            Err(why) => note_untold(gateway, &upstream, why),
+    for peer in failover_order(&gateway.identity.node, peers) {
+        match poll_peer(gateway, kind, since, &peer).await {
+            Ok(update) => return Some(update),
+            Err(failure) => mark_failed(gateway, &peer, failure),
         }
     }
     None
 }
 
-/// Daemons in the order in which a follower asks them. Followers of the same ones are shared out among
+/// The order in which a follower polls its upstream peers. Balances the followers of the same peers between
 /// the first two.
-pub fn own_order(follower: &NodeId, upstreams: &[NodeId]) -> Vec<NodeId> {
-    let mut order = upstreams.to_vec();
+pub fn failover_order(follower: &NodeId, peers: &[NodeId]) -> Vec<NodeId> {
+    let mut order = peers.to_vec();
     let is_odd = rapidhash_v3(follower.name.0.as_bytes()) & 1 == 1;
     if is_odd && order.len() > 1 {
         order.swap(0, 1);
@@ -266,174 +261,178 @@
     order
 }
 
-/// Notes that a watcher failed to tell news: it is not asked for a time.
-fn note_untold(gateway: &Gateway, upstream: &NodeId, why: Untelling) {
-    let rest = match why {
-        Untelling::Silent => FAILED_REST,
-        Untelling::Uninformed => UNINFORMED_REST,
+/// Records that a peer failed to send an update, so that it is not polled for some time.
+fn mark_failed(gateway: &Gateway, peer: &NodeId, failure: UpstreamFailure) {
+    let backoff = match failure {
+        UpstreamFailure::NoResponse => NO_RESPONSE_BACKOFF,
+        UpstreamFailure::Stale => STALE_BACKOFF,
     };
-    gateway.members.note_untold(gateway.now(), rest, upstream, why);
+    gateway.members.mark_upstream_failed(gateway.now(), backoff, peer, failure);
 }
 
-/// The news of whichever watcher has some first; nothing once all have failed.
-async fn first_news(
+/// Polls all peers at once and returns the first update; `None` once all have failed.
+async fn first_update(
     gateway: &Gateway,
     kind: &'static str,
     since: Revision,
-    upstreams: &[NodeId],
-) -> Option<News> {
-    if upstreams.is_empty() {
+    peers: &[NodeId],
+) -> Option<Update> {
+    if peers.is_empty() {
         return None;
     }
     let failed = Cell::new(0);
-    let mut first: Listening = Box::pin(futures_lite::future::pending());
-    for upstream in upstreams {
+    let mut first: PendingUpdate = Box::pin(futures_lite::future::pending());
+    for peer in peers {
         let failed = &failed;
-        let one = async move {
-            match listen(gateway, kind, since, upstream).await {
-                Ok(news) => Some(news),
-                Err(why) => {
-                    note_untold(gateway, upstream, why);
+        let attempt = async move {
+            match poll_peer(gateway, kind, since, peer).await {
+                Ok(update) => Some(update),
+                Err(failure) => {
+                    mark_failed(gateway, peer, failure);
                     failed.set(failed.get() + 1);
-                    if failed.get() < upstreams.len() {
+                    if failed.get() < peers.len() {
                         futures_lite::future::pending::<()>().await;
                     }
                     None
                 }
             }
         };
-        first = Box::pin(first.or(one));
+        first = Box::pin(first.or(attempt));
     }
     first.await
 }
 
-/// Asks one watcher until it has news, or fails.
-async fn listen(
+/// Polls one peer until it has an update, or fails.
+async fn poll_peer(
     gateway: &Gateway,
     kind: &'static str,
     since: Revision,
-    upstream: &NodeId,
-) -> Result<News, Untelling> {
+    peer: &NodeId,
+) -> Result<Update, UpstreamFailure> {
     loop {
-        let wait_millis = u64::try_from(HOLD.as_millis()).unwrap_or(0);
+        let wait_millis = u64::try_from(POLL_TIMEOUT.as_millis()).unwrap_or(0);
         let request =
             PeerRequest::Follow { kind: kind.to_owned(), since, wait_millis, checks: true };
-        let limit = if since == 0 { WHOLE_LIMIT } else { HOLD };
-        let reply = client::call(gateway, upstream, &request, limit).await;
+        let limit = if since == 0 { SNAPSHOT_TIMEOUT } else { POLL_TIMEOUT };
+        let reply = client::call(gateway, peer, &request, limit).await;
         let (packed, age_millis) = match reply {
             Some(PeerReply::News { packed, age_millis }) => (packed, age_millis),
             Some(PeerReply::Current { age_millis }) => {
-                note_told(gateway, kind, age_millis);
+                record_age(gateway, kind, age_millis);
                 continue;
             }
             Some(PeerReply::NoNews) => {
-                note_told(gateway, kind, 0);
+                record_age(gateway, kind, 0);
                 continue;
             }
-            Some(PeerReply::Uninformed) => return Err(Untelling::Uninformed),
-            _ => return Err(Untelling::Silent),
+            Some(PeerReply::Uninformed) => return Err(UpstreamFailure::Stale),
+            _ => return Err(UpstreamFailure::NoResponse),
         };
-        let news = compressed_update::unpack(&packed).map_err(|error| {
-            log::warn!("event=news_malformed kind={kind} from={upstream} error=\"{error}\"");
-            Untelling::Silent
+        let update = compressed_update::decode(&packed).map_err(|error| {
+            log::warn!("event=news_malformed kind={kind} from={peer} error=\"{error}\"");
+            UpstreamFailure::NoResponse
         })?;
-        note_told(gateway, kind, age_millis);
-        if news.at > since {
-            return Ok(news);
+        record_age(gateway, kind, age_millis);
+        if update.at > since {
+            return Ok(update);
         }
     }
 }
 
-/// Notes that a daemon was told of a kind what was so old at its source.
-fn note_told(gateway: &Gateway, kind: &'static str, age_millis: u64) {
+/// Records the age of the data of a kind, as reported by an upstream peer.
+fn record_age(gateway: &Gateway, kind: &'static str, age_millis: u64) {
     let (at, age) = (gateway.now(), Duration::from_millis(age_millis));
-    gateway.told.borrow_mut().insert(kind, Telling { at, age });
+    gateway.told.borrow_mut().insert(kind, UpdateAge { at, age });
     gateway.told_last.set(at);
     if kind == gateway.dialect.kinds().configuration {
         gateway.configuration_told.set(at.saturating_sub(age));
     }
 }
 
-/// How long ago what is known of a kind here was all that the store held; nothing where that is too long
-/// for others to be told of it.
-fn fresh_age(gateway: &Gateway, kind: &str) -> Option<Duration> {
-    if way(gateway) == Way::Store {
-        return is_fresh(gateway).then(|| gateway.store.silent_for());
+/// The age of this daemon's data of a kind; `None` if it is too old to be sent to peers.
+fn servable_age(gateway: &Gateway, kind: &str) -> Option<Duration> {
+    if select_upstream(gateway) == Upstream::Store {
+        return is_store_current(gateway).then(|| gateway.store.since_last_response());
     }
-    let steps = gateway.tree().depth(&gateway.identity.node);
-    let Telling { at, age } = gateway.told.borrow().get(kind).copied()?;
+    let hops = gateway.tree().depth(&gateway.identity.node);
+    let UpdateAge { at, age } = gateway.told.borrow().get(kind).copied()?;
     let age = gateway.now().saturating_sub(at) + age;
-    (age < FRESHNESS + FRESHNESS_A_STEP * steps).then_some(age)
+    (age < MAX_AGE + MAX_AGE_PER_HOP * hops).then_some(age)
 }
 
-/// Answers a daemon that follows this one. Whoever asks is told, whatever the own view of the tree: the
-/// age of the news says what it is worth.
-pub async fn answer(
+/// Handles a long poll of a follower. Any daemon is served, whatever this daemon's view of the tree: the
+/// reply carries the age of the data.
+pub async fn handle_follow(
     gateway: &Rc<Gateway>,
     kind: &str,
     since: Revision,
     limit: Duration,
-    checking: Checking,
+    verification: Verification,
 ) -> PeerReply {
-    let until = gateway.now() + limit.min(HOLD);
+    let deadline = gateway.now() + limit.min(POLL_TIMEOUT);
     loop {
         let changed = gateway.replica_changed.listen();
-        let Some(age) = fresh_age(gateway, kind) else {
+        let Some(age) = servable_age(gateway, kind) else {
             return PeerReply::Uninformed;
         };
         let age_millis = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        match known_since(gateway, kind, since, checking) {
-            Known::Later(packed) => {
+        match update_for(gateway, kind, since, verification) {
+            Available::Update(packed) => {
                 return PeerReply::News { packed: packed.to_vec(), age_millis };
             }
-            Known::Unknown => return PeerReply::Uninformed,
-            Known::Nothing => {}
+            Available::UnknownKind => return PeerReply::Uninformed,
+            Available::UpToDate => {}
         }
-        let left = until.saturating_sub(gateway.now());
-        if left.is_zero() {
-            return match checking {
-                Checking::ByDigest => PeerReply::Current { age_millis },
-                Checking::Unchecked => PeerReply::NoNews,
+        let remaining = deadline.saturating_sub(gateway.now());
+        if remaining.is_zero() {
+            return match verification {
+                Verification::Digest => PeerReply::Current { age_millis },
+                Verification::Unverified => PeerReply::NoNews,
             };
         }
-        wait::at_most(left, changed).await;
+        wait::at_most(remaining, changed).await;
     }
 }
 
-/// What is known of a kind beyond what a follower knows.
-enum Known {
-    /// What has changed.
-    Later(Rc<[u8]>),
-    /// Nothing.
-    Nothing,
-    /// The kind is not known here.
-    Unknown,
+/// What can be sent to a follower.
+enum Available {
+    /// A compressed update.
+    Update(Rc<[u8]>),
+    /// The follower is up to date.
+    UpToDate,
+    /// There is no replica of the kind yet.
+    UnknownKind,
 }
 
-/// What is known of a kind beyond `since`.
-fn known_since(gateway: &Gateway, kind: &str, since: Revision, checking: Checking) -> Known {
+/// Returns the update of a kind for a follower at revision `since`.
+fn update_for(
+    gateway: &Gateway,
+    kind: &str,
+    since: Revision,
+    verification: Verification,
+) -> Available {
     let replicas = gateway.replicas.borrow();
     let Some((kind, replica)) = replicas.get_key_value(kind) else {
-        return Known::Unknown;
+        return Available::UnknownKind;
     };
-    if since >= replica.at() {
-        return Known::Nothing;
+    if since >= replica.revision() {
+        return Available::UpToDate;
     }
-    let pack = || match replica.since(since, checking) {
-        Some(news) => compressed_update::pack(&news),
-        None => Err(std::io::Error::other("there is no news")),
+    let encode = || match replica.update_since(since, verification) {
+        Some(update) => compressed_update::encode(&update),
+        None => Err(std::io::Error::other("no update available")),
     };
-    let span = Span { since, at: replica.at(), checking };
-    match gateway.news_texts.get(kind, span, pack) {
-        Ok(packed) => Known::Later(packed),
+    let key = CacheKey { since, at: replica.revision(), verification };
+    match gateway.news_texts.get(kind, key, encode) {
+        Ok(packed) => Available::Update(packed),
         Err(error) => {
             log::error!("event=news_not_packed kind={kind} error=\"{error}\"");
-            Known::Unknown
+            Available::UnknownKind
         }
     }
 }
 
-/// Whether this daemon has heard from the store lately.
-fn is_fresh(gateway: &Gateway) -> bool {
-    gateway.store.is_reached() && gateway.store.silent_for() < FRESHNESS
+/// Whether the store is reachable and has responded recently.
+fn is_store_current(gateway: &Gateway) -> bool {
+    gateway.store.is_reachable() && gateway.store.since_last_response() < MAX_AGE
 }
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -12,9 +12,9 @@
 use super::book::Book;
 use super::line;
 use crate::gateway::Gateway;
-use crate::lease_manager::LeaseKeeper;
+use crate::lease_manager::LeaseManager;
 use crate::peers::Hint;
-use crate::peers::INTRODUCTION;
+use crate::peers::MEMBERSHIP_GRACE;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -45,7 +45,7 @@
     gateway: Rc<Gateway>,
     book: Rc<Book>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
     failures: u32,
     failing_since: Moment,
     yields_until: Moment,
@@ -56,9 +56,9 @@
     gateway: Rc<Gateway>,
     book: Rc<Book>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
 ) {
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     let mut reporter = Reporter {
         gateway,
         book,
@@ -98,7 +98,7 @@
     fn is_my_turn(&self) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        if !gateway.store.is_reached() || now < INTRODUCTION {
+        if !gateway.store.is_reachable() || now < MEMBERSHIP_GRACE {
             return false;
         }
         let line = line::here(gateway);
@@ -112,7 +112,7 @@
         }
         // Who has just taken the lease has to wait for the one before it. To take it away meanwhile
         // would make both wait anew.
-        let holder_acts = gateway.duty_lease.last_renewal().unwrap_or_default()
+        let holder_acts = gateway.duty_lease.last_renewal_at().unwrap_or_default()
             + LEASE_DURATION
             + gateway.tuning().lease_pause;
         now >= since.max(holder_acts) + STALL * u32::try_from(place).unwrap_or(u32::MAX)
@@ -143,7 +143,7 @@
     }
 
     async fn try_step(&self) -> bool {
-        if !self.lease.ensure().await {
+        if !self.lease.acquire_or_renew().await {
             return false;
         }
         if !self.settle().await {
@@ -233,13 +233,13 @@
             // It would be refused again: later windows must not wait for it.
             Err(ProviderError::Refused(_)) => {}
             Err(ProviderError::Fenced) => {
-                self.lease.lost_track();
+                self.lease.invalidate();
                 return false;
             }
             Err(_) => return false,
         }
         self.book.note_reported(report.window);
-        self.gateway.members.tell_all(Hint::UsageReported { window: report.window });
+        self.gateway.members.broadcast(Hint::UsageReported { window: report.window });
         true
     }
 }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -22,7 +22,7 @@
 use crate::configuration::Scaling;
 use crate::directory::ServerState;
 use crate::gateway::Gateway;
-use crate::lease_manager::LeaseKeeper;
+use crate::lease_manager::LeaseManager;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -54,15 +54,15 @@
 struct Scaler {
     gateway: Rc<Gateway>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
     plans: BTreeMap<String, Plan>,
     /// When a step was last seen to be near its limit.
     pressed: Moment,
 }
 
 /// Runs until the daemon ends.
-pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseKeeper>) {
-    gateway.members.introduction.wait().await;
+pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseManager>) {
+    gateway.members.bootstrap.wait().await;
     let mut scaler =
         Scaler { gateway, provider, lease, plans: BTreeMap::new(), pressed: Moment::ZERO };
     loop {
@@ -80,7 +80,7 @@
     fn is_settled(&self) -> bool {
         let gateway = &self.gateway;
         let since = gateway.store_reached_since.get();
-        gateway.is_ready() && gateway.store.is_reached() && gateway.now() >= since + SETTLING
+        gateway.is_ready() && gateway.store.is_reachable() && gateway.now() >= since + SETTLING
     }
 
     async fn look(&mut self) {
@@ -113,7 +113,7 @@
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
             }
-            if !self.lease.ensure().await {
+            if !self.lease.acquire_or_renew().await {
                 break;
             }
             let outcome = self.give(service, &order, &zones, demand).await;
@@ -202,7 +202,7 @@
             // It would be refused again: the same rest as where there are none.
             Err(ProviderError::NoneToBeHad | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
-                self.lease.lost_track();
+                self.lease.invalidate();
                 OrderOutcome::Failed
             }
             Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => OrderOutcome::Failed,
--- a/crates/heronbend-gateway/src/duties/telling.rs
+++ b/crates/heronbend-gateway/src/duties/telling.rs
@@ -89,7 +89,7 @@
             window,
             counts: part.to_vec(),
         };
-        gateway.members.tell(to.to_vec(), hint);
+        gateway.members.send_to(to.to_vec(), hint);
     }
 }
 
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -12,7 +12,7 @@
 use crate::gateway::Gateway;
 use crate::ports::Object;
 use crate::reflector;
-use crate::reflector::MirrorSink;
+use crate::reflector::ObjectHandler;
 use crate::reflector::Source;
 
 /// Evacuations that come within this time cost one call. The whole bound is seconds.
@@ -24,7 +24,7 @@
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
-    reflector::follow(gateway, kind, Source::Watchers, GATHERING, sink).await;
+    reflector::run(gateway, kind, Source::Peers, GATHERING, sink).await;
 }
 
 impl EvacuationSink {
@@ -56,13 +56,13 @@
     }
 }
 
-impl MirrorSink for EvacuationSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for EvacuationSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let before = self.0.evacuated.borrow().clone();
         before.difference(names).for_each(|zone| self.end(zone));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.begin(&object.name);
     }
 
@@ -70,11 +70,11 @@
         self.end(zone);
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         self.0.directory.borrow_mut().placer.mark_evacuations_loaded();
     }
 
-    fn applied(&self) {
+    fn on_batch(&self) {
         self.0.places.changed.notify(usize::MAX);
         self.0.versions.changed.notify(usize::MAX);
     }
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -16,7 +16,7 @@
 use crate::duties::billing::Billing;
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::http::client::{Exchange, ExchangeError, WholeAnswer};
+use crate::http::client::{Exchange, ExchangeError, FullResponse};
 use crate::memory::Hold;
 use crate::ports::HeaderNames;
 use crate::quarantine::evidence;
@@ -142,7 +142,7 @@
     let is_refusal = exchange.status == StatusCode::MISDIRECTED_REQUEST
         || exchange.headers.contains_key(&names.not_run);
     if is_refusal {
-        gateway.servers.reuse(exchange);
+        gateway.servers.drain(exchange);
         return Err(AttemptFailure::NotRun);
     }
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
@@ -232,8 +232,8 @@
 }
 
 /// Reads a whole answer; one that is cut has an unknown outcome.
-pub async fn read_whole(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
-    exchange.read_whole(MAX_ANSWER_BYTES).await.map_err(|error| match error {
+pub async fn read_whole(exchange: Exchange) -> Result<FullResponse, AttemptFailure> {
+    exchange.read_full(MAX_ANSWER_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
         _ => AttemptFailure::BrokenOff,
     })
--- a/crates/heronbend-gateway/src/failover_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -1,5 +1,5 @@
-//! The store as a daemon uses it: counted, by the daemon's own way while that works, and through a
-//! peer while it does not.
+//! An [`ObjectStore`] that calls the store directly, and relays calls through a peer while the direct
+//! path fails. Counts calls by kind.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -19,109 +19,110 @@
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Changes, Condition, Listing, Object, ObjectStore, Revision, StoreError};
 
-/// Time after a failure in which the own way is taken for lost, unless it works meanwhile.
-const LOST_FOR: Duration = Duration::from_millis(2500);
-/// Time after an answer in which the way to the store is taken to work; probes come more often.
-const ANSWERS_HOLD: Duration = Duration::from_millis(1800);
-/// Refusals in a row after which the own way is taken for lost.
-const REFUSALS_TO_LOSE: u32 = 3;
-/// Time that a peer is given for a call.
+/// Time after a failure for which the direct path counts as unreachable, unless a call succeeds.
+const UNREACHABLE_FOR: Duration = Duration::from_millis(2500);
+/// Time after a response for which the direct path counts as working. Longer than the probe interval.
+const RESPONSE_VALID_FOR: Duration = Duration::from_millis(1800);
+/// Consecutive throttled calls after which the direct path counts as unreachable.
+const MAX_CONSECUTIVE_THROTTLES: u32 = 3;
+/// Timeout of a call that is relayed by a peer.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Peers that are asked for one call.
+/// Peers that are tried for one call.
 const RELAY_ATTEMPTS: usize = 2;
 
-/// The store with its ways to reach it.
-pub struct RelayedStore {
+/// An object store with a direct path and a fallback through peers.
+pub struct FailoverStore {
     direct: Rc<dyn ObjectStore>,
     metrics: Metrics,
     gateway: RefCell<Weak<Gateway>>,
     clock: Clock,
-    failed: Cell<Option<Moment>>,
-    /// Calls in a row that were refused for now.
-    refused: Cell<u32>,
-    answered: Cell<Option<Moment>>,
+    last_failure: Cell<Option<Moment>>,
+    /// Consecutive calls that were throttled.
+    throttled_calls: Cell<u32>,
+    last_response: Cell<Option<Moment>>,
 }
 
-impl RelayedStore {
-    /// A store without peers so far.
+impl FailoverStore {
+    /// Creates a store without a fallback.
     pub fn new(direct: Rc<dyn ObjectStore>, metrics: Metrics, clock: Clock) -> Self {
         Self {
             direct,
             metrics,
             clock,
             gateway: RefCell::new(Weak::new()),
-            failed: Cell::new(None),
-            refused: Cell::new(0),
-            answered: Cell::new(None),
+            last_failure: Cell::new(None),
+            throttled_calls: Cell::new(0),
+            last_response: Cell::new(None),
         }
     }
 
-    /// Lets calls go through the peers of a daemon.
-    pub fn relay_through(&self, gateway: &Rc<Gateway>) {
+    /// Sets the daemon whose peers relay calls while the direct path fails.
+    pub fn set_relay(&self, gateway: &Rc<Gateway>) {
         *self.gateway.borrow_mut() = Rc::downgrade(gateway);
     }
 
-    /// The store by the daemon's own way alone.
+    /// Returns the store without the fallback.
     pub fn direct(&self) -> Rc<dyn ObjectStore> {
         self.direct.clone()
     }
 
-    fn age(&self, at: Moment) -> Duration {
+    fn elapsed_since(&self, at: Moment) -> Duration {
         self.clock.now().saturating_sub(at)
     }
 
-    /// Whether the daemon's own way to the store works, as far as is known.
-    pub fn is_reached(&self) -> bool {
-        self.failed.get().is_none_or(|at| self.age(at) >= LOST_FOR)
+    /// Whether the direct path to the store works, as far as known.
+    pub fn is_reachable(&self) -> bool {
+        self.last_failure.get().is_none_or(|at| self.elapsed_since(at) >= UNREACHABLE_FOR)
     }
 
-    /// Notes how a call by the own way ended. An answer that is lost while others come says nothing
-    /// of the way: a peer's would be lost as well. One call that is refused for now says little
-    /// either; several in a row say that this daemon is refused.
-    fn note<T>(&self, kind: &str, result: &Result<T, StoreError>) {
-        self.metrics.store_call(purpose(kind));
+    /// Records the result of a direct call.
+    ///
+    /// A single call without a result does not count as a failure of the path while other calls are
+    /// answered, and neither does a single throttled one: only [`MAX_CONSECUTIVE_THROTTLES`] in a row do.
+    fn record_result<T>(&self, kind: &str, result: &Result<T, StoreError>) {
+        self.metrics.store_call(metric_label(kind));
         let now = self.clock.now();
         match result {
             Err(StoreError::Throttled) => {
-                self.refused.set(self.refused.get().saturating_add(1));
-                if self.refused.get() >= REFUSALS_TO_LOSE {
-                    self.failed.set(Some(now));
+                self.throttled_calls.set(self.throttled_calls.get().saturating_add(1));
+                if self.throttled_calls.get() >= MAX_CONSECUTIVE_THROTTLES {
+                    self.last_failure.set(Some(now));
                 }
             }
-            Err(StoreError::NotDone(_)) => self.failed.set(Some(now)),
-            Err(StoreError::Unknown(_)) if self.has_answered_lately() => {}
-            Err(StoreError::Unknown(_)) => self.failed.set(Some(now)),
+            Err(StoreError::NotDone(_)) => self.last_failure.set(Some(now)),
+            Err(StoreError::Unknown(_)) if self.has_recent_response() => {}
+            Err(StoreError::Unknown(_)) => self.last_failure.set(Some(now)),
             _ => {
-                self.answered.set(Some(now));
-                self.failed.set(None);
-                self.refused.set(0);
+                self.last_response.set(Some(now));
+                self.last_failure.set(None);
+                self.throttled_calls.set(0);
             }
         }
     }
 
-    fn has_answered_lately(&self) -> bool {
-        self.answered.get().is_some_and(|at| self.age(at) < ANSWERS_HOLD)
+    fn has_recent_response(&self) -> bool {
+        self.last_response.get().is_some_and(|at| self.elapsed_since(at) < RESPONSE_VALID_FOR)
     }
 
-    /// How long ago the store answered by the own way.
-    pub fn silent_for(&self) -> Duration {
-        self.answered.get().map_or(Duration::MAX, |at| self.age(at))
+    /// Time since the last response on the direct path; [`Duration::MAX`] before the first one.
+    pub fn since_last_response(&self) -> Duration {
+        self.last_response.get().map_or(Duration::MAX, |at| self.elapsed_since(at))
     }
 
-    /// Asks peers to make a call; nothing when none of them could.
+    /// Relays a call through peers; `None` if none of them could make it.
     async fn relay(&self, call: StoreCall) -> Option<StoreReply> {
         let gateway = self.gateway.borrow().upgrade()?;
-        // A call may carry a request's body, which may not be in any region.
+        // The call may contain a request's body, which may be restricted to this region.
         let alive = if gateway.has_homes() {
             gateway.members.alive_in_region(&gateway.identity.region)
         } else {
             gateway.members.alive()
         };
-        let chosen: Vec<_> = {
+        let candidates: Vec<_> = {
             let mut random = rand::rng();
             alive.choose_multiple(&mut random, RELAY_ATTEMPTS).cloned().collect()
         };
-        for peer in chosen {
+        for peer in candidates {
             let request = PeerRequest::Store(call.clone());
             let reply = client::call(&gateway, &peer, &request, RELAY_TIMEOUT).await;
             match reply {
@@ -136,56 +137,56 @@
         None
     }
 
-    /// Makes a call by the own way, or through a peer where that fails without a result.
-    async fn by_either_way<T>(
+    /// Makes a call directly, or through a peer if the direct path fails without a result.
+    async fn with_fallback<T>(
         &self,
         kind: &str,
         direct: impl std::future::Future<Output = Result<T, StoreError>>,
         call: StoreCall,
-        take: impl FnOnce(StoreReply) -> Result<T, StoreError>,
+        convert: impl FnOnce(StoreReply) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        let was_reached = self.is_reached();
-        if !was_reached {
+        let was_reachable = self.is_reachable();
+        if !was_reachable {
             if let Some(reply) = self.relay(call.clone()).await {
-                return take(reply);
+                return convert(reply);
             }
         }
         let result = direct.await;
-        self.note(kind, &result);
-        let has_no_result = matches!(
+        self.record_result(kind, &result);
+        let is_inconclusive = matches!(
             result,
             Err(StoreError::Unknown(_) | StoreError::NotDone(_) | StoreError::Throttled)
         );
-        if has_no_result && was_reached && !self.is_reached() {
+        if is_inconclusive && was_reachable && !self.is_reachable() {
             if let Some(reply) = self.relay(call).await {
-                return take(reply);
+                return convert(reply);
             }
         }
         result
     }
 }
 
-/// What a call is for: its kind, without the job that some kinds are made for.
-fn purpose(kind: &str) -> &str {
-    let of_jobs = [RESULTS, PROGRESS];
-    of_jobs.into_iter().find(|prefix| kind.starts_with(prefix)).unwrap_or(kind)
+/// The metrics label of a kind: the kind itself, or the common prefix of kinds that exist per job.
+fn metric_label(kind: &str) -> &str {
+    let per_job = [RESULTS, PROGRESS];
+    per_job.into_iter().find(|prefix| kind.starts_with(prefix)).unwrap_or(kind)
 }
 
 #[async_trait(?Send)]
-impl ObjectStore for RelayedStore {
+impl ObjectStore for FailoverStore {
     async fn list(&self, kind: &str, after: Option<&str>) -> Result<Listing, StoreError> {
         let call = StoreCall::List { kind: kind.to_owned(), after: after.map(str::to_owned) };
         let direct = self.direct.list(kind, after);
-        self.by_either_way(kind, direct, call, StoreReply::into_listing).await
+        self.with_fallback(kind, direct, call, StoreReply::into_listing).await
     }
 
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
         let call = StoreCall::Get { kind: kind.to_owned(), name: name.to_owned() };
-        let take = |reply| match reply {
+        let convert = |reply| match reply {
             StoreReply::Missing => Ok(None),
             other => other.into_object().map(Some),
         };
-        self.by_either_way(kind, self.direct.get(kind, name), call, take).await
+        self.with_fallback(kind, self.direct.get(kind, name), call, convert).await
     }
 
     async fn watch(
@@ -195,7 +196,7 @@
         wait: Duration,
     ) -> Result<Changes, StoreError> {
         let result = self.direct.watch(kind, since, wait).await;
-        self.note(kind, &result);
+        self.record_result(kind, &result);
         result
     }
 
@@ -206,7 +207,7 @@
             content: content.to_string(),
         };
         let direct = self.direct.create(kind, name, content);
-        self.by_either_way(kind, direct, call, StoreReply::into_object).await
+        self.with_fallback(kind, direct, call, StoreReply::into_object).await
     }
 
     async fn replace(
@@ -227,7 +228,7 @@
             revision,
         };
         let direct = self.direct.replace(kind, name, content, condition);
-        self.by_either_way(kind, direct, call, StoreReply::into_object).await
+        self.with_fallback(kind, direct, call, StoreReply::into_object).await
     }
 
     async fn replace_status(
@@ -238,19 +239,19 @@
         condition: Condition,
     ) -> Result<Object, StoreError> {
         let result = self.direct.replace_status(kind, name, status, condition).await;
-        self.note(kind, &result);
+        self.record_result(kind, &result);
         result
     }
 
     async fn probe(&self) -> Result<(), StoreError> {
         let result = self.direct.probe().await;
-        self.note("probe", &result);
+        self.record_result("probe", &result);
         result
     }
 
     async fn remove(&self, kind: &str, name: &str) -> Result<(), StoreError> {
         let result = self.direct.remove(kind, name).await;
-        self.note(kind, &result);
+        self.record_result(kind, &result);
         result
     }
 }
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -22,7 +22,7 @@
 use crate::directory::Server;
 use crate::exchange::{self, AttemptFailure, CountedAttempt, Outgoing};
 use crate::gateway::Gateway;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 use crate::permits;
 use crate::places;
 use crate::quarantine;
@@ -100,7 +100,7 @@
 }
 
 enum Event {
-    Ended(Result<WholeAnswer, AttemptFailure>),
+    Ended(Result<FullResponse, AttemptFailure>),
     HedgeDue,
     DeadlinePassed,
 }
@@ -122,7 +122,7 @@
     open: Vec<Task<()>>,
     /// Whether a server has answered: attempts that are dropped then had a caller who did not leave.
     is_answered: Rc<Cell<bool>>,
-    last_failure: Option<WholeAnswer>,
+    last_failure: Option<FullResponse>,
 }
 
 /// What became of the start of an attempt.
@@ -143,7 +143,7 @@
     service: &str,
     outgoing: Outgoing,
     allowance: Allowance,
-) -> Result<WholeAnswer, ForwardError> {
+) -> Result<FullResponse, ForwardError> {
     gateway.retries.borrow_mut().deposit(RETRY_SHARE);
     let admitted = Passage::begin(gateway, &outgoing).await;
     let passage = admitted.map_err(ForwardError::Quarantined)?;
@@ -164,7 +164,7 @@
 }
 
 impl Forwarding {
-    async fn run(mut self) -> Result<WholeAnswer, ForwardError> {
+    async fn run(mut self) -> Result<FullResponse, ForwardError> {
         let (sender, ended) = bounded(16);
         let mut hedge_at = self.begun + self.allowance.target_latency.mul_f64(HEDGE_SHARE);
         let mut open = 0_usize;
@@ -204,7 +204,7 @@
 
     async fn next_event(
         &self,
-        ended: &smol::channel::Receiver<Result<WholeAnswer, AttemptFailure>>,
+        ended: &smol::channel::Receiver<Result<FullResponse, AttemptFailure>>,
         hedge_at: Moment,
     ) -> Event {
         let may_hedge =
@@ -248,7 +248,7 @@
     }
 
     /// Starts an attempt at the best server that has not been tried.
-    fn start_one(&mut self, sender: &Sender<Result<WholeAnswer, AttemptFailure>>) -> Start {
+    fn start_one(&mut self, sender: &Sender<Result<FullResponse, AttemptFailure>>) -> Start {
         self.passage.keep_apart(&self.gateway, &self.outgoing, &mut self.history);
         let choice = match self.decide() {
             Decision::Place(choice) => choice,
@@ -299,7 +299,7 @@
     }
 
     /// Takes an attempt's end in; the answer if it is to be passed on.
-    fn take(&mut self, result: Result<WholeAnswer, AttemptFailure>) -> Option<WholeAnswer> {
+    fn take(&mut self, result: Result<FullResponse, AttemptFailure>) -> Option<FullResponse> {
         self.passage.note_attempt(result.as_ref().err());
         match result {
             Ok(answer) if answer.status.is_server_error() && self.allowance.is_repeatable => {
@@ -324,7 +324,7 @@
         Timer::after(rest).await;
     }
 
-    fn give_up(self, rejection: Rejection) -> Result<WholeAnswer, ForwardError> {
+    fn give_up(self, rejection: Rejection) -> Result<FullResponse, ForwardError> {
         match self.last_failure {
             Some(answer) => Ok(answer),
             None if self.spent == 0 => Err(ForwardError::NotRun(rejection)),
@@ -333,7 +333,7 @@
         }
     }
 
-    fn time_out(self) -> Result<WholeAnswer, ForwardError> {
+    fn time_out(self) -> Result<FullResponse, ForwardError> {
         self.last_failure.ok_or(ForwardError::TimedOut)
     }
 }
@@ -352,7 +352,7 @@
 
 impl Attempt {
     /// Sends the request and notes what its end says of the server and of the request.
-    async fn run(self, mut counted: CountedAttempt) -> Result<WholeAnswer, AttemptFailure> {
+    async fn run(self, mut counted: CountedAttempt) -> Result<FullResponse, AttemptFailure> {
         let (gateway, server) = (&self.gateway, &self.server);
         let isolated = passage::isolate(gateway, server, &self.outgoing, self.is_alone).await;
         let Ok(isolation) = isolated else {
@@ -380,7 +380,7 @@
         result
     }
 
-    async fn exchange(&self) -> Result<WholeAnswer, AttemptFailure> {
+    async fn exchange(&self) -> Result<FullResponse, AttemptFailure> {
         let time_left = self.deadline.saturating_sub(self.gateway.now());
         let begun = exchange::begin(&self.gateway, &self.server, &self.outgoing, time_left);
         exchange::read_whole(begun.await?).await
@@ -397,7 +397,7 @@
         }
     }
 
-    fn note_evidence(&self, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn note_evidence(&self, result: &Result<FullResponse, AttemptFailure>) {
         match result {
             Ok(answer) => quarantine::note_answer(&self.gateway, &self.outgoing, answer.status),
             Err(AttemptFailure::BrokenOff) => {
@@ -407,7 +407,7 @@
         }
     }
 
-    fn bill(&self, begun: Moment, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn bill(&self, begun: Moment, result: &Result<FullResponse, AttemptFailure>) {
         let Some(billing) = self.outgoing.billing.as_deref() else {
             return;
         };
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -29,17 +29,17 @@
 use crate::batch::moves::MoveCost;
 use crate::batch::registry::JobRegistry;
 use crate::clock::Clock;
-use crate::compressed_update::Texts;
+use crate::compressed_update::UpdateCache;
 use crate::configuration::Configuration;
 use crate::directory::Directory;
-use crate::dissemination::Telling;
+use crate::dissemination::UpdateAge;
 use crate::duties::book::Book;
 use crate::duties::book::Terms;
-use crate::failover_store::RelayedStore;
+use crate::failover_store::FailoverStore;
 use crate::homes;
 use crate::http::client::ConnectionPool;
 use crate::lease_state::LeaseName;
-use crate::lease_state::LeaseNews;
+use crate::lease_state::LeaseState;
 use crate::memory::Budget;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -50,7 +50,7 @@
 use crate::quarantine::Quarantine;
 use crate::replica::Replica;
 use crate::split::Splitter;
-use crate::upstream::Way;
+use crate::upstream::Upstream;
 use crate::versions::board::VersionBoard;
 
 /// Longest wait for a connection to a server.
@@ -109,7 +109,7 @@
     /// Who this daemon is.
     pub identity: Identity,
     /// Where everything lasting is kept.
-    pub store: RelayedStore,
+    pub store: FailoverStore,
     /// How the surroundings spell things.
     pub dialect: Rc<dyn Dialect>,
     /// Who provides the machines, where this daemon has duties towards them.
@@ -123,9 +123,9 @@
     /// Objects of the store that peers may follow here, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
     /// News of those as it is told to peers.
-    pub news_texts: Texts,
+    pub news_texts: UpdateCache,
     /// By which way news of each kind comes; by the store where there is none.
-    pub ways: RefCell<HashMap<&'static str, Way>>,
+    pub ways: RefCell<HashMap<&'static str, Upstream>>,
     /// Notified when a replica has changed.
     pub replica_changed: Event,
     /// Digests the keys of tenants.
@@ -138,7 +138,7 @@
     pub directory_known: Cell<bool>,
     /// Division of requests among destinations.
     pub splitter: RefCell<Splitter>,
-    /// Texts that wait for places.
+    /// UpdateCache that wait for places.
     pub places: Places,
     /// Permits for cold servers.
     pub permits: Permits,
@@ -154,7 +154,7 @@
     pub lengths: RefCell<Lengths>,
     /// What it costs to move a text.
     pub move_cost: RefCell<MoveCost>,
-    /// Texts of items that are read here.
+    /// UpdateCache of items that are read here.
     pub crowd: Crowd,
     /// Reward calls under way.
     pub reward_gate: Gate,
@@ -163,7 +163,7 @@
     /// What tenants use, where that is to be reported.
     pub usage: Option<Rc<Book>>,
     /// The lease for duties towards the provider.
-    pub duty_lease: LeaseNews,
+    pub duty_lease: LeaseState,
     /// Named versions and orders under way.
     pub versions: VersionBoard,
     /// Peer addresses of some other daemons, for as long as nobody is known.
@@ -172,7 +172,7 @@
     /// The tree of this daemon's zone, with the version of the members that it is of.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
     /// What other daemons told last of each kind.
-    pub told: RefCell<HashMap<&'static str, Telling>>,
+    pub told: RefCell<HashMap<&'static str, UpdateAge>>,
     /// When another daemon last told anything.
     pub told_last: Cell<Moment>,
     /// Since when the store has answered without a failure.
@@ -224,17 +224,21 @@
             usage.map(|terms| Rc::new(Book::new(identity.node.clone(), terms, Moment::ZERO)));
         let gateway = Rc::new(Self {
             identity,
-            store: RelayedStore::new(store, metrics.clone(), clock.clone()),
+            store: FailoverStore::new(store, metrics.clone(), clock.clone()),
             dialect,
             provider,
-            servers: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
-                let metrics = metrics.clone();
-                move |reason| metrics.connection_opened(reason.name())
-            }),
+            servers: ConnectionPool::with_open_observer(
+                executor.clone(),
+                SERVER_CONNECT_TIMEOUT,
+                {
+                    let metrics = metrics.clone();
+                    move |reason| metrics.connection_opened(reason.name())
+                },
+            ),
             peers: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
             replicas: RefCell::default(),
-            news_texts: Texts::default(),
+            news_texts: UpdateCache::default(),
             ways: RefCell::default(),
             replica_changed: Event::new(),
             key_hasher: KeyHasher::random(),
@@ -257,7 +261,7 @@
                 move || clock.now()
             }),
             usage,
-            duty_lease: LeaseNews::default(),
+            duty_lease: LeaseState::default(),
             versions: VersionBoard::default(),
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
@@ -274,7 +278,7 @@
             resumed: Event::new(),
             clock,
         });
-        gateway.store.relay_through(&gateway);
+        gateway.store.set_relay(&gateway);
         gateway
     }
 
@@ -317,7 +321,7 @@
     /// Time for which the configuration in force here may have been replaced unheard.
     pub fn configuration_age(&self) -> Duration {
         let told = self.now().saturating_sub(self.configuration_told.get());
-        told.min(self.store.silent_for())
+        told.min(self.store.since_last_response())
     }
 
     /// Whether a key may have been taken away unheard for longer than callers with keys are served.
@@ -335,7 +339,7 @@
     }
 
     /// What is told of a lease.
-    pub fn lease_news(&self, lease: LeaseName) -> &LeaseNews {
+    pub fn lease_news(&self, lease: LeaseName) -> &LeaseState {
         match lease {
             LeaseName::Orders => &self.versions.lease,
             LeaseName::Duties => &self.duty_lease,
@@ -377,7 +381,7 @@
 
     /// Whether this daemon knows of no other although there are some.
     pub fn is_alone_of_several(&self) -> bool {
-        self.members.count_alive() == 0 && !self.seeds.borrow().is_empty()
+        self.members.alive_count() == 0 && !self.seeds.borrow().is_empty()
     }
 
     /// Whether requests of some route or tenant may be in some regions only.
@@ -394,7 +398,7 @@
     /// Brings the limits of services up to date: all daemons that are alive share what a server takes.
     pub fn share_servers(&self) {
         let own = self.tuning().processor_millis;
-        let mut processors = self.members.alive_processors();
+        let mut processors = self.members.alive_cpu_millis();
         processors.push(own);
         let daemons = share::Daemons::count(&processors);
         let Some(configuration) = self.configuration() else {
--- a/crates/heronbend-gateway/src/http/body.rs
+++ b/crates/heronbend-gateway/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones, and streams whose pieces come one by one.
+//! Bodies of responses, either complete or streamed.
 
 use std::io;
 use std::pin::Pin;
@@ -13,29 +13,29 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-type Pieces = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
+type ByteStream = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
 
-/// The body of an answer to a caller. Dropping it ends the work behind it.
-pub enum AnswerBody {
-    /// All bytes are there.
-    Whole(Full<Bytes>),
-    /// Pieces come until the end; an error cuts the connection.
-    Pieces(Pieces),
+/// The body of a response. Dropping it cancels the work that produces it.
+pub enum ResponseBody {
+    /// A complete body.
+    Full(Full<Bytes>),
+    /// A streamed body. An error aborts the connection.
+    Stream(ByteStream),
 }
 
-impl AnswerBody {
-    /// A body that is already whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+impl ResponseBody {
+    /// Creates a complete body.
+    pub fn full(bytes: Bytes) -> Self {
+        Self::Full(Full::new(bytes))
     }
 
-    /// A body of pieces that are sent as they come.
-    pub fn pieces(pieces: impl Stream<Item = io::Result<Bytes>> + 'static) -> Self {
-        Self::Pieces(Box::pin(pieces))
+    /// Creates a body whose chunks are sent as they are produced.
+    pub fn stream(stream: impl Stream<Item = io::Result<Bytes>> + 'static) -> Self {
+        Self::Stream(Box::pin(stream))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -44,28 +44,28 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            Self::Whole(body) => {
+            Self::Full(body) => {
                 let frame = ready!(Pin::new(body).poll_frame(context));
                 Poll::Ready(frame.map(|frame| frame.map_err(|never| match never {})))
             }
-            Self::Pieces(pieces) => {
-                let piece = ready!(pieces.as_mut().poll_next(context));
-                Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+            Self::Stream(stream) => {
+                let chunk = ready!(stream.as_mut().poll_next(context));
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Pieces(_) => false,
+            Self::Full(body) => body.is_end_stream(),
+            Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Full(body) => body.size_hint(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/heronbend-gateway/src/http/client.rs
+++ b/crates/heronbend-gateway/src/http/client.rs
@@ -1,7 +1,7 @@
-//! Requests over kept connections.
+//! An HTTP client with a pool of reusable connections.
 //!
-//! A connection's driver task is owned by the exchange that uses it: dropping the exchange drops
-//! the socket, which tells the server at once that nobody waits any more.
+//! An exchange owns the driver task of its connection: dropping the exchange closes the socket, which
+//! signals cancellation to the server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,37 +23,37 @@
 use smol_hyper::rt::FuturesIo;
 use thiserror::Error;
 
-/// Rest after which a kept connection is not used again, unless its server names another time.
-const DEFAULT_IDLE: Duration = Duration::from_secs(8);
-/// A kept connection is given up this long before its server would close it.
+/// Idle time after which a connection is not reused, unless its server advertises another one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Margin before the server's idle timeout at which a connection is no longer reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Unacknowledged data and probes after which the system gives a connection up.
-const DEAD_PATH: Duration = Duration::from_millis(2000);
+/// Time without acknowledgement after which the kernel closes a connection (`TCP_USER_TIMEOUT`).
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2000);
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
-/// Longest wait for the rest of an answer that nobody wants, and most bytes of it.
-const UNWANTED_LIMIT: Duration = Duration::from_millis(300);
-const UNWANTED_BYTES: usize = 64 * 1024;
+/// Limits on reading the rest of a discarded response: time, and bytes below.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_DRAIN_BYTES: usize = 64 * 1024;
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Why an exchange failed.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// No connection was made, or it ended before the request was written: nothing was sent.
+    /// The connection failed before the request was written: nothing was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The request, or a part of it, was sent; what became of it is unknown.
+    /// The connection failed after at least a part of the request was sent. The outcome is unknown.
     #[error("broken off: {0}")]
     Broken(String),
-    /// Nothing came for too long.
+    /// The timeout has passed.
     #[error("no answer in time")]
     Timeout,
-    /// The answer is larger than allowed, in bytes.
+    /// The response exceeds the limit, in bytes.
     #[error("the answer is larger than {0} bytes")]
     TooLarge(usize),
 }
 
 impl ExchangeError {
-    /// Whether the request certainly never reached the other side.
+    /// Whether the request certainly did not reach the server.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
@@ -64,26 +64,25 @@
     _driver: Task<()>,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    /// Until when it may be used again, by the clock that counts suspensions: its server closes it
-    /// meanwhile.
-    until: Moment,
+    /// When the server may close it, on the clock that includes time in suspension.
+    expires_at: Moment,
 }
 
-/// Why a connection is opened.
+/// Why a new connection is opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenReason {
-    /// It is the first one to its address.
+    /// There was no connection to the address before.
     First,
-    /// All others are in use, or were closed with what they carried.
+    /// All connections are in use, or were closed with their exchange.
     Busy,
-    /// Those that were kept have rested too long, or the other side closed them.
+    /// The idle connections have expired, or were closed by the server.
     Expired,
 }
 
 impl OpenReason {
-    /// Its name in logs and metrics.
+    /// Label in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -93,35 +92,35 @@
     }
 }
 
-/// What became of a new connection to an address.
+/// Result of probing an address by a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
-    /// It was made.
+pub enum ProbeResult {
+    /// The connection was accepted.
     Accepted,
-    /// The machine is there, and nothing listens at the address.
+    /// The host is up, but nothing listens at the address.
     Refused,
-    /// Nothing came back in time, or the way there is broken.
-    Silent,
+    /// No response in time, or the host is unreachable.
+    NoResponse,
 }
 
-impl Reach {
-    /// Its name in logs.
+impl ProbeResult {
+    /// Label in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
             Self::Refused => "refused",
-            Self::Silent => "silent",
+            Self::NoResponse => "silent",
         }
     }
 }
 
 struct PoolState {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
-    /// Told of each connection that is opened.
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    /// Called for each connection that is opened.
     on_open: Box<dyn Fn(OpenReason)>,
 }
 
-/// Kept connections by address.
+/// A pool of connections by address.
 #[derive(Clone)]
 pub struct ConnectionPool {
     executor: Rc<LocalExecutor<'static>>,
@@ -130,13 +129,13 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool, whose connections are driven by `executor`.
+    /// Creates an empty pool, whose connections are driven by `executor`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, connect_timeout: Duration) -> Self {
-        Self::told(executor, connect_timeout, |_| {})
+        Self::with_open_observer(executor, connect_timeout, |_| {})
     }
 
-    /// An empty pool that tells why it opens each connection.
-    pub fn told(
+    /// Like [`ConnectionPool::new`], with a callback that is called for each connection that is opened.
+    pub fn with_open_observer(
         executor: Rc<LocalExecutor<'static>>,
         connect_timeout: Duration,
         on_open: impl Fn(OpenReason) + 'static,
@@ -145,58 +144,63 @@
         Self { executor, state: Rc::new(state), connect_timeout }
     }
 
-    /// Whether a connection to an address waits to be used again.
+    /// Whether there is an idle connection to an address.
     pub fn has_idle(&self, address: SocketAddr) -> bool {
         let idle = self.state.idle.borrow();
         let now = since_boot();
-        let is_usable = |idle: &Idle| idle.until > now && idle.connection.sender.is_ready();
-        idle.get(&address).is_some_and(|kept| kept.iter().any(is_usable))
+        let is_usable =
+            |idle: &IdleConnection| idle.expires_at > now && idle.connection.sender.is_ready();
+        idle.get(&address).is_some_and(|connections| connections.iter().any(is_usable))
     }
 
-    /// Closes the connections to an address that wait to be used again; how many there were.
+    /// Closes the idle connections to an address; returns their number.
     pub fn close_idle(&self, address: SocketAddr) -> usize {
-        self.state.idle.borrow_mut().remove(&address).map_or(0, |kept| kept.len())
+        self.state.idle.borrow_mut().remove(&address).map_or(0, |connections| connections.len())
     }
 
-    /// Whether something listens at an address: by a new connection, which is closed at once.
-    pub async fn probe(&self, address: SocketAddr) -> Reach {
+    /// Probes whether something listens at an address, by a connection that is closed at once.
+    pub async fn probe(&self, address: SocketAddr) -> ProbeResult {
         let connecting = async { TcpStream::connect(address).await };
-        let late = async {
+        let timeout = async {
             Timer::after(self.connect_timeout).await;
             Err(io::Error::from(io::ErrorKind::TimedOut))
         };
-        match connecting.or(late).await {
-            Ok(_) => Reach::Accepted,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Reach::Refused,
-            Err(_) => Reach::Silent,
+        match connecting.or(timeout).await {
+            Ok(_) => ProbeResult::Accepted,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            Err(_) => ProbeResult::NoResponse,
         }
     }
 
-    /// Reads the rest of an answer that nobody wants, so that its connection can be used again.
-    pub fn reuse(&self, exchange: Exchange) {
-        let reading = within(UNWANTED_LIMIT, exchange.read_whole(UNWANTED_BYTES));
-        let reading = async move {
-            // A connection that was cut or stays silent is closed, and nothing is lost by it.
-            let _ = reading.await;
+    /// Reads the rest of a discarded response in the background, so that its connection can be reused.
+    pub fn drain(&self, exchange: Exchange) {
+        let draining = with_timeout(DRAIN_TIMEOUT, exchange.read_full(MAX_DRAIN_BYTES));
+        let draining = async move {
+            // On an error or timeout the connection is just closed.
+            let _ = draining.await;
         };
-        self.executor.spawn(reading).detach();
+        self.executor.spawn(draining).detach();
     }
 
-    /// Sends a request; the answer's head has come when this returns.
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no connection can be opened, or it breaks before the head has arrived.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, ExchangeError> {
         let mut request = request;
-        let mut reason = self.reason_to_open(address);
+        let mut reason = self.open_reason(address);
         while let Some(mut connection) = self.take_idle(address) {
             reason = OpenReason::Expired;
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok(self.exchange(address, connection, response)),
                 Err(mut error) => match error.take_message() {
-                    // The server closed the kept connection before the request was written.
-                    Some(unsent) => request = unsent,
+                    // The server closed the idle connection before the request was written.
+                    Some(returned_request) => request = returned_request,
                     None => return Err(ExchangeError::Broken(error.into_error().to_string())),
                 },
             }
@@ -206,9 +210,9 @@
         match connection.sender.try_send_request(request).await {
             Ok(response) => Ok(self.exchange(address, connection, response)),
             Err(mut error) => {
-                let is_unsent = error.take_message().is_some();
+                let is_not_sent = error.take_message().is_some();
                 let reason = error.into_error().to_string();
-                Err(if is_unsent {
+                Err(if is_not_sent {
                     ExchangeError::NotSent(reason)
                 } else {
                     ExchangeError::Broken(reason)
@@ -217,17 +221,21 @@
         }
     }
 
-    /// Sends a request and reads its whole answer within `timeout`.
+    /// Sends a request and reads the complete response within `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// Fails like [`ConnectionPool::send`], after `timeout`, or if the body exceeds `max_bytes`.
     pub async fn fetch(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
         max_bytes: usize,
-    ) -> Result<WholeAnswer, ExchangeError> {
-        within(timeout, async {
+    ) -> Result<FullResponse, ExchangeError> {
+        with_timeout(timeout, async {
             let exchange = self.send(address, request).await?;
-            exchange.read_whole(max_bytes).await
+            exchange.read_full(max_bytes).await
         })
         .await
     }
@@ -239,31 +247,31 @@
         response: Response<Incoming>,
     ) -> Exchange {
         let (head, body) = response.into_parts();
-        let kept_for = kept_for(&head.headers);
+        let idle_timeout = idle_timeout(&head.headers);
         Exchange {
             status: head.status,
             headers: head.headers,
             body,
-            home: Home { pool: self.clone(), address, connection, kept_for },
+            pooled: PooledConnection { pool: self.clone(), address, connection, idle_timeout },
         }
     }
 
-    /// Why a connection has to be opened if none that is kept can be used.
-    fn reason_to_open(&self, address: SocketAddr) -> OpenReason {
+    /// The reason for opening a connection if no idle one can be used.
+    fn open_reason(&self, address: SocketAddr) -> OpenReason {
         match self.state.idle.borrow().get(&address) {
             None => OpenReason::First,
-            Some(kept) if kept.is_empty() => OpenReason::Busy,
+            Some(connections) if connections.is_empty() => OpenReason::Busy,
             Some(_) => OpenReason::Expired,
         }
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.state.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
+        let connections = idle.get_mut(&address)?;
         let now = since_boot();
-        kept.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-        let position = kept.iter().rposition(|idle| idle.connection.sender.is_ready())?;
-        Some(kept.swap_remove(position).connection)
+        connections.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        let position = connections.iter().rposition(|idle| idle.connection.sender.is_ready())?;
+        Some(connections.swap_remove(position).connection)
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
@@ -275,47 +283,51 @@
                 Err(ExchangeError::NotSent("no connection in time".to_owned()))
             })
             .await?;
-        bound_dead_path(&socket);
+        set_dead_peer_timeouts(&socket);
         let (sender, driver) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(FuturesIo::new(socket))
             .await
             .map_err(|error| not_sent(&error))?;
         let driver = self.executor.spawn(async move {
-            // Its error also reaches whoever waits for the answer.
+            // The exchange receives the same error.
             let _ = driver.await;
         });
         Ok(Connection { sender, _driver: driver })
     }
 }
 
-/// Makes the system notice a peer that has vanished, also while nothing is being sent.
-fn bound_dead_path(socket: &TcpStream) {
+/// Makes the kernel detect a dead peer, both while data is unacknowledged and while idle.
+fn set_dead_peer_timeouts(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
-    let reference = socket2::SockRef::from(socket);
+    let socket_ref = socket2::SockRef::from(socket);
     let keepalive = socket2::TcpKeepalive::new()
         .with_time(KEEPALIVE_PERIOD)
         .with_interval(KEEPALIVE_PERIOD)
         .with_retries(2);
-    let _ = reference.set_tcp_keepalive(&keepalive);
-    let _ = reference.set_tcp_user_timeout(Some(DEAD_PATH));
+    let _ = socket_ref.set_tcp_keepalive(&keepalive);
+    let _ = socket_ref.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
-/// How long an answer lets its connection rest; zero when it is to be closed.
-fn kept_for(headers: &HeaderMap) -> Duration {
+/// How long the connection may stay idle after a response; zero if it must not be reused.
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     let value = |name| headers.get(name).and_then(|value: &http::HeaderValue| value.to_str().ok());
     if value(http::header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close")) {
         return Duration::ZERO;
     }
-    let stated = value(http::HeaderName::from_static("keep-alive")).and_then(|value| {
+    let advertised = value(http::HeaderName::from_static("keep-alive")).and_then(|value| {
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse::<u64>().ok()
     });
-    stated.map_or(DEFAULT_IDLE, Duration::from_secs).saturating_sub(IDLE_MARGIN)
+    advertised.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs).saturating_sub(IDLE_MARGIN)
 }
 
-/// Bounds a future by time.
-pub async fn within<T>(
+/// Runs a future with a timeout.
+///
+/// # Errors
+///
+/// Fails with [`ExchangeError::Timeout`] after `timeout`, or with the error of the future.
+pub async fn with_timeout<T>(
     timeout: Duration,
     work: impl std::future::Future<Output = Result<T, ExchangeError>>,
 ) -> Result<T, ExchangeError> {
@@ -326,41 +338,45 @@
     .await
 }
 
-struct Home {
+struct PooledConnection {
     pool: ConnectionPool,
     address: SocketAddr,
     connection: Connection,
-    kept_for: Duration,
+    idle_timeout: Duration,
 }
 
-/// An answer whose body is still to be read. Dropping it closes the connection.
+/// A response whose body has not been read yet. Dropping it closes the connection.
 pub struct Exchange {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: HeaderMap,
     body: Incoming,
-    home: Home,
+    pooled: PooledConnection,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
-pub struct WholeAnswer {
-    /// Status of the answer.
+pub struct FullResponse {
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Bytes,
 }
 
 impl Exchange {
-    /// A header's value, where it is text.
+    /// The value of a header, if it is present and valid text.
     pub fn header(&self, name: &http::HeaderName) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The next bytes of the body; nothing at its proper end. A cut body is an error.
+    /// Reads the next bytes of the body; `None` at its end.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body is truncated or the connection fails.
     pub async fn next_bytes(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match self.body.frame().await {
@@ -369,15 +385,19 @@
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => return Ok(Some(data)),
-                    // Trailers concern nobody here.
+                    // Ignore trailers.
                     Err(_) => {}
                 },
             }
         }
     }
 
-    /// Reads the whole body and keeps the connection for further requests.
-    pub async fn read_whole(mut self, max_bytes: usize) -> Result<WholeAnswer, ExchangeError> {
+    /// Reads the complete body and returns the connection to the pool.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body is truncated or exceeds `max_bytes`.
+    pub async fn read_full(mut self, max_bytes: usize) -> Result<FullResponse, ExchangeError> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next_bytes().await? {
             if body.len() + bytes.len() > max_bytes {
@@ -386,18 +406,18 @@
             body.extend_from_slice(&bytes);
         }
         let (status, headers) = (self.status, std::mem::take(&mut self.headers));
-        self.keep();
-        Ok(WholeAnswer { status, headers, body: body.freeze() })
+        self.return_to_pool();
+        Ok(FullResponse { status, headers, body: body.freeze() })
     }
 
-    /// Keeps the connection. Only for a body that was read to its proper end.
-    pub fn keep(self) {
-        let Home { pool, address, connection, kept_for } = self.home;
-        if kept_for.is_zero() || connection.sender.is_closed() {
+    /// Returns the connection to the pool. The body must have been read to its end.
+    pub fn return_to_pool(self) {
+        let PooledConnection { pool, address, connection, idle_timeout } = self.pooled;
+        if idle_timeout.is_zero() || connection.sender.is_closed() {
             return;
         }
         let mut idle = pool.state.idle.borrow_mut();
-        let until = since_boot() + kept_for;
-        idle.entry(address).or_default().push(Idle { connection, until });
+        let expires_at = since_boot() + idle_timeout;
+        idle.entry(address).or_default().push(IdleConnection { connection, expires_at });
     }
 }
--- a/crates/heronbend-gateway/src/http/mod.rs
+++ b/crates/heronbend-gateway/src/http/mod.rs
@@ -1,13 +1,12 @@
 //! HTTP/1.1 on `hyper` and `smol`.
 //!
-//! The service passes requests on byte by byte as they came, takes answers that end with their
-//! connection, and ends a server's work as soon as its client leaves. `async-h1`, which the
-//! standalone daemon uses, rewrites targets, cannot read answers without a length and does not
-//! notice a client that leaves; see docs/DESIGN.md.
+//! The gateway forwards requests unmodified, supports responses that are delimited by the end of the
+//! connection, and cancels the work of a server when its client disconnects. `async-h1`, which the
+//! standalone daemon uses, supports none of this; see docs/DESIGN.md.
 //!
-//! - [`body`]: bodies of answers.
-//! - [`client`]: kept connections to servers and peers.
-//! - [`server`]: connections of callers and peers.
+//! - [`body`]: response bodies.
+//! - [`client`]: a client with pooled connections to servers and peers.
+//! - [`server`]: a server for callers and peers.
 
 pub mod body;
 pub mod client;
@@ -16,22 +15,26 @@
 use bytes::Bytes;
 use http::{Response, StatusCode};
 
-pub use body::AnswerBody;
+pub use body::ResponseBody;
 
-/// An answer to a caller.
-pub type Answer = Response<AnswerBody>;
+/// An HTTP response of the gateway.
+pub type HttpResponse = Response<ResponseBody>;
 
-/// An answer with a short text.
-pub fn text_answer(status: StatusCode, text: &'static str) -> Answer {
-    bytes_answer(status, "text/plain", Bytes::from_static(text.as_bytes()))
+/// Creates a plain-text response.
+pub fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
+    bytes_response(status, "text/plain", Bytes::from_static(text.as_bytes()))
 }
 
-/// An answer with a whole body.
-pub fn bytes_answer(status: StatusCode, content_type: &'static str, bytes: Bytes) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(bytes));
-    *answer.status_mut() = status;
-    answer
+/// Creates a response with a complete body.
+pub fn bytes_response(
+    status: StatusCode,
+    content_type: &'static str,
+    bytes: Bytes,
+) -> HttpResponse {
+    let mut response = Response::new(ResponseBody::full(bytes));
+    *response.status_mut() = status;
+    response
         .headers_mut()
         .insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static(content_type));
-    answer
+    response
 }
--- a/crates/heronbend-gateway/src/http/server.rs
+++ b/crates/heronbend-gateway/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers and peers.
+//! An HTTP server for callers and peers, with graceful shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -21,23 +21,23 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 use thiserror::Error;
 
-use super::Answer;
+use super::HttpResponse;
 use crate::memory::Hold;
 
-/// Wait after a connection could not be accepted, as when descriptors run out.
+/// Delay after a failed accept, such as when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const MIN_HEAD_BYTES: usize = 8 * 1024;
 
-/// Limits on one listener's clients; may change while it serves.
+/// Limits on the clients of a listener. May change while it serves.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
-    /// Largest head in bytes.
+    /// Largest request head in bytes.
     pub max_head_bytes: usize,
-    /// Longest time between the end of one request and the whole head of the next.
+    /// Longest time from the end of one request to the complete head of the next.
     pub head_timeout: Duration,
 }
 
-/// What one listener's connections are doing.
+/// Accepts connections and tracks their requests.
 #[derive(Default)]
 pub struct Listener {
     exchanges: Cell<usize>,
@@ -48,38 +48,38 @@
 }
 
 impl Listener {
-    /// A listener that is not serving yet.
+    /// Creates a listener that does not accept connections yet.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// Sets the limits for connections that come from now on.
+    /// Sets the limits for new connections.
     pub fn set_limits(&self, limits: ListenerLimits) {
         *self.limits.borrow_mut() = Some(limits);
     }
 
-    /// Requests whose answer is not yet handed to the connection.
+    /// Number of requests whose handler has not returned a response yet.
     pub fn exchanges(&self) -> usize {
         self.exchanges.get()
     }
 
-    /// Open connections: while one is open, an answer may still be on its way.
+    /// Number of open connections. While one is open, a response may still be being sent.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Ends every connection with its next answer, while new ones are still accepted.
+    /// Closes every connection after its next response. New connections are still accepted.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Stops accepting, and closes the connections that rest.
+    /// Stops accepting connections, and closes idle ones.
     pub fn close(&self) {
         self.draining.set(true);
         self.closing.notify(usize::MAX);
     }
 
-    /// Accepts connections until closed, and serves each on `executor`.
+    /// Accepts connections until [`Listener::close`] is called, and serves each on `executor`.
     pub async fn serve<H, F>(
         self: Rc<Self>,
         executor: Rc<LocalExecutor<'static>>,
@@ -87,12 +87,12 @@
         handler: H,
     ) where
         H: Fn(Request<Incoming>) -> F + Clone + 'static,
-        F: Future<Output = Answer> + 'static,
+        F: Future<Output = HttpResponse> + 'static,
     {
-        let closed = self.closing.listen();
-        let serve_one = |connection: smol::net::TcpStream| {
+        let close_requested = self.closing.listen();
+        let spawn_connection = |connection: smol::net::TcpStream| {
             let _ = connection.set_nodelay(true);
-            let open = CountedConnection::new(&self);
+            let open = ConnectionGuard::new(&self);
             let serving = self.clone().serve_connection(connection, handler.clone());
             let serving = async move {
                 serving.await;
@@ -103,21 +103,21 @@
         let accept = async {
             loop {
                 match socket.accept().await {
-                    Ok((connection, _)) => serve_one(connection),
+                    Ok((connection, _)) => spawn_connection(connection),
                     Err(_) => {
                         Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
         };
-        accept.or(closed).await;
-        closing::close(socket, serve_one).await;
+        accept.or(close_requested).await;
+        closing::close(socket, spawn_connection).await;
     }
 
     async fn serve_connection<H, F>(self: Rc<Self>, socket: smol::net::TcpStream, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
-        F: Future<Output = Answer> + 'static,
+        F: Future<Output = HttpResponse> + 'static,
     {
         let mut builder = hyper::server::conn::http1::Builder::new();
         builder.timer(SmolTimer::new());
@@ -129,19 +129,19 @@
         let listener = self.clone();
         let service = service_fn(move |request| {
             let listener = listener.clone();
-            let answering = handler(request);
+            let response = handler(request);
             async move {
-                let _counted = Counted::new(&listener);
-                let mut answer = answering.await;
+                let _guard = ExchangeGuard::new(&listener);
+                let mut response = response.await;
                 if listener.draining.get() {
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                Ok::<_, Infallible>(answer)
+                Ok::<_, Infallible>(response)
             }
         });
         let connection = builder.serve_connection(FuturesIo::new(socket), service);
         futures_lite::pin!(connection);
-        let ended = async {
+        let has_ended = async {
             let _ = connection.as_mut().await;
             true
         }
@@ -150,81 +150,85 @@
             false
         })
         .await;
-        if !ended {
+        if !has_ended {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
 }
 
-struct Counted<'a>(&'a Listener);
+struct ExchangeGuard<'a>(&'a Listener);
 
-impl<'a> Counted<'a> {
+impl<'a> ExchangeGuard<'a> {
     fn new(listener: &'a Listener) -> Self {
         listener.exchanges.set(listener.exchanges.get() + 1);
         Self(listener)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for ExchangeGuard<'_> {
     fn drop(&mut self) {
         self.0.exchanges.set(self.0.exchanges.get() - 1);
     }
 }
 
-struct CountedConnection(Rc<Listener>);
+struct ConnectionGuard(Rc<Listener>);
 
-impl CountedConnection {
+impl ConnectionGuard {
     fn new(listener: &Rc<Listener>) -> Self {
         listener.connections.set(listener.connections.get() + 1);
         Self(listener.clone())
     }
 }
 
-impl Drop for CountedConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
 }
 
-/// Why a request's body could not be read.
+/// Why the body of a request could not be read.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body exceeds the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// There is no memory for it now.
+    /// The memory limit for requests is reached.
     #[error("there is no memory for the body now")]
-    NoRoom,
-    /// Nothing of it came for too long.
+    OutOfMemory,
+    /// No data arrived within the idle timeout.
     #[error("the body did not come in time")]
-    Slow,
-    /// The client broke off.
+    Timeout,
+    /// The client aborted the request.
     #[error("the body was cut: {0}")]
-    Cut(io::Error),
+    Aborted(io::Error),
 }
 
-/// Limits on a request's body.
+/// Limits on the body of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
-    /// Most bytes.
+    /// Largest body in bytes.
     pub max_bytes: usize,
-    /// Longest time without a byte.
+    /// Longest time without data.
     pub idle: Duration,
 }
 
-/// Reads a request's whole body, as far as there is memory for it.
+/// Reads the complete body of a request, and accounts its memory in `hold`.
+///
+/// # Errors
+///
+/// Fails if a limit is exceeded, memory is short or the client aborts.
 pub async fn read_body(
     mut body: Incoming,
     limits: BodyLimits,
     hold: &mut Hold,
 ) -> Result<Bytes, BodyError> {
-    let stated = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if stated > limits.max_bytes {
+    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if announced > limits.max_bytes {
         return Err(BodyError::TooLarge(limits.max_bytes));
     }
-    if !hold.grow(stated) {
-        return Err(BodyError::NoRoom);
+    if !hold.grow(announced) {
+        return Err(BodyError::OutOfMemory);
     }
     let mut bytes = BytesMut::new();
     while let Some(frame) = next_frame(&mut body, limits.idle).await? {
@@ -233,9 +237,9 @@
         if length > limits.max_bytes {
             return Err(BodyError::TooLarge(limits.max_bytes));
         }
-        let unstated = length.saturating_sub(stated.max(bytes.len()));
-        if !hold.grow(unstated) {
-            return Err(BodyError::NoRoom);
+        let unannounced = length.saturating_sub(announced.max(bytes.len()));
+        if !hold.grow(unannounced) {
+            return Err(BodyError::OutOfMemory);
         }
         bytes.extend_from_slice(&data);
     }
@@ -248,11 +252,11 @@
 ) -> Result<Option<Frame<Bytes>>, BodyError> {
     let frame = async {
         let frame = body.frame().await.transpose();
-        frame.map_err(|error| BodyError::Cut(io::Error::other(error)))
+        frame.map_err(|error| BodyError::Aborted(io::Error::other(error)))
     };
     let silent = async {
         Timer::after(idle).await;
-        Err(BodyError::Slow)
+        Err(BodyError::Timeout)
     };
     frame.or(silent).await
 }
--- a/crates/heronbend-gateway/src/keeper.rs
+++ b/crates/heronbend-gateway/src/keeper.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::{Gateway, Identity, Tuning};
 use crate::ports::{Condition, Object, ObjectStore, Ports};
-use crate::reflector::{self, MirrorSink, Source};
+use crate::reflector::{self, ObjectHandler, Source};
 use crate::service::StartError;
 
 const GATHERING: Duration = Duration::from_millis(200);
@@ -66,7 +66,7 @@
         let kind = gateway.dialect.kinds().retirements;
         let sink = RetirementSink { gateway: gateway.clone(), open: RefCell::default() };
         executor
-            .spawn(reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, sink))
+            .spawn(reflector::run(gateway.clone(), kind, Source::Store, GATHERING, sink))
             .detach();
         executor.spawn(log_reloads(reload)).detach();
         stop.wait().await;
@@ -111,12 +111,12 @@
     }
 }
 
-impl MirrorSink for RetirementSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for RetirementSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         self.open.borrow_mut().retain(|open| names.contains(open));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if self.gateway.dialect.is_retired(&object.status) {
             return;
         }
--- a/crates/heronbend-gateway/src/lease_manager.rs
+++ b/crates/heronbend-gateway/src/lease_manager.rs
@@ -1,4 +1,4 @@
-//! One daemon's hold on a lease in the store, and what daemons tell each other of it.
+//! Acquires and renews a lease in the object store, and announces renewals to the other daemons.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::gateway::Gateway;
 use crate::lease_state::LeaseName;
-use crate::lease_state::LeaseNews;
+use crate::lease_state::LeaseState;
 use crate::peers::Hint;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -17,59 +17,62 @@
 use crate::versions::lease::LeaseHold;
 use crate::versions::lease::LeaseRecord;
 
-/// Kind of the leases' objects.
+/// Kind of the lease objects.
 const LEASE_KIND: &str = "heronbend-leases";
 
-/// Takes and renews a lease for one daemon.
-pub struct LeaseKeeper {
+/// Acquires and renews a lease on behalf of this daemon.
+pub struct LeaseManager {
     gateway: Rc<Gateway>,
     lease: LeaseName,
     hold: RefCell<LeaseHold>,
 }
 
-impl LeaseKeeper {
-    /// The keeper of a daemon that knows nothing yet.
+impl LeaseManager {
+    /// Creates a manager that has not read the lease yet.
     pub fn new(gateway: Rc<Gateway>, lease: LeaseName) -> Self {
-        let me = gateway.identity.node.name.clone();
-        let hold = RefCell::new(LeaseHold::new(me, gateway.tuning().lease_pause));
+        let this_node = gateway.identity.node.name.clone();
+        let hold = RefCell::new(LeaseHold::new(this_node, gateway.tuning().lease_pause));
         Self { gateway, lease, hold }
     }
 
-    fn news(&self) -> &LeaseNews {
+    fn state(&self) -> &LeaseState {
         self.gateway.lease_news(self.lease)
     }
 
-    /// The fencing token, if this daemon may act now.
+    /// Returns the fencing token if this daemon holds the lease and may act on it now.
     pub fn token(&self) -> Option<u64> {
         self.hold.borrow().token(self.gateway.now())
     }
 
-    /// When this daemon may act, if it is the holder and has to wait for that.
+    /// Returns from when this daemon may act, if it holds the lease but has to wait for that.
     pub fn waits_until(&self) -> Option<Moment> {
         self.hold.borrow().waits_until(self.gateway.now())
     }
 
-    /// Notes that nothing may be done until the lease is renewed.
-    pub fn lost_track(&self) {
+    /// Forbids acting on the lease until it is renewed.
+    pub fn invalidate(&self) {
         self.hold.borrow_mut().lost_track();
     }
 
-    /// Reads the lease's object.
+    /// Reads the lease from the store. Errors are logged.
     pub async fn read(&self) {
-        match self.gateway.store.get(LEASE_KIND, self.lease.object()).await {
+        match self.gateway.store.get(LEASE_KIND, self.lease.object_name()).await {
             Ok(Some(object)) => self.observe(&object),
             Ok(None) => {}
             Err(error) => {
-                log::warn!("event=lease_not_read lease={} error=\"{error}\"", self.lease.object());
+                log::warn!(
+                    "event=lease_not_read lease={} error=\"{error}\"",
+                    self.lease.object_name()
+                );
             }
         }
     }
 
     fn observe(&self, object: &Object) {
-        let name = self.lease.object();
+        let name = self.lease.object_name();
         match serde_json::from_value::<LeaseRecord>(object.content.clone()) {
             Ok(record) => {
-                if self.news().holder().as_ref() != Some(&record.holder) {
+                if self.state().holder().as_ref() != Some(&record.holder) {
                     log::info!(
                         "event=lease_seen lease={name} holder={} term={}",
                         record.holder,
@@ -77,37 +80,37 @@
                     );
                 }
                 let now = self.gateway.now();
-                self.news().set_holder(now, record.holder.clone());
+                self.state().set_holder(now, record.holder.clone());
                 self.hold.borrow_mut().observed(object.revision, record, now);
             }
             Err(error) => log::error!("event=lease_malformed lease={name} error=\"{error}\""),
         }
     }
 
-    /// Renews or takes the lease; whether this daemon may act now.
-    pub async fn ensure(&self) -> bool {
+    /// Acquires or renews the lease if necessary; returns whether this daemon may act on it now.
+    pub async fn acquire_or_renew(&self) -> bool {
         let gateway = &self.gateway;
-        if let Some((revision, record, since)) = self.news().told() {
+        if let Some((revision, record, since)) = self.state().newest_renewal() {
             self.hold.borrow_mut().observed(revision, record, since);
         }
-        let sent = gateway.now();
-        if self.hold.borrow().token(sent).is_some() {
+        let sent_at = gateway.now();
+        if self.hold.borrow().token(sent_at).is_some() {
             return true;
         }
-        if self.hold.borrow().waits_until(sent).is_some() {
+        if self.hold.borrow().waits_until(sent_at).is_some() {
             return false;
         }
-        let record = self.hold.borrow().next_record(sent);
+        let record = self.hold.borrow().next_record(sent_at);
         let content = serde_json::json!(record);
         let revision = self.hold.borrow().revision();
-        let (store, name) = (&gateway.store, self.lease.object());
-        let written = match revision {
+        let (store, name) = (&gateway.store, self.lease.object_name());
+        let result = match revision {
             Some(at) => store.replace(LEASE_KIND, name, content, Condition::At(at)).await,
             None => store.create(LEASE_KIND, name, content).await,
         };
-        match written {
+        match result {
             Ok(object) => {
-                self.note_renewed(&object, record, sent);
+                self.on_renewed(&object, record, sent_at);
                 self.token().is_some()
             }
             Err(StoreError::Conflict(Some(object))) => {
@@ -116,29 +119,29 @@
             }
             Err(error) => {
                 log::warn!("event=lease_not_renewed lease={name} error=\"{error}\"");
-                self.lost_track();
+                self.invalidate();
                 self.read().await;
                 false
             }
         }
     }
 
-    /// Takes in that a renewal sent at `sent` was acknowledged.
-    fn note_renewed(&self, object: &Object, record: LeaseRecord, sent: Moment) {
+    /// Records and announces an acknowledged renewal, which was sent at `sent_at`.
+    fn on_renewed(&self, object: &Object, record: LeaseRecord, sent_at: Moment) {
         let gateway = &self.gateway;
-        let me: &NodeName = &gateway.identity.node.name;
+        let this_node: &NodeName = &gateway.identity.node.name;
         let now = gateway.now();
         let mut hold = self.hold.borrow_mut();
-        let was_holder = hold.holder() == Some(me);
-        hold.renewed(object.revision, record.clone(), sent, now);
-        self.news().set_holder(now, me.clone());
+        let was_holder = hold.holder() == Some(this_node);
+        hold.renewed(object.revision, record.clone(), sent_at, now);
+        self.state().set_holder(now, this_node.clone());
         let (lease, revision) = (self.lease, object.revision);
-        gateway.members.tell_all(Hint::LeaseRenewed { lease, revision, record });
+        gateway.members.broadcast(Hint::LeaseRenewed { lease, revision, record });
         if !was_holder {
             let wait = hold.waits_until(now).map_or(0, |until| (until - now).as_millis());
             log::info!(
                 "event=lease_taken lease={} term={revision} acts_in_ms={wait}",
-                lease.object()
+                lease.object_name()
             );
         }
     }
--- a/crates/heronbend-gateway/src/lease_state.rs
+++ b/crates/heronbend-gateway/src/lease_state.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of a lease.
+//! What this daemon knows about a lease from the store and from its peers.
 
 use std::cell::RefCell;
 
@@ -10,19 +10,19 @@
 use crate::ports::Revision;
 use crate::versions::lease::LeaseRecord;
 
-/// A lease.
+/// Names a lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode)]
 pub enum LeaseName {
-    /// For orders to servers.
+    /// For commands to servers.
     #[default]
     Orders,
-    /// For duties towards the provider.
+    /// For calls to the provider.
     Duties,
 }
 
 impl LeaseName {
-    /// Name of its object.
-    pub fn object(self) -> &'static str {
+    /// Name of the lease's object in the store.
+    pub fn object_name(self) -> &'static str {
         match self {
             Self::Orders => "orders",
             Self::Duties => "duties",
@@ -30,26 +30,26 @@
     }
 }
 
-/// Who holds a lease, as far as is known here.
+/// The last known holder and renewal of a lease.
 #[derive(Default)]
-pub struct LeaseNews {
+pub struct LeaseState {
     last_holder: RefCell<Option<(NodeName, Moment)>>,
-    /// The newest renewal that its holder has told of, and since when.
-    told: RefCell<Option<(Revision, LeaseRecord, Moment)>>,
+    /// The newest renewal that was announced, and when it was received.
+    newest_renewal: RefCell<Option<(Revision, LeaseRecord, Moment)>>,
 }
 
-impl LeaseNews {
-    /// Who holds the lease, and since when this daemon knows it.
+impl LeaseState {
+    /// The last known holder, and when it became known.
     pub fn last_holder(&self) -> Option<(NodeName, Moment)> {
         self.last_holder.borrow().clone()
     }
 
-    /// Who holds the lease.
+    /// The last known holder.
     pub fn holder(&self) -> Option<NodeName> {
         self.last_holder.borrow().as_ref().map(|(holder, _)| holder.clone())
     }
 
-    /// Notes who holds the lease.
+    /// Records the holder of the lease.
     pub fn set_holder(&self, now: Moment, holder: NodeName) {
         let mut last = self.last_holder.borrow_mut();
         if last.as_ref().is_none_or(|(known, _)| *known != holder) {
@@ -57,24 +57,24 @@
         }
     }
 
-    /// Notes a renewal that its holder tells of.
-    pub fn tell(&self, now: Moment, revision: Revision, record: LeaseRecord) {
-        let mut told = self.told.borrow_mut();
-        if told.as_ref().is_none_or(|(known, ..)| *known < revision) {
+    /// Records a renewal that its holder announced. Older ones than the newest are ignored.
+    pub fn record_renewal(&self, now: Moment, revision: Revision, record: LeaseRecord) {
+        let mut newest = self.newest_renewal.borrow_mut();
+        if newest.as_ref().is_none_or(|(known, ..)| *known < revision) {
             self.set_holder(now, record.holder.clone());
-            *told = Some((revision, record, now));
+            *newest = Some((revision, record, now));
         }
     }
 
-    /// When this daemon last heard that the lease was taken or renewed.
-    pub fn last_renewal(&self) -> Option<Moment> {
-        let taken = self.last_holder.borrow().as_ref().map(|(_, since)| *since);
-        let told = self.told.borrow().as_ref().map(|(.., since)| *since);
-        taken.max(told)
+    /// When this daemon last learned that the lease was acquired or renewed.
+    pub fn last_renewal_at(&self) -> Option<Moment> {
+        let acquired_at = self.last_holder.borrow().as_ref().map(|(_, since)| *since);
+        let newest = self.newest_renewal.borrow().as_ref().map(|(.., since)| *since);
+        acquired_at.max(newest)
     }
 
-    /// The newest renewal that was told of, and since when.
-    pub fn told(&self) -> Option<(Revision, LeaseRecord, Moment)> {
-        self.told.borrow().clone()
+    /// The newest renewal that was announced, and when it was received.
+    pub fn newest_renewal(&self) -> Option<(Revision, LeaseRecord, Moment)> {
+        self.newest_renewal.borrow().clone()
     }
 }
--- a/crates/heronbend-gateway/src/peers/bootstrap.rs
+++ b/crates/heronbend-gateway/src/peers/bootstrap.rs
@@ -1,10 +1,8 @@
-//! What a daemon that starts is told by one that is up: the members, the jobs, and the objects that
-//! daemons follow by way of each other.
+//! Fetches the initial state of a starting daemon from a running one: members, jobs, leases and snapshots of
+//! the replicated objects.
 //!
-//! Without it each start costs the store a list of every kind, and a whole fleet that starts asks the
-//! store for the same at once. A daemon that nobody answers, or to whom nobody can tell the objects,
-//! lists for itself. Later on, daemons tell each other now and then of the jobs that they know: the
-//! hints by which these are told may be lost.
+//! This saves the store from listing every kind at each start. A daemon that receives no snapshots lists the
+//! objects itself. Jobs are also exchanged periodically later on, because hints about them may be lost.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,191 +16,191 @@
 use smol::Timer;
 
 use super::client;
+use super::messages::CompressedSnapshot;
 use super::messages::JobEntry;
-use super::messages::KindState;
+use super::messages::KindSnapshot;
 use super::messages::LeaseRenewal;
-use super::messages::PackedKind;
 use super::PeerReply;
 use super::PeerRequest;
-use super::Untelling;
+use super::UpstreamFailure;
 use crate::batch::registry::Job;
 use crate::batch::runner::start_own_jobs;
 use crate::compressed_update;
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::quarantine::news;
-use crate::reflector::KnownObjects;
-use crate::upstream::Way;
+use crate::reflector::ObjectList;
+use crate::upstream::Upstream;
 use crate::wait;
 
-/// Time after the start in which some other daemon has to be heard of.
-const CONTACT_WAIT: Duration = Duration::from_millis(500);
-/// Time after the start in which some daemon has to know the objects, where the whole system starts
-/// for the first time: those that watch the store read them meanwhile, and nobody waits yet.
-const FIRST_START_WAIT: Duration = Duration::from_millis(1800);
-/// The same at every other start. One that is up tells within some hundredths of a second; where all
-/// were lost at once, callers wait for each of them.
-const RESTART_WAIT: Duration = Duration::from_millis(250);
-/// Time after which the members of a fleet that starts as a whole are mostly known; they are known
-/// sooner where none was added between two looks.
-const FLEET_KNOWN: Duration = Duration::from_millis(600);
-/// Rest between two daemons that are asked.
-const REST: Duration = Duration::from_millis(60);
-/// Time for which a daemon that did not answer is not asked again.
-const UNANSWERED_REST: Duration = Duration::from_millis(1500);
-/// Time that a daemon is given to answer.
+/// Time after the start within which another daemon has to be discovered.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of the bootstrap at the first start of the whole system. Long enough for the daemons that watch
+/// the store to list the objects.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Timeout of the bootstrap at every other start. Short, since callers may be waiting.
+const RESTART_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after which the membership counts as settled, unless it was unchanged between two attempts before.
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(600);
+/// Delay between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// Backoff before a peer that did not answer is asked again.
+const NO_RESPONSE_BACKOFF: Duration = Duration::from_millis(1500);
+/// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Most bytes of objects in one answer, before they are packed. A tenth is left then, which a link of 60
-/// Mbit/s carries to thirty askers at once within the time for a call. To pack what is not told would
-/// cost a small daemon half of a second for ten thousand servers, for each asker after each change.
+/// Largest total size of the snapshots in one reply, in bytes before compression. Bounds the network and CPU
+/// load when many daemons start at once.
 const MAX_OBJECT_BYTES: usize = 640 * 1024;
-/// A second daemon is asked so long after the first one answered, which may have started itself a
-/// moment before.
-const SECOND_LOOK: Duration = Duration::from_millis(1500);
+/// Delay before the jobs are fetched from a second peer, since the first one may have just started too.
+const JOB_REFRESH_DELAY: Duration = Duration::from_millis(1500);
 
-/// What this daemon was told when it started.
+/// Progress and result of this daemon's bootstrap.
 #[derive(Default)]
-pub struct Introduction {
-    kinds: RefCell<HashMap<String, KnownObjects>>,
-    is_under_way: Cell<bool>,
+pub struct Bootstrap {
+    snapshots: RefCell<HashMap<String, ObjectList>>,
+    is_running: Cell<bool>,
     /// Whether the whole system starts for the first time.
     is_first_start: Cell<bool>,
-    /// Whether a daemon that knows the jobs, and so has been up for a while, has told all.
+    /// Whether the state came from a peer that has loaded all jobs.
     is_complete: Cell<bool>,
-    over: Event,
+    finished: Event,
 }
 
-impl Introduction {
-    /// Notes that other daemons are going to be asked.
+impl Bootstrap {
+    /// Marks the bootstrap as running.
     pub fn begin(&self, is_first_start: bool) {
         self.is_first_start.set(is_first_start);
-        self.is_under_way.set(true);
+        self.is_running.set(true);
     }
 
-    /// How long others are asked after the start.
-    fn limit(&self) -> Duration {
+    /// Time after the start at which the bootstrap is given up.
+    fn timeout(&self) -> Duration {
         if self.is_first_start.get() {
-            FIRST_START_WAIT
+            FIRST_START_TIMEOUT
         } else {
-            RESTART_WAIT
+            RESTART_TIMEOUT
         }
     }
 
-    /// Waits until others have told this daemon what they know, or nobody is going to.
+    /// Waits until the bootstrap has finished or failed.
     pub async fn wait(&self) {
         loop {
-            let over = self.over.listen();
-            if !self.is_under_way.get() {
+            let finished = self.finished.listen();
+            if !self.is_running.get() {
                 return;
             }
-            over.await;
+            finished.await;
         }
     }
 
-    /// Waits for the end, and takes the objects of a kind that were told.
-    pub async fn take(&self, kind: &str) -> Option<KnownObjects> {
+    /// Waits for the bootstrap and takes the snapshot of a kind, if one was received.
+    pub async fn take_objects(&self, kind: &str) -> Option<ObjectList> {
         self.wait().await;
-        self.kinds.borrow_mut().remove(kind)
+        self.snapshots.borrow_mut().remove(kind)
     }
 
-    /// Whether a daemon that has been up for a while has told this one what it knows.
+    /// Whether the state came from a peer that has loaded all jobs.
     pub fn is_complete(&self) -> bool {
         self.is_complete.get()
     }
 
-    fn end(&self, told: Option<&Told>) {
-        self.is_complete.set(told.is_some_and(|told| told.knows_jobs));
-        self.is_under_way.set(false);
-        self.over.notify(usize::MAX);
+    fn finish(&self, result: Option<&BootstrapResult>) {
+        self.is_complete.set(result.is_some_and(|result| result.knows_jobs));
+        self.is_running.set(false);
+        self.finished.notify(usize::MAX);
     }
 }
 
-/// What an asker wants to be told beside the jobs.
+/// Optional parts of the reply to a bootstrap request.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted {
-    /// The objects that daemons follow.
+pub struct BootstrapOptions {
+    /// Whether to include snapshots of the replicated objects.
     pub objects: bool,
-    /// Whether it understands packed ones.
+    /// Whether the caller supports compressed snapshots.
     pub takes_packed: bool,
-    /// The members.
+    /// Whether to include the members.
     pub members: bool,
 }
 
-/// What another daemon told.
-struct Told {
-    by: NodeId,
-    /// Whether it told the objects, or knows them and has too many.
+/// Summary of a peer's reply.
+struct BootstrapResult {
+    peer: NodeId,
+    /// Whether it sent snapshots, or has too many objects to send them.
     knows_objects: bool,
     knows_jobs: bool,
 }
 
-/// Asks daemons that are up until one has told all, or time is over.
+/// Fetches the initial state, and the jobs once more from a second peer.
 pub async fn run(gateway: Rc<Gateway>) {
-    let told = ask_until_told(&gateway).await;
+    let result = fetch_state(&gateway).await;
     log::info!(
         "event=introduced by={} objects={} jobs_known={} after_ms={} daemons={} jobs={}",
-        told.as_ref().map_or_else(|| "nobody".to_owned(), |told| told.by.to_string()),
-        told.as_ref().is_some_and(|told| told.knows_objects),
-        told.as_ref().is_some_and(|told| told.knows_jobs),
+        result.as_ref().map_or_else(|| "nobody".to_owned(), |result| result.peer.to_string()),
+        result.as_ref().is_some_and(|result| result.knows_objects),
+        result.as_ref().is_some_and(|result| result.knows_jobs),
         gateway.now().as_millis(),
-        gateway.members.count_alive() + 1,
+        gateway.members.alive_count() + 1,
         gateway.jobs.all().len()
     );
-    gateway.members.introduction.end(told.as_ref());
-    if let Some(told) = told {
-        Timer::after(SECOND_LOOK).await;
+    gateway.members.bootstrap.finish(result.as_ref());
+    if let Some(result) = result {
+        Timer::after(JOB_REFRESH_DELAY).await;
         let others = gateway.members.alive();
-        let other = others.choose(&mut rand::rng()).unwrap_or(&told.by).clone();
-        learn_jobs_of(&gateway, &other).await;
+        let peer = others.choose(&mut rand::rng()).unwrap_or(&result.peer).clone();
+        fetch_jobs_from(&gateway, &peer).await;
     }
 }
 
-async fn ask_until_told(gateway: &Rc<Gateway>) -> Option<Told> {
+async fn fetch_state(gateway: &Rc<Gateway>) -> Option<BootstrapResult> {
     if gateway.seeds.borrow().is_empty() {
         return None;
     }
-    let mut told = None;
-    let mut known_before = 0;
-    let limit = gateway.members.introduction.limit();
-    while gateway.now() < limit {
-        if gateway.members.count_alive() == 0 {
-            if gateway.now() >= CONTACT_WAIT {
+    let mut result = None;
+    let mut previous_count = 0;
+    let timeout = gateway.members.bootstrap.timeout();
+    while gateway.now() < timeout {
+        if gateway.members.alive_count() == 0 {
+            if gateway.now() >= CONTACT_TIMEOUT {
                 return None;
             }
-            wait::at_most(REST, gateway.members.changed.listen()).await;
+            wait::at_most(RETRY_INTERVAL, gateway.members.changed.listen()).await;
             continue;
         }
-        if let Some(new) = ask_one(gateway, told.is_some()).await {
-            let is_all = new.knows_objects && new.knows_jobs;
-            told = Some(new);
-            // Who watches the store for the others has to read it, once it knows who they are.
-            let known = gateway.members.count_alive();
-            let may_judge = gateway.now() >= FLEET_KNOWN || known == known_before;
-            known_before = known;
-            if is_all || (may_judge && dissemination::is_watcher(gateway)) {
+        if let Some(new) = fetch_from_peer(gateway, result.is_some()).await {
+            let is_complete = new.knows_objects && new.knows_jobs;
+            result = Some(new);
+            // A tree root lists the store itself, once it knows the members that determine the tree.
+            let known = gateway.members.alive_count();
+            let is_membership_settled =
+                gateway.now() >= MEMBERSHIP_SETTLE_TIME || known == previous_count;
+            previous_count = known;
+            if is_complete || (is_membership_settled && dissemination::is_tree_root(gateway)) {
                 break;
             }
         }
-        Timer::after(REST).await;
+        Timer::after(RETRY_INTERVAL).await;
     }
-    told
+    result
 }
 
-/// Asks one daemon: one that watches the store for this one, or any.
-///
-/// A daemon that was told the members before gets only the rest: the members of a large fleet are many
-/// times more.
-async fn ask_one(gateway: &Rc<Gateway>, without_members: bool) -> Option<Told> {
-    let known = match dissemination::way(gateway) {
-        Way::Watchers(watchers) => watchers,
-        Way::Store | Way::Outage => gateway.members.alive(),
+/// Fetches the state from one peer, preferably an upstream peer, and applies it. The members can be omitted
+/// to reduce the size of the reply.
+async fn fetch_from_peer(gateway: &Rc<Gateway>, without_members: bool) -> Option<BootstrapResult> {
+    let known = match dissemination::select_upstream(gateway) {
+        Upstream::Peers(peers) => peers,
+        Upstream::Store | Upstream::Unavailable => gateway.members.alive(),
     };
     let peer = known.choose(&mut rand::rng())?.clone();
     let request =
         PeerRequest::Introduce { with_objects: true, takes_packed: true, without_members };
-    let Some(reply) = ask(gateway, &peer, &request).await else {
+    let Some(reply) = call(gateway, &peer, &request).await else {
         let now = gateway.now();
-        gateway.members.note_untold(now, UNANSWERED_REST, &peer, Untelling::Silent);
+        gateway.members.mark_upstream_failed(
+            now,
+            NO_RESPONSE_BACKOFF,
+            &peer,
+            UpstreamFailure::NoResponse,
+        );
         return None;
     };
     let PeerReply::Introduced {
@@ -220,36 +218,38 @@
     else {
         return None;
     };
-    gateway.members.learn(members).await;
-    learn_jobs(gateway, jobs);
+    gateway.members.merge_members(members).await;
+    merge_jobs(gateway, jobs);
     news::learn(gateway, suspects);
-    for (known, renewal) in [(&gateway.versions.lease, lease), (&gateway.duty_lease, duty_lease)] {
+    for (lease_state, renewal) in
+        [(&gateway.versions.lease, lease), (&gateway.duty_lease, duty_lease)]
+    {
         if let Some(LeaseRenewal { revision, record }) = renewal {
-            known.tell(gateway.now(), revision, record);
+            lease_state.record_renewal(gateway.now(), revision, record);
         }
     }
     if let (Some(book), Some(millis)) = (&gateway.usage, time_millis) {
         book.hear_time(gateway.now(), Duration::from_millis(millis));
     }
     let knows_objects = !kinds.is_empty() || !packed_kinds.is_empty() || has_many_objects;
-    kinds.into_iter().for_each(|state| keep(gateway, state));
-    packed_kinds.iter().for_each(|kind| keep_packed(gateway, kind));
-    Some(Told { by: peer, knows_objects, knows_jobs })
+    kinds.into_iter().for_each(|state| store_snapshot(gateway, state));
+    packed_kinds.iter().for_each(|kind| store_compressed_snapshot(gateway, kind));
+    Some(BootstrapResult { peer: peer, knows_objects, knows_jobs })
 }
 
-/// Keeps the objects of a kind until its reflector begins.
-fn keep(gateway: &Gateway, state: KindState) {
-    let KindState { kind, objects, at } = state;
+/// Stores the snapshot of a kind until its reflector starts.
+fn store_snapshot(gateway: &Gateway, state: KindSnapshot) {
+    let KindSnapshot { kind, objects, at } = state;
     let objects = objects.into_iter().map(Rc::new).collect();
-    gateway.members.introduction.kinds.borrow_mut().insert(kind, (objects, at));
+    gateway.members.bootstrap.snapshots.borrow_mut().insert(kind, (objects, at));
 }
 
-/// The same, where the objects are packed.
-fn keep_packed(gateway: &Gateway, kind: &PackedKind) {
-    match compressed_update::unpack(&kind.packed) {
-        Ok(news) => {
-            let told = (news.objects, news.at);
-            gateway.members.introduction.kinds.borrow_mut().insert(kind.kind.clone(), told);
+/// Decompresses the snapshot of a kind and stores it until its reflector starts.
+fn store_compressed_snapshot(gateway: &Gateway, kind: &CompressedSnapshot) {
+    match compressed_update::decode(&kind.packed) {
+        Ok(update) => {
+            let result = (update.objects, update.at);
+            gateway.members.bootstrap.snapshots.borrow_mut().insert(kind.kind.clone(), result);
         }
         Err(error) => {
             log::warn!("event=introduction_malformed kind={} error=\"{error}\"", kind.kind);
@@ -257,59 +257,59 @@
     }
 }
 
-async fn ask(gateway: &Gateway, peer: &NodeId, request: &PeerRequest) -> Option<PeerReply> {
+async fn call(gateway: &Gateway, peer: &NodeId, request: &PeerRequest) -> Option<PeerReply> {
     let address = gateway.members.address(peer)?;
     client::call_at(gateway, address, request, CALL_TIMEOUT).await
 }
 
-/// Learns the jobs that another daemon knows; false where it does not know all.
-pub async fn learn_jobs_of(gateway: &Rc<Gateway>, peer: &NodeId) -> bool {
+/// Fetches and merges the jobs that a peer knows; returns whether the peer has loaded all jobs.
+pub async fn fetch_jobs_from(gateway: &Rc<Gateway>, peer: &NodeId) -> bool {
     let request =
         PeerRequest::Introduce { with_objects: false, takes_packed: true, without_members: true };
     let Some(PeerReply::Introduced { jobs, knows_jobs, suspects, .. }) =
-        ask(gateway, peer, &request).await
+        call(gateway, peer, &request).await
     else {
         return false;
     };
-    learn_jobs(gateway, jobs);
+    merge_jobs(gateway, jobs);
     news::learn(gateway, suspects);
     knows_jobs
 }
 
-fn learn_jobs(gateway: &Rc<Gateway>, jobs: Vec<JobEntry>) {
+fn merge_jobs(gateway: &Rc<Gateway>, jobs: Vec<JobEntry>) {
     for JobEntry { job, ownership, revision } in jobs {
         gateway.jobs.learn(&job, ownership, revision);
     }
     start_own_jobs(gateway);
 }
 
-/// What this daemon tells another one.
-pub fn answer(gateway: &Gateway, wanted: Wanted) -> PeerReply {
+/// Handles the bootstrap request of a peer.
+pub fn handle(gateway: &Gateway, options: BootstrapOptions) -> PeerReply {
     let entry = |job: Rc<Job>| {
         let (ownership, revision) = job.ownership.borrow().clone();
         JobEntry { job: job.id.clone(), ownership, revision }
     };
     let renewal = |(revision, record, _)| LeaseRenewal { revision, record };
     let time = gateway.usage.as_ref().map(|book| book.time(gateway.now()).as_millis());
-    let is_old = wanted.objects && !wanted.takes_packed;
+    let is_legacy_caller = options.objects && !options.takes_packed;
     let mut kinds = Vec::new();
-    if wanted.objects && wanted.takes_packed {
-        kinds = dissemination::known_kinds(gateway);
+    if options.objects && options.takes_packed {
+        kinds = dissemination::servable_kinds(gateway);
     }
-    let has_many_objects = dissemination::bytes(gateway, &kinds) > MAX_OBJECT_BYTES;
+    let has_many_objects = dissemination::uncompressed_bytes(gateway, &kinds) > MAX_OBJECT_BYTES;
     if has_many_objects {
         kinds.clear();
     }
     PeerReply::Introduced {
-        members: if wanted.members { gateway.members.all() } else { Vec::new() },
+        members: if options.members { gateway.members.all() } else { Vec::new() },
         jobs: gateway.jobs.all().into_iter().map(entry).collect(),
         knows_jobs: gateway.jobs.is_listed.get(),
-        lease: gateway.versions.lease.told().map(renewal),
-        duty_lease: gateway.duty_lease.told().map(renewal),
+        lease: gateway.versions.lease.newest_renewal().map(renewal),
+        duty_lease: gateway.duty_lease.newest_renewal().map(renewal),
         suspects: news::reports(gateway),
         time_millis: time.and_then(|millis| u64::try_from(millis).ok()),
-        kinds: if is_old { dissemination::states(gateway) } else { Vec::new() },
-        packed_kinds: dissemination::packed_states(gateway, &kinds),
+        kinds: if is_legacy_caller { dissemination::legacy_snapshots(gateway) } else { Vec::new() },
+        packed_kinds: dissemination::compressed_snapshots(gateway, &kinds),
         has_many_objects,
     }
 }
--- a/crates/heronbend-gateway/src/peers/client.rs
+++ b/crates/heronbend-gateway/src/peers/client.rs
@@ -11,13 +11,14 @@
 use crate::gateway::Gateway;
 use heronbend::identity::NodeId;
 
-/// Path of the peers' interface.
+/// HTTP path of the peer protocol.
 pub const PEER_PATH: &str = "/peer";
-/// Added to the time that the peer may wait before it answers.
-const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for the network, in addition to the time that the peer may hold the call.
+const NETWORK_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_REPLY_BYTES: usize = 32 * 1024 * 1024;
 
-/// Calls a peer; nothing when it cannot be reached or its answer cannot be understood.
+/// Calls a peer, which may hold the call for up to `wait`. Returns `None` if the call fails, or the reply
+/// is malformed.
 pub async fn call(
     gateway: &Gateway,
     node: &NodeId,
@@ -25,10 +26,10 @@
     wait: Duration,
 ) -> Option<PeerReply> {
     let address = gateway.members.address(node)?;
-    call_at(gateway, address, request, wait + CALL_TIMEOUT).await
+    call_at(gateway, address, request, wait + NETWORK_TIMEOUT).await
 }
 
-/// Calls whoever takes peers' calls at an address, and waits for at most `timeout`.
+/// Calls the peer at an address, within `timeout`. Returns `None` like [`call`].
 pub async fn call_at(
     gateway: &Gateway,
     address: SocketAddr,
@@ -36,10 +37,11 @@
     timeout: Duration,
 ) -> Option<PeerReply> {
     let body = musli::wire::to_vec(request).ok()?;
-    let mut message = Request::new(Full::new(Bytes::from(body)));
-    *message.method_mut() = Method::POST;
-    *message.uri_mut() = Uri::from_static(PEER_PATH);
-    message.headers_mut().insert(http::header::HOST, http::HeaderValue::from_static("peer"));
-    let answer = gateway.peers.fetch(address, message, timeout, MAX_REPLY_BYTES).await.ok()?;
-    musli::wire::from_slice(&answer.body).ok()
+    let mut http_request = Request::new(Full::new(Bytes::from(body)));
+    *http_request.method_mut() = Method::POST;
+    *http_request.uri_mut() = Uri::from_static(PEER_PATH);
+    http_request.headers_mut().insert(http::header::HOST, http::HeaderValue::from_static("peer"));
+    let response =
+        gateway.peers.fetch(address, http_request, timeout, MAX_REPLY_BYTES).await.ok()?;
+    musli::wire::from_slice(&response.body).ok()
 }
--- a/crates/heronbend-gateway/src/peers/membership.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Drives the failure detector over UDP, and serves peers' calls.
+//! Runs the failure detector over UDP, and serves calls of peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,8 +15,8 @@
 use smol::net::UdpSocket;
 use smol::Timer;
 
-use super::bootstrap::Wanted;
-use super::membership_log::ViewLog;
+use super::bootstrap::BootstrapOptions;
+use super::membership_log::MembershipLog;
 use super::messages::{Datagram, Hint, PeerReply, PeerRequest};
 use super::{bootstrap, store_relay, Command};
 use crate::batch::{hand_in, ownership_duty, reading};
@@ -25,28 +25,28 @@
 use crate::dissemination;
 use crate::gateway::Gateway;
 use crate::http::server::{read_body, BodyLimits};
-use crate::http::{bytes_answer, text_answer, Answer};
+use crate::http::{bytes_response, text_response, HttpResponse};
 use crate::permits;
 use crate::quarantine::isolation;
 use crate::quarantine::news;
-use crate::replica::Checking;
+use crate::replica::Verification;
 use crate::versions::duty::note_order_taken;
 
-const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two greetings of seeds, while nobody is known.
-const GREETING_TICKS: u32 = 5;
-/// How long the own watch may lag behind what a peer knows.
-const BEHIND_PATIENCE: Duration = Duration::from_millis(700);
-/// Rest between two times that the detector's view is passed on. It is passed on whole, so that the
-/// thousand changes of a fleet that starts would cost a million members; a tick follows within 0.1 s.
-const PUBLISH_REST: Duration = Duration::from_millis(30);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Ticks between two pings of the seeds while no other member is known.
+const SEED_PING_TICKS: u32 = 5;
+/// How long this daemon's configuration may lag behind that of a peer before its watches are restarted.
+const BEHIND_GRACE: Duration = Duration::from_millis(700);
+/// Shortest time between two publications of the member list. The list is always published as a whole, so
+/// bursts of changes are batched.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(30);
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 const MAX_REQUEST_BYTES: usize = 32 * 1024 * 1024;
-/// Longest time without a byte of a peer's request.
-const REQUEST_IDLE: Duration = Duration::from_secs(2);
+/// Longest time between two reads of a request's body.
+const REQUEST_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time constants: a daemon that is lost is known to be dead after about two seconds.
-const DETECTOR: DetectorConfig = DetectorConfig {
+/// Detects a dead daemon within about two seconds.
+const DETECTOR_CONFIG: DetectorConfig = DetectorConfig {
     period: Duration::from_millis(400),
     direct_timeout: Duration::from_millis(150),
     suspicion: Duration::from_millis(1200),
@@ -59,20 +59,20 @@
 enum Event {
     Tick,
     Received(Datagram, SocketAddr),
-    Asked(Command),
-    Nothing,
+    Command(Command),
+    None,
 }
 
 /// Runs the detector until the daemon ends.
-pub async fn run_membership(gateway: Rc<Gateway>, socket: UdpSocket, me: Member) {
-    let mut detector = Detector::new(DETECTOR, me, rand::rng().random());
+pub async fn run_membership(gateway: Rc<Gateway>, socket: UdpSocket, local_member: Member) {
+    let mut detector = Detector::new(DETECTOR_CONFIG, local_member, rand::rng().random());
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    // The first tick greets the seeds at once.
-    let mut ticks = Timer::interval_at(steady_now(), TICK);
+    // The first tick pings the seeds without delay.
+    let mut ticks = Timer::interval_at(steady_now(), TICK_INTERVAL);
     let mut tick_number = 0_u32;
     let mut head = Head::default();
-    let mut view_log = ViewLog::default();
-    let mut unpublished = Unpublished::default();
+    let mut log = MembershipLog::default();
+    let mut pending = PendingChanges::default();
     let mut suspension = SuspensionWatch::new(gateway.clock());
     loop {
         let event = next_event(&gateway, &socket, &mut buffer, &mut ticks).await;
@@ -81,13 +81,13 @@
             log::warn!("event=resumed suspended_ms={}", suspended.as_millis());
             gateway.resumed.notify(usize::MAX);
         }
-        let is_learnt = matches!(event, Event::Asked(Command::Learn(_)));
+        let is_merge = matches!(event, Event::Command(Command::Merge(_)));
         let effects = match event {
             Event::Tick => {
                 let mut effects = detector.tick(now);
-                let is_alone =
+                let knows_nobody =
                     !detector.members().any(|member| member.liveness <= Liveness::Suspect);
-                if is_alone && tick_number.is_multiple_of(GREETING_TICKS) {
+                if knows_nobody && tick_number.is_multiple_of(SEED_PING_TICKS) {
                     let seeds = gateway.seeds.borrow();
                     effects.extend(seeds.iter().map(|seed| detector.greet(*seed)));
                 }
@@ -104,33 +104,33 @@
                 detector.receive(now, source, gossip)
             }
             Event::Received(Datagram::Hint(hint), _) => {
-                take_hint(&gateway, hint);
+                handle_hint(&gateway, hint);
                 Vec::new()
             }
-            Event::Asked(Command::Tell(hint)) => {
-                tell_all(&detector, &socket, hint).await;
+            Event::Command(Command::Broadcast(hint)) => {
+                broadcast(&detector, &socket, hint).await;
                 Vec::new()
             }
-            Event::Asked(Command::TellSome(to, hint)) => {
-                tell_some(&detector, &socket, &to, hint).await;
+            Event::Command(Command::SendTo(to, hint)) => {
+                send_to(&detector, &socket, &to, hint).await;
                 Vec::new()
             }
-            Event::Asked(Command::Learn(members)) => {
+            Event::Command(Command::Merge(members)) => {
                 members.into_iter().flat_map(|member| detector.learn(now, member)).collect()
             }
-            Event::Asked(Command::Leave(sent)) => {
+            Event::Command(Command::Leave(done)) => {
                 let effects = detector.leave();
-                apply(&gateway, &socket, effects, &mut view_log, &mut unpublished).await;
-                drop(sent);
+                apply(&gateway, &socket, effects, &mut log, &mut pending).await;
+                drop(done);
                 Vec::new()
             }
-            Event::Nothing => Vec::new(),
+            Event::None => Vec::new(),
         };
-        apply(&gateway, &socket, effects, &mut view_log, &mut unpublished).await;
-        if unpublished.is_due(now) || is_learnt {
-            unpublished.publish(now, &gateway, &detector);
+        apply(&gateway, &socket, effects, &mut log, &mut pending).await;
+        if pending.is_due(now) || is_merge {
+            pending.publish(now, &gateway, &detector);
         }
-        if let Some(line) = view_log.line(now, gateway.members.count_alive()) {
+        if let Some(line) = log.next_line(now, gateway.members.alive_count()) {
             log::info!("{line}");
         }
     }
@@ -150,42 +150,42 @@
         match socket.recv_from(buffer).await {
             Ok((length, source)) => match musli::wire::from_slice(&buffer[..length]) {
                 Ok(datagram) => Event::Received(datagram, source),
-                Err(_) => Event::Nothing,
+                Err(_) => Event::None,
             },
-            Err(_) => Event::Nothing,
+            Err(_) => Event::None,
         }
     };
-    let asked = async {
-        match gateway.members.commands_to_do.recv().await {
-            Ok(command) => Event::Asked(command),
-            Err(_) => Event::Nothing,
+    let command = async {
+        match gateway.members.command_receiver.recv().await {
+            Ok(command) => Event::Command(command),
+            Err(_) => Event::None,
         }
     };
-    tick.or(received).or(asked).await
+    tick.or(received).or(command).await
 }
 
-/// Changes of the detector's view that the rest of the daemon has not been told of.
+/// Changes of the detector's view that are not published yet.
 #[derive(Debug, Default)]
-struct Unpublished {
+struct PendingChanges {
     has_changed: bool,
-    has_lost: bool,
-    last: Moment,
+    has_lost_member: bool,
+    last_published: Moment,
 }
 
-impl Unpublished {
-    /// Whether they are to be told now: a single one at once, a burst once in a while.
+impl PendingChanges {
+    /// Whether to publish now: a single change immediately, bursts at most once per interval.
     fn is_due(&self, now: Moment) -> bool {
-        self.has_changed && now >= self.last + PUBLISH_REST
+        self.has_changed && now >= self.last_published + MIN_PUBLISH_INTERVAL
     }
 
     fn publish(&mut self, now: Moment, gateway: &Rc<Gateway>, detector: &Detector) {
         gateway.members.publish(detector.members().cloned().collect());
         gateway.share_servers();
         permits::note_members(gateway);
-        if self.has_lost {
+        if self.has_lost_member {
             ownership_duty::note_lost(gateway);
         }
-        *self = Self { last: now, ..Self::default() };
+        *self = Self { last_published: now, ..Self::default() };
     }
 }
 
@@ -193,41 +193,41 @@
     gateway: &Rc<Gateway>,
     socket: &UdpSocket,
     effects: Vec<Effect>,
-    view_log: &mut ViewLog,
-    unpublished: &mut Unpublished,
+    log: &mut MembershipLog,
+    pending: &mut PendingChanges,
 ) {
     for effect in effects {
         match effect {
             Effect::Send { to, gossip } => send(socket, to, &Datagram::Gossip(*gossip)).await,
             Effect::Changed(change) => {
                 let member = change.member;
-                view_log.add(&member);
-                unpublished.has_lost |= member.liveness > Liveness::Suspect;
-                unpublished.has_changed = true;
+                log.record(&member);
+                pending.has_lost_member |= member.liveness > Liveness::Suspect;
+                pending.has_changed = true;
             }
             Effect::Behind { head, .. } => check_behind(gateway, head),
             Effect::Refuted => {
-                gateway.members.was_doubted.notify(usize::MAX);
+                gateway.members.suspicion_refuted.notify(usize::MAX);
             }
             Effect::Backend(_) => {}
         }
     }
 }
 
-async fn tell_all(detector: &Detector, socket: &UdpSocket, hint: Hint) {
-    // A daemon that is taken for lost may be alive, and has to hear that its job was taken over.
-    let is_told_anyway = matches!(hint, Hint::JobOwned { .. });
-    let told = detector.members().filter(|member| match member.liveness {
+async fn broadcast(detector: &Detector, socket: &UdpSocket, hint: Hint) {
+    // A daemon that counts as dead may be alive, and has to learn that its job was taken over.
+    let includes_dead = matches!(hint, Hint::JobOwned { .. });
+    let recipients = detector.members().filter(|member| match member.liveness {
         Liveness::Alive | Liveness::Suspect => true,
-        Liveness::Dead => is_told_anyway,
+        Liveness::Dead => includes_dead,
         Liveness::Left => false,
     });
-    send_hint(socket, told, hint).await;
+    send_hint(socket, recipients, hint).await;
 }
 
-async fn tell_some(detector: &Detector, socket: &UdpSocket, to: &[NodeId], hint: Hint) {
-    let told = detector.members().filter(|member| to.contains(&member.id));
-    send_hint(socket, told, hint).await;
+async fn send_to(detector: &Detector, socket: &UdpSocket, to: &[NodeId], hint: Hint) {
+    let recipients = detector.members().filter(|member| to.contains(&member.id));
+    send_hint(socket, recipients, hint).await;
 }
 
 async fn send_hint(socket: &UdpSocket, to: impl Iterator<Item = &Member>, hint: Hint) {
@@ -239,18 +239,18 @@
 
 async fn send(socket: &UdpSocket, to: SocketAddr, datagram: &Datagram) {
     if let Ok(bytes) = musli::wire::to_vec(datagram) {
-        // Datagrams may be lost on the way as well.
+        // Hints and gossip tolerate lost datagrams.
         let _ = socket.send_to(&bytes, to).await;
     }
 }
 
-fn take_hint(gateway: &Rc<Gateway>, hint: Hint) {
+fn handle_hint(gateway: &Rc<Gateway>, hint: Hint) {
     match hint {
         Hint::OrderTaken { holder, server, model, version, incarnation } => {
             note_order_taken(gateway, holder, (&server, incarnation), &model, version);
         }
         Hint::LeaseRenewed { lease, revision, record } => {
-            gateway.lease_news(lease).tell(gateway.now(), revision, record);
+            gateway.lease_news(lease).record_renewal(gateway.now(), revision, record);
         }
         Hint::UsageCounted { daemon, window, counts } => {
             if let Some(book) = &gateway.usage {
@@ -269,51 +269,51 @@
     }
 }
 
-/// A peer has a newer configuration. The own watch tells of it in a moment, unless it is deaf.
+/// Handles that a peer has a newer configuration: restarts the watches unless it arrives soon.
 fn check_behind(gateway: &Rc<Gateway>, head: Head) {
     if gateway.behind.get() >= head.settings_revision {
         return;
     }
     gateway.behind.set(head.settings_revision);
-    let checked = gateway.clone();
+    let gateway_here = gateway.clone();
     let check = async move {
-        Timer::after(BEHIND_PATIENCE).await;
-        if checked.configuration_version() < head.settings_revision {
+        Timer::after(BEHIND_GRACE).await;
+        if gateway_here.configuration_version() < head.settings_revision {
             log::warn!(
                 "event=configuration_behind version={} peer_version={}",
-                checked.configuration_version(),
+                gateway_here.configuration_version(),
                 head.settings_revision
             );
-            checked.watches_doubted.notify(usize::MAX);
+            gateway_here.watches_doubted.notify(usize::MAX);
         }
     };
     gateway.executor.spawn(check).detach();
 }
 
-/// Answers a peer's call.
-pub async fn answer_peer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
-    let mut hold = gateway.memory.hold();
-    let limits = BodyLimits { max_bytes: MAX_REQUEST_BYTES, idle: REQUEST_IDLE };
-    let Ok(body) = read_body(request.into_body(), limits, &mut hold).await else {
-        return text_answer(StatusCode::BAD_REQUEST, "cut");
+/// Handles a call of a peer.
+pub async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> HttpResponse {
+    let mut memory = gateway.memory.hold();
+    let limits = BodyLimits { max_bytes: MAX_REQUEST_BYTES, idle: REQUEST_IDLE_TIMEOUT };
+    let Ok(body) = read_body(request.into_body(), limits, &mut memory).await else {
+        return text_response(StatusCode::BAD_REQUEST, "incomplete body");
     };
     let Ok(request) = musli::wire::from_slice::<PeerRequest>(&body) else {
-        return text_answer(StatusCode::BAD_REQUEST, "malformed");
+        return text_response(StatusCode::BAD_REQUEST, "malformed request");
     };
     let reply = match request {
         PeerRequest::RunJob { ownership, revision, specification } => {
             hand_in::run_here(&gateway, *ownership, revision, specification, false)
         }
-        PeerRequest::Store(call) => PeerReply::Store(store_relay::answer(&gateway, call).await),
+        PeerRequest::Store(call) => PeerReply::Store(store_relay::handle(&gateway, call).await),
         PeerRequest::Follow { kind, since, wait_millis, checks } => {
             let wait = Duration::from_millis(wait_millis);
-            let checking = if checks { Checking::ByDigest } else { Checking::Unchecked };
-            dissemination::answer(&gateway, &kind, since, wait, checking).await
+            let verification = if checks { Verification::Digest } else { Verification::Unverified };
+            dissemination::handle_follow(&gateway, &kind, since, wait, verification).await
         }
         PeerRequest::Introduce { with_objects, takes_packed, without_members } => {
             let members = !without_members;
-            let wanted = Wanted { objects: with_objects, takes_packed, members };
-            bootstrap::answer(&gateway, wanted)
+            let options = BootstrapOptions { objects: with_objects, takes_packed, members };
+            bootstrap::handle(&gateway, options)
         }
         PeerRequest::ConfirmOwner { job, revision } => {
             ownership_duty::confirm_owner(&gateway, &job, revision)
@@ -328,9 +328,11 @@
     encode(&reply)
 }
 
-fn encode(reply: &PeerReply) -> Answer {
+fn encode(reply: &PeerReply) -> HttpResponse {
     match musli::wire::to_vec(reply) {
-        Ok(bytes) => bytes_answer(StatusCode::OK, "application/octet-stream", Bytes::from(bytes)),
-        Err(_) => text_answer(StatusCode::INTERNAL_SERVER_ERROR, "not encoded"),
+        Ok(bytes) => bytes_response(StatusCode::OK, "application/octet-stream", Bytes::from(bytes)),
+        Err(_) => {
+            text_response(StatusCode::INTERNAL_SERVER_ERROR, "the reply could not be encoded")
+        }
     }
 }
--- a/crates/heronbend-gateway/src/peers/membership_log.rs
+++ b/crates/heronbend-gateway/src/peers/membership_log.rs
@@ -1,7 +1,6 @@
-//! A bounded account of what is believed of the other daemons.
+//! Rate-limited log of membership changes.
 //!
-//! One line for each change of each member was three quarters of all lines in a fleet of a hundred
-//! daemons. So a line a second sums the changes up and names the members that were lost.
+//! Summarizes the changes in at most one line per second, which lists the members that were lost.
 
 use std::time::Duration;
 
@@ -9,24 +8,24 @@
 use heronbend::membership::Member;
 use heronbend::Moment;
 
-/// Time between two lines.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Members that a line names.
-const MAX_NAMED: usize = 8;
+/// Shortest time between two lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Most members that are listed in a line.
+const MAX_LISTED: usize = 8;
 
-/// Changes since the last line.
+/// Membership changes since the last line.
 #[derive(Debug, Default)]
-pub struct ViewLog {
-    last_line: Moment,
+pub struct MembershipLog {
+    last_logged: Moment,
     changes: u32,
     alive: u32,
     suspect: u32,
     lost: Vec<String>,
 }
 
-impl ViewLog {
-    /// Counts a change.
-    pub fn add(&mut self, member: &Member) {
+impl MembershipLog {
+    /// Records a change of a member.
+    pub fn record(&mut self, member: &Member) {
         self.changes += 1;
         match member.liveness {
             Liveness::Alive => self.alive += 1,
@@ -37,17 +36,17 @@
         }
     }
 
-    /// The line that is due, if any.
-    pub fn line(&mut self, now: Moment, known_alive: usize) -> Option<String> {
-        if self.changes == 0 || now < self.last_line + PERIOD {
+    /// Returns the next line if there were changes and the interval has passed.
+    pub fn next_line(&mut self, now: Moment, alive_count: usize) -> Option<String> {
+        if self.changes == 0 || now < self.last_logged + LOG_INTERVAL {
             return None;
         }
         let Self { changes, alive, suspect, lost, .. } = std::mem::take(self);
-        self.last_line = now;
-        let named = lost.iter().take(MAX_NAMED).cloned().collect::<Vec<_>>().join(",");
+        self.last_logged = now;
+        let named = lost.iter().take(MAX_LISTED).cloned().collect::<Vec<_>>().join(",");
         Some(format!(
             "event=members_changed changes={changes} to_alive={alive} to_suspect={suspect} to_lost={} \
-             lost={named} alive_now={known_alive}",
+             lost={named} alive_now={alive_count}",
             lost.len()
         ))
     }
--- a/crates/heronbend-gateway/src/peers/messages.rs
+++ b/crates/heronbend-gateway/src/peers/messages.rs
@@ -20,257 +20,255 @@
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Datagram {
-    /// Of the failure detector.
+    /// A message of the failure detector.
     Gossip(Gossip),
-    /// Something worth knowing early; it may be lost.
+    /// A best-effort hint.
     Hint(Hint),
 }
 
-/// News that the store or a server would tell as well, only later.
+/// Advance notice of a change that the receiver would otherwise learn later from the store or a server.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Hint {
-    /// A server has taken an order to load a version.
+    /// A server accepted a command to load a version.
     OrderTaken {
-        /// Who gave the order.
+        /// The lease holder that sent the command.
         holder: NodeName,
         /// The server.
         server: String,
         /// The model.
         model: String,
-        /// The version.
+        /// The version of the model.
         version: u64,
-        /// The run of the server that took it; zero where servers do not say.
+        /// The incarnation of the server that accepted it; zero if servers do not report one.
         #[musli(default)]
         incarnation: Incarnation,
     },
-    /// A daemon has taken or renewed a lease.
+    /// A daemon acquired or renewed a lease.
     LeaseRenewed {
         /// The lease.
         #[musli(default)]
         lease: LeaseName,
-        /// The revision of the renewal.
+        /// The store's revision of the renewal.
         revision: u64,
-        /// What it wrote.
+        /// The record that was written.
         record: LeaseRecord,
     },
-    /// A batch job was taken in, changed hands or was ended.
+    /// A batch job was created, changed its owner or was finished.
     JobOwned {
         /// The batch job.
         job: String,
-        /// What the store holds of it now.
+        /// Its ownership record in the store.
         ownership: Ownership,
-        /// At which revision.
+        /// The store's revision of that record.
         revision: u64,
-        /// Whether its specification is being passed on to its owner.
+        /// Whether its specification is still being sent to its owner.
         #[musli(default)]
         is_new: bool,
     },
-    /// What a daemon has counted of its tenants' use so far.
+    /// Requests that a daemon has counted in a usage window so far.
     UsageCounted {
-        /// The run of the daemon that counted.
+        /// The daemon that counted them.
         daemon: NodeId,
-        /// The window.
+        /// The usage window.
         window: Window,
-        /// Requests by tenant; other tenants may follow in another hint.
+        /// Requests by tenant. Further tenants may follow in another hint.
         counts: Vec<(String, u64)>,
     },
-    /// Servers ended under some requests, or these were cleared of it.
+    /// Requests that servers crashed on, or that were cleared of suspicion.
     RequestsSuspected {
-        /// What is known of each.
+        /// One report for each request.
         reports: Vec<Report>,
     },
-    /// The report of a window was accepted.
+    /// The usage report of a window was accepted by the provider.
     UsageReported {
-        /// The window.
+        /// The usage window.
         window: Window,
     },
 }
 
-/// A batch job as a daemon knows it.
+/// A batch job and its owner, as known to a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct JobEntry {
     /// The batch job.
     pub job: String,
-    /// Who runs it.
+    /// Its ownership record.
     pub ownership: Ownership,
-    /// The store's revision of that.
+    /// The store's revision of that record.
     pub revision: u64,
 }
 
-/// A renewal of the lease for orders.
+/// A renewal of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseRenewal {
-    /// The store's revision of it.
+    /// The store's revision of the renewal.
     pub revision: u64,
-    /// What it wrote.
+    /// The record that was written.
     pub record: LeaseRecord,
 }
 
-/// All objects of a kind, as a daemon knows them.
+/// A snapshot of all objects of a kind.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct KindState {
-    /// Kind.
+pub struct KindSnapshot {
+    /// Kind of the objects.
     pub kind: String,
     /// The objects.
     pub objects: Vec<EncodedObject>,
-    /// The store's revision up to which they are known.
+    /// The store's revision of the snapshot.
     pub at: u64,
 }
 
-/// All objects of a kind, encoded and compressed.
+/// A compressed snapshot of all objects of a kind.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct PackedKind {
-    /// Kind.
+pub struct CompressedSnapshot {
+    /// Kind of the objects.
     pub kind: String,
-    /// What [`crate::compressed_update::pack`] made.
+    /// What [`crate::compressed_update::encode`] made.
     pub packed: Vec<u8>,
 }
 
 /// A call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum PeerRequest {
-    /// Asks the peer to run a job that was handed in for it.
+    /// Asks the peer to run a job that was submitted on its behalf.
     RunJob {
-        /// What the store holds of it.
+        /// The job's ownership record in the store.
         ownership: Box<Ownership>,
-        /// At which revision.
+        /// The store's revision of that record.
         revision: u64,
-        /// Its items.
+        /// The job's specification.
         specification: JobSpecification,
     },
-    /// Makes a call to the store for a daemon that cannot reach it.
+    /// Asks the peer to relay a call to the store.
     Store(StoreCall),
-    /// Follows the objects of a kind that the peer watches.
+    /// Long poll for an update of the objects of a kind.
     Follow {
-        /// Kind.
+        /// Kind of the objects.
         kind: String,
-        /// The store's revision up to which the follower knows them; 0 before it knows any.
+        /// The follower's current revision; 0 to request a snapshot.
         since: u64,
-        /// How long to wait for news, in milliseconds.
+        /// How long to wait for an update, in milliseconds.
         wait_millis: u64,
-        /// Whether the follower checks what it is told by its digest, and understands
-        /// [`PeerReply::Current`]. Daemons of an earlier build do neither.
+        /// Whether the follower verifies the digest of updates and supports [`PeerReply::Current`]. Daemons
+        /// of an earlier build do neither.
         #[musli(default)]
         checks: bool,
     },
-    /// Asks for the members and jobs that the peer knows.
+    /// Requests the state that a starting daemon needs: members, jobs and leases.
     Introduce {
-        /// Whether the objects that daemons follow are wanted as well.
+        /// Whether to include the replicated objects.
         with_objects: bool,
-        /// Whether the asker understands objects that are packed.
+        /// Whether the caller supports compressed snapshots.
         #[musli(default)]
         takes_packed: bool,
-        /// Whether the members are known to the asker, who needs only the rest.
+        /// Whether to omit the members, which the caller already knows.
         #[musli(default)]
         without_members: bool,
     },
-    /// Asks whether the peer, which is taken for lost, still runs a job.
+    /// Asks whether the peer, which is considered dead, still runs a job.
     ConfirmOwner {
         /// The batch job.
         job: String,
-        /// The revision of the ownership that the asker knows.
+        /// The revision of the ownership record that the caller knows.
         revision: u64,
     },
-    /// Borrows permits to send requests to a cold server.
+    /// Requests permits to send requests to a cold server.
     Borrow {
         /// The server.
         server: String,
-        /// Permits that would be used now.
+        /// Number of permits that the caller could use now.
         permits: u32,
     },
-    /// Has the peer keep a server for one request that may end it, or gives it back.
+    /// Asks the peer to reserve a server for one request that may crash it, or to release it.
     Isolate {
         /// The server.
         server: String,
-        /// Whether it is given back.
+        /// Whether to release the server.
         is_over: bool,
     },
-    /// Reads settled results of a job that the peer runs.
+    /// Reads committed results of a job that the peer runs.
     ReadResults {
         /// The batch job.
         job: String,
-        /// Position of the first result that the reader wants.
+        /// Index of the first result to return.
         from: usize,
-        /// How long to wait for another one, in milliseconds.
+        /// How long to wait for a result at that index, in milliseconds.
         wait_millis: u64,
     },
 }
 
-/// The answer of a peer.
+/// The reply of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum PeerReply {
-    /// Settled results.
+    /// Committed results of a job.
     Results {
-        /// Results from the position on, as many as fit one page.
+        /// Results from the requested index, as many as fit into one page.
         results: Vec<ItemResult>,
-        /// Results that are settled.
+        /// Number of committed results of the job.
         settled: usize,
-        /// Chunks that hold them.
+        /// Number of stored chunks that contain them.
         chunks: u32,
     },
-    /// What became of a call to the store.
+    /// The result of a relayed call to the store.
     Store(StoreReply),
-    /// Nothing has changed of the objects of a kind.
+    /// The follower is up to date. Sent to daemons of an earlier build.
     NoNews,
-    /// What has changed of the objects of a kind, encoded and compressed.
+    /// An update of the objects of a kind.
     News {
-        /// What [`crate::compressed_update::pack`] made.
+        /// What [`crate::compressed_update::encode`] made.
         packed: Vec<u8>,
-        /// How long ago this was all that the store held, in milliseconds.
+        /// Age of the data in milliseconds: when it was last current in the store.
         #[musli(default)]
         age_millis: u64,
     },
-    /// What the peer knows.
+    /// State for a starting daemon.
     Introduced {
         /// The other daemons.
         members: Vec<Member>,
         /// The batch jobs.
         jobs: Vec<JobEntry>,
-        /// Whether these are all, but for those of the last moments.
+        /// Whether the peer has loaded all jobs. Very recent ones may still be missing.
         knows_jobs: bool,
-        /// The newest renewal of the lease for orders that is known there.
+        /// The newest known renewal of the lease for commands.
         lease: Option<LeaseRenewal>,
-        /// The same of the lease for duties.
+        /// The newest known renewal of the lease for provider calls.
         #[musli(default)]
         duty_lease: Option<LeaseRenewal>,
-        /// Requests that servers ended under.
+        /// Requests that servers crashed on.
         #[musli(default)]
         suspects: Vec<Report>,
-        /// Milliseconds since the Unix epoch, as windows of usage follow them there.
+        /// The peer's time for usage windows, in milliseconds since the Unix epoch.
         #[musli(default)]
         time_millis: Option<u64>,
-        /// The objects that daemons follow, where they were wanted and are known there; for daemons
-        /// of an earlier build.
-        kinds: Vec<KindState>,
-        /// The same, packed.
+        /// Snapshots of the replicated objects, for callers that do not support compressed ones.
+        kinds: Vec<KindSnapshot>,
+        /// Compressed snapshots of the replicated objects.
         #[musli(default)]
-        packed_kinds: Vec<PackedKind>,
-        /// Whether the objects are known there and too many to be told with the rest: the asker follows
-        /// them like any other daemon.
+        packed_kinds: Vec<CompressedSnapshot>,
+        /// Whether the snapshots were omitted because of their size: the caller has to follow the kinds.
         #[musli(default)]
         has_many_objects: bool,
     },
-    /// Permits that the peer lends; each may be used once.
+    /// Permits that the peer grants. Each may be used once.
     Lent {
-        /// How many.
+        /// Number of permits.
         permits: u32,
-        /// Time until there may be more if there are none now, in milliseconds.
+        /// Time in milliseconds after which to ask again if there are none.
         again_millis: u64,
     },
-    /// Whether the peer keeps the server for the asker.
+    /// Whether the peer reserved the server for the caller.
     Isolated {
-        /// Whether it does.
+        /// Whether the server is reserved.
         is_granted: bool,
     },
     /// The peer runs the job.
     Running,
-    /// The peer does not run this job, does not watch this kind, or does not lend for this server.
+    /// The peer does not run this job, does not serve this kind, or does not issue permits for this server.
     NotOwner,
-    /// The peer knows this kind, and has not heard of it lately; or it does not know it yet.
+    /// The peer has no data of this kind yet, or its data is stale.
     Uninformed,
-    /// Nothing has changed of the objects of a kind.
+    /// The follower is up to date.
     Current {
-        /// How long ago what the follower knows was all that the store held, in milliseconds.
+        /// Age of the data in milliseconds: when it was last current in the store.
         age_millis: u64,
     },
 }
