--- a/crates/heronbend-gateway/src/peers/mod.rs
+++ b/crates/heronbend-gateway/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons among themselves: who is alive, hints by datagram, and reads of another's jobs.
+//! Communication between daemons: failure detection, best-effort hints, and calls.
 //!
-//! Nothing here carries safety. A daemon that hears nobody still serves; the store decides who owns
-//! a job and who may give orders.
+//! Correctness does not depend on any of it: an isolated daemon still serves requests, and the store
+//! decides who owns a job and who holds a lease.
 
 pub mod bootstrap;
 pub mod client;
@@ -28,124 +28,124 @@
 
 pub use messages::{Hint, PeerReply, PeerRequest};
 
-/// Time after the start in which a daemon does not yet judge who is alive.
-pub const INTRODUCTION: Duration = Duration::from_millis(1200);
-/// Time after the start in which a daemon has heard of every other that is alive.
-const ALL_HEARD_OF: Duration = Duration::from_secs(4);
-/// Commands that may wait for the task that drives the failure detector.
+/// Time after the start during which a daemon does not rely on its view of the other members yet.
+pub const MEMBERSHIP_GRACE: Duration = Duration::from_millis(1200);
+/// Time after the start by which a daemon knows every other live daemon.
+const ALL_MEMBERS_KNOWN: Duration = Duration::from_secs(4);
+/// Capacity of the command queue of the membership task.
 const COMMAND_CAPACITY: usize = 256;
 
-/// What the task that drives the failure detector is asked to do.
+/// A command to the membership task.
 enum Command {
-    /// Send a hint to the other daemons.
-    Tell(Hint),
+    /// Send a hint to all other daemons.
+    Broadcast(Hint),
     /// Send a hint to some daemons.
-    TellSome(Vec<NodeId>, Hint),
-    /// Take in members that another daemon knows.
-    Learn(Vec<Member>),
-    /// Make known that this daemon stops; the sender is dropped once that is sent.
+    SendTo(Vec<NodeId>, Hint),
+    /// Merge members that another daemon knows.
+    Merge(Vec<Member>),
+    /// Announce that this daemon stops; the sender is dropped once that is sent.
     Leave(Sender<()>),
 }
 
-/// Why a daemon told no news of the store.
+/// Why an upstream peer sent no update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Untelling {
-    /// It did not answer, or does not watch the store.
-    Silent,
-    /// It watches the store, and has not heard from it lately.
-    Uninformed,
+pub enum UpstreamFailure {
+    /// It did not answer, or does not serve updates.
+    NoResponse,
+    /// Its data is too old: it has received nothing from the store recently.
+    Stale,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Untold {
-    /// Until when it is not asked again.
-    until: Moment,
-    why: Untelling,
+struct FailedUpstream {
+    /// When it may be followed again.
+    retry_at: Moment,
+    failure: UpstreamFailure,
 }
 
-/// What is believed of the very run of a daemon.
+/// Status of one run of a daemon, as seen by this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum PeerStatus {
     /// It may be alive.
     Alive,
-    /// It did not refute a suspicion: it has ended, is frozen or cannot be reached.
-    Silent,
-    /// It has certainly ended: it said so, or a later run of the daemon is known.
-    Ended,
-    /// Nothing is known of the daemon. It may have started a moment ago.
+    /// It did not refute a suspicion: it crashed, is frozen or cannot be reached.
+    Unreachable,
+    /// It has terminated: it announced that, or a later run of the daemon is known.
+    Terminated,
+    /// The daemon is not known. It may have just started.
     Unknown,
 }
 
-/// What this daemon knows of the others.
+/// This daemon's view of the other daemons, and the queue of messages to them.
 pub struct Peers {
     members: RefCell<Vec<Member>>,
     version: Cell<u64>,
-    /// Daemons that failed to tell news of the store.
-    untold: RefCell<HashMap<NodeId, Untold>>,
+    /// Upstream peers that failed recently.
+    failed_upstreams: RefCell<HashMap<NodeId, FailedUpstream>>,
     commands: Sender<Command>,
-    commands_to_do: Receiver<Command>,
-    /// What a peer told this daemon when it started.
-    pub introduction: bootstrap::Introduction,
-    /// Notified when a member's state has changed.
+    command_receiver: Receiver<Command>,
+    /// State received from a peer at startup.
+    pub bootstrap: bootstrap::Bootstrap,
+    /// Notified when the state of a member changes.
     pub changed: Event,
-    /// Notified when others took this daemon for lost.
-    pub was_doubted: Event,
+    /// Notified when this daemon has refuted a suspicion of others.
+    pub suspicion_refuted: Event,
 }
 
 impl Default for Peers {
     fn default() -> Self {
-        let (commands, commands_to_do) = bounded(COMMAND_CAPACITY);
+        let (commands, command_receiver) = bounded(COMMAND_CAPACITY);
         Self {
             members: RefCell::default(),
             version: Cell::default(),
-            untold: RefCell::default(),
+            failed_upstreams: RefCell::default(),
             commands,
-            commands_to_do,
-            introduction: bootstrap::Introduction::default(),
+            command_receiver,
+            bootstrap: bootstrap::Bootstrap::default(),
             changed: Event::new(),
-            was_doubted: Event::new(),
+            suspicion_refuted: Event::new(),
         }
     }
 }
 
 impl Peers {
-    /// Sends a hint to the other daemons. One that does not fit is dropped: whatever it tells is
-    /// found in the store as well.
-    pub fn tell_all(&self, hint: Hint) {
-        self.command(Command::Tell(hint));
+    /// Sends a hint to all other daemons. Dropped if the queue is full: the store has the same
+    /// information.
+    pub fn broadcast(&self, hint: Hint) {
+        self.enqueue(Command::Broadcast(hint));
     }
 
-    /// Sends a hint to some daemons.
-    pub fn tell(&self, to: Vec<NodeId>, hint: Hint) {
-        self.command(Command::TellSome(to, hint));
+    /// Sends a hint to some daemons; dropped if the queue is full.
+    pub fn send_to(&self, to: Vec<NodeId>, hint: Hint) {
+        self.enqueue(Command::SendTo(to, hint));
     }
 
-    fn command(&self, command: Command) {
+    fn enqueue(&self, command: Command) {
         if self.commands.try_send(command).is_err() {
             log::warn!("event=hint_dropped waiting={COMMAND_CAPACITY}");
         }
     }
 
-    /// Takes in members that another daemon knows.
-    pub async fn learn(&self, members: Vec<Member>) {
-        // The receiver lives as long as this.
-        let _ = self.commands.send(Command::Learn(members)).await;
+    /// Merges members that another daemon knows into this daemon's view.
+    pub async fn merge_members(&self, members: Vec<Member>) {
+        // Sending cannot fail: `self` owns the receiver.
+        let _ = self.commands.send(Command::Merge(members)).await;
     }
 
-    /// Makes known that this daemon stops.
+    /// Announces that this daemon stops; returns once that is sent.
     pub async fn leave(&self) {
-        let (sent, told) = bounded(1);
-        let _ = self.commands.send(Command::Leave(sent)).await;
-        // Ends with an error once the sender is dropped.
-        let _ = told.recv().await;
+        let (done, acknowledged) = bounded(1);
+        let _ = self.commands.send(Command::Leave(done)).await;
+        // Fails once the sender is dropped.
+        let _ = acknowledged.recv().await;
     }
 
-    /// All other daemons, as they are known here.
+    /// All other known daemons.
     pub fn all(&self) -> Vec<Member> {
         self.members.borrow().clone()
     }
 
-    /// The other daemons that are alive, by what is known here.
+    /// The other daemons that are alive.
     pub fn alive(&self) -> Vec<NodeId> {
         self.members
             .borrow()
@@ -155,118 +155,124 @@
             .collect()
     }
 
-    /// The zones of the other daemons that are alive.
+    /// The zones of the other live daemons.
     pub fn zones(&self) -> BTreeSet<String> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
         alive.map(|member| member.zone.clone()).collect()
     }
 
-    /// The other daemons that are alive, as ones that may run jobs with these homes.
-    pub fn alive_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
+    /// The other live daemons in the allowed regions, as candidates for running a job.
+    pub fn alive_candidates(&self, allowed_regions: Option<&BTreeSet<String>>) -> Vec<Candidate> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
-        let alive = alive.filter(|member| homes::allow(homes, &member.region));
+        let alive = alive.filter(|member| homes::allow(allowed_regions, &member.region));
         alive.map(Candidate::from).collect()
     }
 
-    /// The other daemons of a region that are alive.
+    /// The other live daemons of a region.
     pub fn alive_in_region(&self, region: &str) -> Vec<NodeId> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
         alive.filter(|member| member.region == region).map(|member| member.id.clone()).collect()
     }
 
-    /// The other daemons of a zone that may have a place in its tree. Suspects keep theirs: most refute
-    /// the suspicion, and whoever follows them goes on elsewhere as soon as they do not answer.
+    /// The other daemons of a zone that belong to its overlay tree. Includes suspects: most refute the
+    /// suspicion, and followers fail over as soon as a peer does not answer.
     pub fn overlay_candidates(&self, zone: &str) -> Vec<Candidate> {
         let members = self.members.borrow();
-        let may_live = members.iter().filter(|member| member.liveness <= Liveness::Suspect);
-        may_live.filter(|member| member.zone == zone).map(Candidate::from).collect()
+        let possibly_alive = members.iter().filter(|member| member.liveness <= Liveness::Suspect);
+        possibly_alive.filter(|member| member.zone == zone).map(Candidate::from).collect()
     }
 
-    /// Grows with each change of what is known of the others.
+    /// Version of this view; increases with each change.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Notes that a daemon failed to tell news of the store: it is not asked for a time.
-    pub fn note_untold(&self, now: Moment, rest: Duration, node: &NodeId, why: Untelling) {
-        let mut untold = self.untold.borrow_mut();
-        untold.retain(|_, untold| now < untold.until);
-        untold.insert(node.clone(), Untold { until: now + rest, why });
+    /// Records that an upstream peer failed, so that it is not followed for `backoff`.
+    pub fn mark_upstream_failed(
+        &self,
+        now: Moment,
+        backoff: Duration,
+        node: &NodeId,
+        failure: UpstreamFailure,
+    ) {
+        let mut failed = self.failed_upstreams.borrow_mut();
+        failed.retain(|_, entry| now < entry.retry_at);
+        failed.insert(node.clone(), FailedUpstream { retry_at: now + backoff, failure });
     }
 
-    /// Whether a daemon has failed to tell news a moment ago.
-    pub fn has_failed_to_tell(&self, now: Moment, node: &NodeId) -> bool {
-        self.untold.borrow().get(node).is_some_and(|untold| now < untold.until)
+    /// Whether an upstream peer failed recently.
+    pub fn is_upstream_failed(&self, now: Moment, node: &NodeId) -> bool {
+        self.failed_upstreams.borrow().get(node).is_some_and(|entry| now < entry.retry_at)
     }
 
-    /// Whether some daemon that watches the store has said a moment ago that it hears nothing of it.
-    pub fn is_outage_told(&self, now: Moment) -> bool {
-        let untold = self.untold.borrow();
-        untold.values().any(|untold| now < untold.until && untold.why == Untelling::Uninformed)
+    /// Whether an upstream peer recently reported that its data is stale.
+    pub fn is_outage_reported(&self, now: Moment) -> bool {
+        let failed = self.failed_upstreams.borrow();
+        failed.values().any(|entry| now < entry.retry_at && entry.failure == UpstreamFailure::Stale)
     }
 
-    /// Thousandths of a core that each of the other daemons that are alive may use.
-    pub fn alive_processors(&self) -> Vec<u32> {
+    /// The CPU limit of each other live daemon, in thousandths of a core.
+    pub fn alive_cpu_millis(&self) -> Vec<u32> {
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| member.liveness == Liveness::Alive);
         alive.map(|member| member.processor_millis).collect()
     }
 
-    /// How many other daemons are alive.
-    pub fn count_alive(&self) -> usize {
+    /// Number of other live daemons.
+    pub fn alive_count(&self) -> usize {
         let members = self.members.borrow();
         members.iter().filter(|member| member.liveness == Liveness::Alive).count()
     }
 
-    /// What is believed of this very run of a daemon.
-    pub fn standing(&self, node: &NodeId) -> Standing {
+    /// Status of one run of a daemon.
+    pub fn status_of(&self, node: &NodeId) -> PeerStatus {
         let members = self.members.borrow();
         match members.iter().find(|member| member.id.name == node.name) {
             Some(member) if member.id == *node => match member.liveness {
-                Liveness::Alive | Liveness::Suspect => Standing::Alive,
-                Liveness::Dead => Standing::Silent,
-                Liveness::Left => Standing::Ended,
+                Liveness::Alive | Liveness::Suspect => PeerStatus::Alive,
+                Liveness::Dead => PeerStatus::Unreachable,
+                Liveness::Left => PeerStatus::Terminated,
             },
-            Some(member) if member.id.incarnation > node.incarnation => Standing::Ended,
-            // A later run than the one that is known here.
-            Some(_) => Standing::Alive,
-            None => Standing::Unknown,
+            Some(member) if member.id.incarnation > node.incarnation => PeerStatus::Terminated,
+            // A later run than the known one.
+            Some(_) => PeerStatus::Alive,
+            None => PeerStatus::Unknown,
         }
     }
 
-    /// Where a daemon took its peers' calls when it was last heard of.
+    /// Last known address of a daemon, whatever its status.
     pub fn last_address(&self, node: &NodeId) -> Option<SocketAddr> {
         let members = self.members.borrow();
         members.iter().find(|member| member.id.name == node.name).map(|member| member.address)
     }
 
-    /// Whether no run of a daemon can be reached.
-    pub fn is_name_lost(&self, now: Moment, name: &NodeName) -> bool {
+    /// Whether no run of a daemon with this name is reachable.
+    pub fn is_unreachable(&self, now: Moment, name: &NodeName) -> bool {
         let members = self.members.borrow();
         match members.iter().find(|member| member.id.name == *name) {
             Some(member) => member.liveness > Liveness::Suspect,
-            None => now >= ALL_HEARD_OF,
+            None => now >= ALL_MEMBERS_KNOWN,
         }
     }
 
-    /// Where a daemon takes its peers' calls, if it may be alive.
+    /// Address of a daemon, if it is alive or suspected.
     pub fn address(&self, node: &NodeId) -> Option<SocketAddr> {
         let members = self.members.borrow();
         let member = members.iter().find(|member| member.id.name == node.name)?;
         (member.liveness <= Liveness::Suspect).then_some(member.address)
     }
 
-    /// The run of a daemon that may be alive, by its name.
-    pub fn named(&self, name: &NodeName) -> Option<NodeId> {
+    /// The run of a daemon with this name, if it is alive or suspected.
+    pub fn find_by_name(&self, name: &NodeName) -> Option<NodeId> {
         let members = self.members.borrow();
         let member = members.iter().find(|member| member.id.name == *name)?;
         (member.liveness <= Liveness::Suspect).then(|| member.id.clone())
     }
 
-    /// Takes over the detector's view.
+    /// Replaces this view by that of the failure detector.
     pub fn publish(&self, members: Vec<Member>) {
         *self.members.borrow_mut() = members;
         self.version.set(self.version.get() + 1);
--- a/crates/heronbend-gateway/src/peers/store_messages.rs
+++ b/crates/heronbend-gateway/src/peers/store_messages.rs
@@ -1,75 +1,75 @@
-//! Calls to the store on behalf of a peer, as they travel.
+//! Wire messages of calls to the store that are relayed by a peer.
 
 use musli::{Decode, Encode};
 
 use crate::encoded_object::EncodedObject;
 use crate::ports::{Listing, Object, Revision, StoreError};
 
-/// A call to the store; contents are JSON texts.
+/// A call to the store. Contents are encoded as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum StoreCall {
     /// Lists objects of a kind.
     List {
-        /// Kind.
+        /// Kind of the object.
         kind: String,
-        /// Name that the page follows.
+        /// Name after which the page starts.
         after: Option<String>,
     },
     /// Reads an object.
     Get {
-        /// Kind.
+        /// Kind of the object.
         kind: String,
-        /// Name.
+        /// Name of the object.
         name: String,
     },
-    /// Makes an object.
+    /// Creates an object.
     Create {
-        /// Kind.
+        /// Kind of the object.
         kind: String,
-        /// Name.
+        /// Name of the object.
         name: String,
-        /// Content.
+        /// Content as JSON.
         content: String,
     },
     /// Replaces an object's content.
     Replace {
-        /// Kind.
+        /// Kind of the object.
         kind: String,
-        /// Name.
+        /// Name of the object.
         name: String,
-        /// Content.
+        /// Content as JSON.
         content: String,
-        /// Revision that the object must have, if any.
+        /// Expected revision of the object; `None` for an unconditional write.
         revision: Option<Revision>,
     },
 }
 
-/// What became of a relayed call.
+/// The result of a relayed call.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum StoreReply {
-    /// The object as it is now.
+    /// The current object.
     Object(EncodedObject),
-    /// There is no such object.
+    /// The object does not exist.
     Missing,
     /// A page of objects.
     Page {
         /// The objects.
         objects: Vec<EncodedObject>,
-        /// Whether more follow.
+        /// Whether more pages follow.
         more: bool,
-        /// Revision at which it was read.
+        /// Revision at which the page was read.
         at: Revision,
     },
-    /// The condition did not hold.
+    /// The condition did not hold; with the current object, if known.
     Conflict(Option<EncodedObject>),
-    /// Nothing was done.
+    /// The call had no effect, with the reason.
     NotDone(String),
-    /// The outcome is unknown.
+    /// The outcome is unknown, with the reason.
     Unknown(String),
 }
 
 impl StoreReply {
-    pub(super) fn of_error(error: &StoreError) -> Self {
+    pub(super) fn from_error(error: &StoreError) -> Self {
         match error {
             StoreError::Conflict(object) => Self::Conflict(object.as_deref().map(Into::into)),
             StoreError::NotFound => Self::Missing,
@@ -78,10 +78,10 @@
         }
     }
 
-    pub(super) fn of_object(result: &Result<Object, StoreError>) -> Self {
+    pub(super) fn from_result(result: &Result<Object, StoreError>) -> Self {
         match result {
             Ok(object) => Self::Object(object.into()),
-            Err(error) => Self::of_error(error),
+            Err(error) => Self::from_error(error),
         }
     }
 
@@ -95,12 +95,16 @@
             Self::NotDone(reason) => StoreError::NotDone(reason),
             Self::Unknown(reason) => StoreError::Unknown(reason),
             Self::Object(_) | Self::Page { .. } => {
-                StoreError::Malformed("a peer answered another call".to_owned())
+                StoreError::Malformed("the peer's reply does not match the call".to_owned())
             }
         }
     }
 
-    /// The object that a call was to return.
+    /// Converts the reply to a call that returns an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the call failed, or the reply is malformed.
     pub fn into_object(self) -> Result<Object, StoreError> {
         match self {
             Self::Object(object) => object.decode(),
@@ -108,7 +112,11 @@
         }
     }
 
-    /// The page that a call was to return.
+    /// Converts the reply to a call that lists objects.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the call failed, or the reply is malformed.
     pub fn into_listing(self) -> Result<Listing, StoreError> {
         match self {
             Self::Page { objects, more, at } => {
--- a/crates/heronbend-gateway/src/peers/store_relay.rs
+++ b/crates/heronbend-gateway/src/peers/store_relay.rs
@@ -1,17 +1,17 @@
-//! Calls to the store on behalf of a peer that cannot reach it.
+//! Relays calls to the store for peers that cannot reach it.
 //!
-//! The platform may refuse or drop single machines while it serves others. A daemon whose own way
-//! to the store is lost asks a peer, which makes the call itself or says at once that it cannot.
+//! The store may be unreachable from single machines. A daemon whose direct path fails asks a peer, which
+//! makes the call itself or rejects it at once.
 
 use super::store_messages::StoreCall;
 use super::store_messages::StoreReply;
 use crate::gateway::Gateway;
 use crate::ports::Condition;
 
-/// Makes a call for a peer, by this daemon's own way to the store alone.
-pub async fn answer(gateway: &Gateway, call: StoreCall) -> StoreReply {
-    if !gateway.store.is_reached() {
-        return StoreReply::NotDone("the store is out of reach here too".to_owned());
+/// Makes a call for a peer, on this daemon's direct path only.
+pub async fn handle(gateway: &Gateway, call: StoreCall) -> StoreReply {
+    if !gateway.store.is_reachable() {
+        return StoreReply::NotDone("the relaying peer cannot reach the store either".to_owned());
     }
     gateway.metrics.store_call("relay");
     let store = gateway.store.direct();
@@ -22,15 +22,15 @@
                 more: page.more,
                 at: page.at,
             },
-            Err(error) => StoreReply::of_error(&error),
+            Err(error) => StoreReply::from_error(&error),
         },
         StoreCall::Get { kind, name } => match store.get(&kind, &name).await {
             Ok(Some(object)) => StoreReply::Object((&object).into()),
             Ok(None) => StoreReply::Missing,
-            Err(error) => StoreReply::of_error(&error),
+            Err(error) => StoreReply::from_error(&error),
         },
         StoreCall::Create { kind, name, content } => match serde_json::from_str(&content) {
-            Ok(content) => StoreReply::of_object(&store.create(&kind, &name, content).await),
+            Ok(content) => StoreReply::from_result(&store.create(&kind, &name, content).await),
             Err(error) => StoreReply::NotDone(error.to_string()),
         },
         StoreCall::Replace { kind, name, content, revision } => {
@@ -38,7 +38,7 @@
             match serde_json::from_str(&content) {
                 Ok(content) => {
                     let result = store.replace(&kind, &name, content, condition).await;
-                    StoreReply::of_object(&result)
+                    StoreReply::from_result(&result)
                 }
                 Err(error) => StoreReply::NotDone(error.to_string()),
             }
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -120,7 +120,7 @@
     if lender == gateway.identity.node.name {
         return lend(gateway, server, permits).ok();
     }
-    let lender = gateway.members.named(&lender)?;
+    let lender = gateway.members.find_by_name(&lender)?;
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
     match client::call(gateway, &lender, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -17,7 +17,7 @@
 use crate::directory::Server;
 use crate::exchange::Outgoing;
 use crate::gateway::Gateway;
-use crate::http::client::Reach;
+use crate::http::client::ProbeResult;
 
 /// Rests before the looks at a server's address: at once, and when the last of its sockets is closed
 /// even on a busy machine.
@@ -70,7 +70,7 @@
         Timer::after(rest).await;
         let reach = gateway.servers.probe(address).await;
         log::info!("event=server_looked_at server={server} new_connection={}", reach.name());
-        if reach == Reach::Refused {
+        if reach == ProbeResult::Refused {
             note_gone(&gateway, &server);
             break;
         }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -100,7 +100,7 @@
     if name == gateway.identity.node.name {
         return None;
     }
-    gateway.members.named(&name)
+    gateway.members.find_by_name(&name)
 }
 
 async fn keep(gateway: &Gateway, server: &str) -> bool {
--- a/crates/heronbend-gateway/src/quarantine/news.rs
+++ b/crates/heronbend-gateway/src/quarantine/news.rs
@@ -36,7 +36,7 @@
         untold.into_iter().map(|request| table.report(request)).collect()
     };
     for reports in reports.chunks(MOST_REPORTS) {
-        gateway.members.tell_all(Hint::RequestsSuspected { reports: reports.to_vec() });
+        gateway.members.broadcast(Hint::RequestsSuspected { reports: reports.to_vec() });
     }
 }
 
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -28,7 +28,7 @@
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
 use crate::reflector;
-use crate::reflector::MirrorSink;
+use crate::reflector::ObjectHandler;
 use crate::reflector::Source;
 
 /// Kind of the records.
@@ -61,7 +61,7 @@
 
 /// Whether something that one daemon has to do falls to this one now: by chance, to each as often.
 pub(super) fn falls_here(gateway: &Gateway) -> bool {
-    let daemons = u32::try_from(gateway.members.count_alive() + 1).unwrap_or(u32::MAX);
+    let daemons = u32::try_from(gateway.members.alive_count() + 1).unwrap_or(u32::MAX);
     rand::rng().random_ratio(1, daemons)
 }
 
@@ -259,7 +259,7 @@
 /// Follows the records until the daemon ends.
 pub async fn follow(gateway: Rc<Gateway>) {
     let sink = Sink { gateway: gateway.clone(), listed: RefCell::default() };
-    reflector::follow(gateway, KIND, Source::Watchers, GATHERING, sink).await;
+    reflector::run(gateway, KIND, Source::Peers, GATHERING, sink).await;
 }
 
 struct Sink {
@@ -280,15 +280,15 @@
     }
 }
 
-impl MirrorSink for Sink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for Sink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let named: BTreeSet<Fingerprint> =
             names.iter().filter_map(|name| name.parse().ok()).collect();
         let known = self.listed.borrow().clone();
         known.difference(&named).for_each(|request| self.release(*request));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if let Some(request) = take(&self.gateway, object) {
             self.listed.borrow_mut().insert(request);
         }
--- a/crates/heronbend-gateway/src/reflector.rs
+++ b/crates/heronbend-gateway/src/reflector.rs
@@ -1,4 +1,4 @@
-//! Keeps a copy of all objects of a kind, by a list and then watches.
+//! Keeps a local view of all objects of a kind current: lists them, then watches for changes.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -14,117 +14,120 @@
 use crate::gateway::Gateway;
 use crate::ports::{Change, Changes, Object, ObjectStore, Revision, StoreError};
 use crate::replica::Replica;
-use crate::upstream::Way;
+use crate::upstream::Upstream;
 use crate::wait;
 
-/// Longest wait of one watch. A dead path is noticed by probes on the connection and not by this.
-const WATCH_WAIT: Duration = Duration::from_secs(29);
+/// Timeout of one watch call. Dead connections are detected by keepalive probes, not by this.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(29);
 const BACKOFF_BASE: Duration = Duration::from_millis(80);
 const BACKOFF_CAP: Duration = Duration::from_millis(640);
-/// Longest time without an answer of the store after which it is probed.
-const PROBE_PERIOD: Duration = Duration::from_millis(1000);
-/// Time between two looks whether a probe is due.
-const PROBE_LOOK: Duration = Duration::from_millis(500);
+/// Time without a response from the store after which it is probed.
+const PROBE_AFTER: Duration = Duration::from_millis(1000);
+const PROBE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before a failed probe is repeated, on a daemon that watches the store for others.
 const PROBE_RETRY: Duration = Duration::from_millis(400);
-/// The same at a daemon that follows others.
+/// Delay before a failed probe is repeated, on a daemon that follows peers.
 const FOLLOWER_PROBE_RETRY: Duration = Duration::from_millis(1200);
-/// Rest of a daemon that follows others while these hear nothing from the store.
-const OUTAGE_REST: Duration = Duration::from_millis(400);
-/// Rest of a daemon that follows others after news.
-const FOLLOWER_GATHERING: Duration = Duration::from_millis(60);
-/// Longest wait for the probe before a call is tried all the same.
-const OUTAGE_WAIT: Duration = Duration::from_secs(2);
-/// Failures in a row after which the watches of other kinds are begun anew.
-const FAILURES_TO_DOUBT: u32 = 2;
-/// Failures in a row after which the loss of the store is logged.
-const FAILURES_TO_LOG: u32 = 2;
+/// Delay before the next attempt while the upstream peers cannot reach the store either.
+const UNAVAILABLE_RETRY: Duration = Duration::from_millis(400);
+/// Upper bound on the batching delay of a daemon that follows peers.
+const MAX_PEER_BATCHING: Duration = Duration::from_millis(60);
+/// Longest wait for a successful probe before the next call is attempted anyway.
+const MAX_PROBE_WAIT: Duration = Duration::from_secs(2);
+/// Consecutive failures after which a success restarts the watches of all kinds.
+const FAILURES_BEFORE_WATCH_RESTART: u32 = 2;
+/// Consecutive failures after which the loss of the store is logged.
+const FAILURES_BEFORE_LOG: u32 = 2;
 
-/// Changes that are passed on before others get their turn.
-const OBJECTS_A_TURN: usize = 200;
+/// Changes that are handled before the task yields to others.
+const YIELD_INTERVAL: usize = 200;
 
-/// All objects of a kind, with the revision up to which they are known.
-pub type KnownObjects = (Vec<Rc<EncodedObject>>, Revision);
+/// All objects of a kind and the revision at which they are current.
+pub type ObjectList = (Vec<Rc<EncodedObject>>, Revision);
 
-/// Takes in what a reflector learns.
-pub trait MirrorSink {
-    /// All objects of the kind were listed, and those that are not named are gone. The others follow as
-    /// changes.
-    fn keep(&self, names: &BTreeSet<String>);
-    /// An object was made or replaced.
-    fn put(&self, object: &Object);
-    /// The object of a name was removed.
+/// Receives the objects of a kind and their changes.
+pub trait ObjectHandler {
+    /// Called with the names of all listed objects: any other object no longer exists. The listed
+    /// objects follow as calls of [`ObjectHandler::upsert`].
+    fn retain(&self, names: &BTreeSet<String>);
+    /// An object was created or replaced.
+    fn upsert(&self, object: &Object);
+    /// The object with this name was removed.
     fn remove(&self, name: &str);
-    /// Called once all objects of a list have followed.
-    fn listed(&self) {}
+    /// Called after all objects of a list were passed to [`ObjectHandler::upsert`].
+    fn on_list(&self) {}
     /// Called after each batch of changes.
-    fn applied(&self) {}
+    fn on_batch(&self) {}
 }
 
-/// Where a reflector hears of its kind.
+/// Where a reflector reads its kind from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// From the store alone.
+    /// From the store only.
     Store,
-    /// From the daemons that watch the store for others, where there are such.
-    Watchers,
+    /// From the upstream peers in the overlay tree, or from the store if there are none.
+    Peers,
 }
 
-/// Follows a kind until the daemon ends. Changes that come within `gathering` of each other cost
-/// one call together.
-pub async fn follow(
+/// Lists and watches a kind until the daemon exits. Waits for `batch_delay` after each batch of changes,
+/// so that further changes arrive with one call.
+pub async fn run(
     gateway: Rc<Gateway>,
     kind: &'static str,
     source: Source,
-    gathering: Duration,
-    sink: impl MirrorSink,
+    batch_delay: Duration,
+    handler: impl ObjectHandler,
 ) {
     let mut failures = 0;
-    let mut told = match source {
+    let mut initial = match source {
         Source::Store => None,
-        Source::Watchers => gateway.members.introduction.take(kind).await,
+        Source::Peers => gateway.members.bootstrap.take_objects(kind).await,
     };
     loop {
-        let listed = match told.take() {
-            Some(told) => Ok(told),
+        let listed = match initial.take() {
+            Some(list) => Ok(list),
             None => list(&gateway, kind, source).await,
         };
         match listed {
             Ok((objects, at)) => {
-                if gateway.store.is_reached() {
-                    note_success(&gateway, kind, &mut failures);
+                if gateway.store.is_reachable() {
+                    record_success(&gateway, kind, &mut failures);
                 }
-                replicate(&gateway, kind, source, |replica| replica.reset(&objects, at));
-                take_list(kind, objects, &sink).await;
-                watch_from(&gateway, kind, source, at, gathering, &sink, &mut failures).await;
+                update_replica(&gateway, kind, source, |replica| replica.reset(&objects, at));
+                handle_list(kind, objects, &handler).await;
+                watch_from(&gateway, kind, source, at, batch_delay, &handler, &mut failures).await;
             }
-            Err(error) => note_failure(&gateway, kind, &error, &mut failures).await,
+            Err(error) => record_failure(&gateway, kind, &error, &mut failures).await,
         }
     }
 }
 
-/// Passes a list on.
-async fn take_list(kind: &str, objects: Vec<Rc<EncodedObject>>, sink: &impl MirrorSink) {
+/// Passes a complete list to the handler.
+async fn handle_list(kind: &str, objects: Vec<Rc<EncodedObject>>, handler: &impl ObjectHandler) {
     let names = objects.iter().map(|object| object.name.clone()).collect();
-    sink.keep(&names);
-    pass_on(kind, objects.into_iter().map(Change::Set), sink).await;
-    // Other kinds that were told with this one, as evacuations, are taken in before it is used.
+    handler.retain(&names);
+    handle_changes(kind, objects.into_iter().map(Change::Set), handler).await;
+    // Let the reflectors of related kinds, such as evacuations, apply their lists first.
     future::yield_now().await;
-    sink.listed();
-    sink.applied();
+    handler.on_list();
+    handler.on_batch();
 }
 
-/// Passes changes on, each of which is parsed when its turn comes: a parsed entry of a server takes ten
-/// times as much memory as its text. After each few of them others get their turn: of ten thousand servers a
-/// small daemon has some tenths of a second to do, and has to answer its peers meanwhile.
-async fn pass_on(kind: &str, changes: impl IntoIterator<Item = Change>, sink: &impl MirrorSink) {
+/// Passes changes to the handler. Decodes one object at a time to bound memory use, and yields
+/// regularly so that a large list does not block other tasks.
+async fn handle_changes(
+    kind: &str,
+    changes: impl IntoIterator<Item = Change>,
+    handler: &impl ObjectHandler,
+) {
     for (number, change) in changes.into_iter().enumerate() {
-        if number > 0 && number % OBJECTS_A_TURN == 0 {
+        if number > 0 && number % YIELD_INTERVAL == 0 {
             future::yield_now().await;
         }
         match change {
-            Change::Removed(name) => sink.remove(&name),
+            Change::Removed(name) => handler.remove(&name),
             Change::Set(object) => match object.decode() {
-                Ok(object) => sink.put(&object),
+                Ok(object) => handler.upsert(&object),
                 Err(error) => {
                     let name = &object.name;
                     log::warn!("event=object_malformed kind={kind} name={name} error=\"{error}\"");
@@ -134,117 +137,119 @@
     }
 }
 
-/// Keeps what peers may follow here.
-fn replicate(
+/// Updates the replica that is served to downstream peers.
+fn update_replica(
     gateway: &Gateway,
     kind: &'static str,
     source: Source,
     change: impl FnOnce(&mut Replica),
 ) {
-    if source == Source::Watchers {
+    if source == Source::Peers {
         change(gateway.replicas.borrow_mut().entry(kind).or_default());
         gateway.replica_changed.notify(usize::MAX);
     }
 }
 
-/// Why there is no list, or no change.
+/// Why a list or a watch failed.
 #[derive(Debug)]
-enum Unheard {
+enum SourceError {
     /// The store failed.
     Store(StoreError),
-    /// None of the daemons that this one follows told anything.
-    Untold,
-    /// Those that watch the store say that they hear nothing from it.
-    Outage,
+    /// None of the upstream peers sent an update.
+    NoUpdate,
+    /// The upstream peers report that they cannot reach the store.
+    Unavailable,
 }
 
-impl From<StoreError> for Unheard {
+impl From<StoreError> for SourceError {
     fn from(error: StoreError) -> Self {
         Self::Store(error)
     }
 }
 
-fn way(gateway: &Gateway, source: Source) -> Way {
+fn upstream(gateway: &Gateway, source: Source) -> Upstream {
     match source {
-        Source::Store => Way::Store,
-        Source::Watchers => dissemination::way(gateway),
+        Source::Store => Upstream::Store,
+        Source::Peers => dissemination::select_upstream(gateway),
     }
 }
 
-/// All objects of a kind, from a watcher if this daemon follows some, else from the store.
+/// Lists all objects of a kind, from an upstream peer or from the store.
 async fn list(
     gateway: &Gateway,
     kind: &'static str,
     source: Source,
-) -> Result<KnownObjects, Unheard> {
-    let way = way(gateway, source);
-    dissemination::note_way(gateway, kind, &way);
-    match way {
-        Way::Store => Ok(list_encoded(gateway, kind).await?),
-        Way::Watchers(watchers) => {
-            dissemination::whole(gateway, kind, &watchers).await.ok_or(Unheard::Untold)
+) -> Result<ObjectList, SourceError> {
+    let upstream = upstream(gateway, source);
+    dissemination::log_upstream_change(gateway, kind, &upstream);
+    match upstream {
+        Upstream::Store => Ok(list_encoded(gateway, kind).await?),
+        Upstream::Peers(peers) => {
+            dissemination::fetch_snapshot(gateway, kind, &peers).await.ok_or(SourceError::NoUpdate)
         }
-        Way::Outage => Err(Unheard::Outage),
+        Upstream::Unavailable => Err(SourceError::Unavailable),
     }
 }
 
-/// Waits for changes, by the same way.
+/// Waits for changes, from an upstream peer or from the store.
 async fn watch(
     gateway: &Gateway,
     kind: &'static str,
     source: Source,
     at: Revision,
-) -> Result<Changes, Unheard> {
-    let way = way(gateway, source);
-    dissemination::note_way(gateway, kind, &way);
-    match way {
-        Way::Store => Ok(gateway.store.watch(kind, at, WATCH_WAIT).await?),
-        Way::Watchers(watchers) => {
-            dissemination::changes(gateway, kind, at, &watchers).await.ok_or(Unheard::Untold)
-        }
-        Way::Outage => Err(Unheard::Outage),
+) -> Result<Changes, SourceError> {
+    let upstream = upstream(gateway, source);
+    dissemination::log_upstream_change(gateway, kind, &upstream);
+    match upstream {
+        Upstream::Store => Ok(gateway.store.watch(kind, at, WATCH_TIMEOUT).await?),
+        Upstream::Peers(peers) => dissemination::next_changes(gateway, kind, at, &peers)
+            .await
+            .ok_or(SourceError::NoUpdate),
+        Upstream::Unavailable => Err(SourceError::Unavailable),
     }
 }
 
-/// Watches until a list is needed: the history is gone, the watch was cut, or there is reason to
-/// believe that it hears nothing.
+/// Watches until a new list is needed: the history was compacted, the watch failed, or a restart of
+/// all watches was requested.
 ///
-/// A watch that was cut is not begun again from the same revision. What was missed may be dropped
-/// from the history while the new watch already waits, and then nothing tells of it.
+/// A failed watch is not resumed from the same revision: the missed changes may be compacted while the
+/// new watch is already waiting, and would then never be delivered.
 async fn watch_from(
     gateway: &Gateway,
     kind: &'static str,
     source: Source,
     mut at: Revision,
-    gathering: Duration,
-    sink: &impl MirrorSink,
+    batch_delay: Duration,
+    handler: &impl ObjectHandler,
     failures: &mut u32,
 ) {
     loop {
-        let doubted = gateway.watches_doubted.listen();
-        let watched = async { Some(watch(gateway, kind, source, at).await) };
+        let restart_requested = gateway.watches_doubted.listen();
+        let watching = async { Some(watch(gateway, kind, source, at).await) };
         let interrupted = async {
-            doubted.await;
+            restart_requested.await;
             None
         };
-        match watched.or(interrupted).await {
+        match watching.or(interrupted).await {
             Some(Ok(changes)) => {
-                note_success(gateway, kind, failures);
+                record_success(gateway, kind, failures);
                 at = changes.at.max(at);
-                replicate(gateway, kind, source, |replica| replica.apply(&changes.changes, at));
+                update_replica(gateway, kind, source, |replica| {
+                    replica.apply(&changes.changes, at)
+                });
                 if changes.changes.is_empty() {
                     continue;
                 }
-                pass_on(kind, changes.changes, sink).await;
-                sink.applied();
-                Timer::after(rest_after_news(gateway, source, gathering)).await;
+                handle_changes(kind, changes.changes, handler).await;
+                handler.on_batch();
+                Timer::after(batching_delay(gateway, source, batch_delay)).await;
             }
-            Some(Err(Unheard::Store(StoreError::HistoryGone))) => {
+            Some(Err(SourceError::Store(StoreError::HistoryGone))) => {
                 log::info!("event=history_gone kind={kind} at={at}");
                 return;
             }
             Some(Err(error)) => {
-                note_failure(gateway, kind, &error, failures).await;
+                record_failure(gateway, kind, &error, failures).await;
                 return;
             }
             None => {
@@ -255,31 +260,33 @@
     }
 }
 
-/// Rest after news, so that further changes come with the next. Only calls to the store have a price:
-/// a daemon that follows others, which gather already, would merely learn later of servers that leave.
-fn rest_after_news(gateway: &Gateway, source: Source, gathering: Duration) -> Duration {
-    match way(gateway, source) {
-        Way::Store => gathering,
-        Way::Watchers(_) | Way::Outage => gathering.min(FOLLOWER_GATHERING),
+/// Delay after a batch of changes, so that further changes arrive with the next call. Shorter for a
+/// daemon that follows peers, which batch the changes already.
+fn batching_delay(gateway: &Gateway, source: Source, batch_delay: Duration) -> Duration {
+    match upstream(gateway, source) {
+        Upstream::Store => batch_delay,
+        Upstream::Peers(_) | Upstream::Unavailable => batch_delay.min(MAX_PEER_BATCHING),
     }
 }
 
-/// Looks whether the store answers, whenever nothing else has shown it for a while.
+/// Probes the store whenever it has not responded for [`PROBE_AFTER`], and restarts all watches once
+/// it responds again.
 ///
-/// A watch that was begun while the store, or the way to it, was silent may never be answered, and
-/// one on a way that has gone silent hears nothing. Neither shows by itself for a long time.
+/// A watch that was started during an outage may never be answered, and one whose connection was lost
+/// receives nothing; both would go unnoticed until their timeout.
 pub async fn probe_store(gateway: Rc<Gateway>) {
     let mut failures = 0;
     loop {
-        let rest = match failures {
-            0 => PROBE_LOOK,
-            _ if dissemination::is_watcher(&gateway) => PROBE_RETRY,
+        let delay = match failures {
+            0 => PROBE_CHECK_INTERVAL,
+            _ if dissemination::is_tree_root(&gateway) => PROBE_RETRY,
             _ => FOLLOWER_PROBE_RETRY,
         };
-        Timer::after(rest).await;
-        let silent_for = gateway.store.silent_for();
-        let is_told_by_others = matches!(dissemination::way(&gateway), Way::Watchers(_));
-        if failures == 0 && (silent_for < PROBE_PERIOD || is_told_by_others) {
+        Timer::after(delay).await;
+        let since_last_response = gateway.store.since_last_response();
+        let is_following_peers =
+            matches!(dissemination::select_upstream(&gateway), Upstream::Peers(_));
+        if failures == 0 && (since_last_response < PROBE_AFTER || is_following_peers) {
             continue;
         }
         match gateway.store.probe().await {
@@ -296,7 +303,7 @@
                 if failures == 1 {
                     log::warn!(
                         "event=store_silent silent_ms={} error=\"{error}\"",
-                        silent_for.as_millis()
+                        since_last_response.as_millis()
                     );
                 }
             }
@@ -304,7 +311,7 @@
     }
 }
 
-/// All objects of a kind, with the revision to watch from.
+/// Lists all objects of a kind; returns them with the revision to watch from.
 pub async fn list_all(
     gateway: &Gateway,
     kind: &str,
@@ -314,8 +321,8 @@
     Ok((objects, at))
 }
 
-/// The same, as texts: no more than a page is held in another form.
-async fn list_encoded(gateway: &Gateway, kind: &str) -> Result<KnownObjects, StoreError> {
+/// Like [`list_all`], but encodes each page on arrival to bound memory use.
+async fn list_encoded(gateway: &Gateway, kind: &str) -> Result<ObjectList, StoreError> {
     let mut objects = Vec::new();
     let encode = |page: Vec<Object>| {
         objects.extend(page.iter().map(|object| Rc::new(EncodedObject::from(object))));
@@ -324,11 +331,11 @@
     Ok((objects, at))
 }
 
-/// Passes each page of a kind on; the revision to watch from.
+/// Passes each page of a list to `handle_page`; returns the revision to watch from.
 async fn list_pages(
     gateway: &Gateway,
     kind: &str,
-    mut take: impl FnMut(Vec<Object>),
+    mut handle_page: impl FnMut(Vec<Object>),
 ) -> Result<Revision, StoreError> {
     let mut after: Option<String> = None;
     let mut at = None;
@@ -336,8 +343,8 @@
         let page = gateway.store.list(kind, after.as_deref()).await?;
         after = page.objects.last().map(|object| object.name.clone());
         let more = page.more && after.is_some();
-        take(page.objects);
-        // Pages are read at different revisions: watching from the first one misses nothing.
+        handle_page(page.objects);
+        // Pages are read at different revisions; a watch from the first one misses no change.
         let at = *at.get_or_insert(page.at);
         if !more {
             return Ok(at);
@@ -345,36 +352,36 @@
     }
 }
 
-fn note_success(gateway: &Gateway, kind: &str, failures: &mut u32) {
+fn record_success(gateway: &Gateway, kind: &str, failures: &mut u32) {
     if *failures > 0 {
         gateway.store_reached_since.set(gateway.now());
     }
-    if *failures >= FAILURES_TO_DOUBT {
-        // Watches that were begun while the store was out of reach may never be answered.
+    if *failures >= FAILURES_BEFORE_WATCH_RESTART {
+        // Watches that were started during the outage may never be answered.
         gateway.watches_doubted.notify(usize::MAX);
     }
-    if *failures >= FAILURES_TO_LOG {
+    if *failures >= FAILURES_BEFORE_LOG {
         log::info!("event=store_regained kind={kind} failures={failures}");
     }
     *failures = 0;
 }
 
-/// Counts a failure, and waits until the store may answer again: the probe, which costs little, looks
-/// for all kinds together.
-async fn note_failure(gateway: &Gateway, kind: &str, why: &Unheard, failures: &mut u32) {
-    let error = match why {
-        Unheard::Store(error) => error,
-        Unheard::Untold => {
+/// Counts a failure and waits before the next attempt. Repeated failures wait for [`probe_store`],
+/// which probes on behalf of all kinds.
+async fn record_failure(gateway: &Gateway, kind: &str, error: &SourceError, failures: &mut u32) {
+    let error = match error {
+        SourceError::Store(error) => error,
+        SourceError::NoUpdate => {
             Timer::after(backoff(1)).await;
             return;
         }
-        Unheard::Outage => {
-            Timer::after(OUTAGE_REST).await;
+        SourceError::Unavailable => {
+            Timer::after(UNAVAILABLE_RETRY).await;
             return;
         }
     };
     *failures += 1;
-    if *failures == FAILURES_TO_LOG {
+    if *failures == FAILURES_BEFORE_LOG {
         log::warn!("event=store_lost kind={kind} error=\"{error}\"");
     }
     if *failures == 1 {
@@ -384,21 +391,20 @@
     }
 }
 
-/// Waits until the probe finds that the store answers, or for a while; not all daemons at once.
+/// Waits until a probe of the store succeeds, for at most [`MAX_PROBE_WAIT`], plus jitter.
 ///
-/// Where it answers already, a call that was begun before has failed after it, and there is no
-/// further news to wait for: `failures` in a row say how long to rest.
+/// If the store responds already, sleeps for the backoff of `failures` consecutive failures instead.
 pub async fn wait_for_store(gateway: &Gateway, failures: u32) {
-    if gateway.store.is_reached() && gateway.store.silent_for() < PROBE_PERIOD {
+    if gateway.store.is_reachable() && gateway.store.since_last_response() < PROBE_AFTER {
         Timer::after(backoff(failures)).await;
         return;
     }
-    let answers = gateway.watches_doubted.listen();
-    wait::at_most(OUTAGE_WAIT, answers).await;
+    let store_answers = gateway.watches_doubted.listen();
+    wait::at_most(MAX_PROBE_WAIT, store_answers).await;
     Timer::after(backoff(1)).await;
 }
 
-/// Capped exponential backoff with jitter, for failure number `failures`, counted from 1.
+/// Returns a capped exponential backoff with jitter after `failures` consecutive failures (at least 1).
 pub fn backoff(failures: u32) -> Duration {
     let doubled = BACKOFF_BASE * 2_u32.pow(failures.saturating_sub(1).min(8));
     doubled.min(BACKOFF_CAP).mul_f64(0.5 + rand::rng().random::<f64>() / 2.0)
--- a/crates/heronbend-gateway/src/replica.rs
+++ b/crates/heronbend-gateway/src/replica.rs
@@ -1,4 +1,5 @@
-//! All objects of one kind, in a form that peers can follow, without I/O.
+//! A replica of all objects of one kind, which computes incremental updates for downstream peers.
+//! Performs no I/O.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,35 +15,35 @@
 use crate::ports::Changes;
 use crate::ports::Revision;
 
-/// Removed objects that are remembered at the least; followers that are further behind get everything.
-/// As many are remembered as there are objects: beyond that everything is the shorter news.
-const MIN_REMEMBERED: usize = 512;
+/// Default lower bound on the number of tombstones that are kept. A replica keeps as many as it has
+/// objects if that is more; followers that are further behind receive a snapshot.
+const MIN_TOMBSTONES: usize = 512;
 
-/// All objects of one kind as they are known here, in a form that peers can follow.
+/// All objects of one kind, with tombstones of removed objects.
 #[derive(Debug, Clone)]
 pub struct Replica {
     objects: BTreeMap<String, Rc<EncodedObject>>,
-    /// Names of removed objects, with the revision at which their removal was known.
-    removed: VecDeque<(Revision, String)>,
+    /// Names of removed objects, with the revision at which the removal was observed.
+    tombstones: VecDeque<(Revision, String)>,
     at: Revision,
-    /// Removals up to this revision are no longer remembered.
-    forgotten: Revision,
-    /// Revision of the last list: it told nothing of objects that came and went before it.
-    listed: Revision,
-    /// Removals that are remembered however few objects there are.
-    min_remembered: usize,
+    /// Tombstones up to this revision were discarded.
+    compacted: Revision,
+    /// Revision of the last list, which does not include objects that were created and removed before.
+    list_revision: Revision,
+    /// Tombstones that are kept however few objects there are.
+    min_tombstones: usize,
     digest: Digest,
-    /// Bytes of all objects' names and texts.
+    /// Total size of the encoded objects in bytes.
     bytes: usize,
 }
 
-/// Tells sets of names apart: the names' hashes, joined so that each can be put in and taken out.
+/// Incremental digest of a set of names: the XOR of their hashes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode)]
 #[musli(transparent)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// Puts a name in, or takes it out again.
+    /// Adds a name to the set, or removes it again.
     fn toggle(&mut self, name: &str) {
         self.0 ^= rapidhash_v3(name.as_bytes());
     }
@@ -50,61 +51,61 @@
 
 impl Default for Replica {
     fn default() -> Self {
-        Self::remembering(MIN_REMEMBERED)
+        Self::with_min_tombstones(MIN_TOMBSTONES)
     }
 }
 
-/// What has changed since a revision.
+/// A snapshot of a replica, or its changes since a revision.
 #[derive(Debug, Clone, PartialEq)]
-pub struct News {
-    /// Whether `objects` are all that there are.
-    pub is_whole: bool,
-    /// Objects that were made or replaced.
+pub struct Update {
+    /// Whether this is a snapshot: `objects` are all that exist.
+    pub is_snapshot: bool,
+    /// Objects that were created or replaced.
     pub objects: Vec<Rc<EncodedObject>>,
     /// Names of objects that were removed.
     pub removed: Vec<String>,
-    /// Revision up to which this goes.
+    /// Revision of the replica after this update.
     pub at: Revision,
-    /// The names of all objects at that revision; nothing where a daemon of an earlier build tells it.
+    /// Digest of all names at that revision; `None` if the sender is a daemon of an earlier build.
     pub digest: Option<Digest>,
 }
 
-/// Whether who is told news checks that nothing was missed.
+/// How a follower verifies that it missed no update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Checking {
-    /// By the digest, before it takes changes.
-    ByDigest,
-    /// Not at all, as daemons of an earlier build.
-    Unchecked,
+pub enum Verification {
+    /// It compares the digest before it applies changes.
+    Digest,
+    /// Not at all, like daemons of an earlier build.
+    Unverified,
 }
 
 impl Replica {
-    /// A replica that knows nothing, and remembers so many removals, or as many as it has objects.
-    pub fn remembering(min_remembered: usize) -> Self {
+    /// Creates an empty replica that keeps at least `min_tombstones` tombstones.
+    pub fn with_min_tombstones(min_tombstones: usize) -> Self {
         Self {
             objects: BTreeMap::new(),
-            removed: VecDeque::new(),
+            tombstones: VecDeque::new(),
             at: 0,
-            forgotten: 0,
-            listed: 0,
-            min_remembered,
+            compacted: 0,
+            list_revision: 0,
+            min_tombstones,
             digest: Digest::default(),
             bytes: 0,
         }
     }
 
-    /// Takes in a list of all objects.
+    /// Replaces the contents by a list of all objects.
     pub fn reset(&mut self, objects: &[Rc<EncodedObject>], at: Revision) {
         let names: BTreeSet<&str> = objects.iter().map(|object| object.name.as_str()).collect();
-        let gone: Vec<String> =
+        let stale: Vec<String> =
             self.objects.keys().filter(|name| !names.contains(name.as_str())).cloned().collect();
-        for name in gone {
+        for name in stale {
             self.remove(name, at);
         }
         for object in objects {
             self.set(object.clone());
         }
-        self.listed = self.listed.max(at);
+        self.list_revision = self.list_revision.max(at);
         self.at = self.at.max(at);
     }
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Takes in changes up to a revision.
+    /// Applies changes up to a revision.
     pub fn apply(&mut self, changes: &[Change], at: Revision) {
         for change in changes {
             match change {
@@ -132,70 +133,73 @@
             self.bytes -= removed.bytes();
             self.digest.toggle(&name);
         }
-        self.removed.push_back((at, name));
-        while self.removed.len() > self.min_remembered.max(self.objects.len()) {
-            if let Some((forgotten, _)) = self.removed.pop_front() {
-                self.forgotten = forgotten;
+        self.tombstones.push_back((at, name));
+        while self.tombstones.len() > self.min_tombstones.max(self.objects.len()) {
+            if let Some((compacted, _)) = self.tombstones.pop_front() {
+                self.compacted = compacted;
             }
         }
     }
 
-    /// All objects that are known.
+    /// Iterates over all objects, in order of their names.
     pub fn objects(&self) -> impl Iterator<Item = &Rc<EncodedObject>> {
         self.objects.values()
     }
 
-    /// Bytes of all objects' names and texts: what a whole state takes before it is packed.
+    /// Total size of the encoded objects in bytes, before compression.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Revision up to which the objects are known.
-    pub fn at(&self) -> Revision {
+    /// Revision up to which the objects are current.
+    pub fn revision(&self) -> Revision {
         self.at
     }
 
-    /// What has changed since a revision; nothing where that is all that is known.
+    /// Returns the changes since a revision, or a snapshot if the tombstones do not reach that far back;
+    /// `None` if the replica is not newer.
     ///
-    /// A list does not tell of objects that came and went before it, of which a follower may have heard
-    /// from another daemon. One that checks what it is told finds out, and the others get everything.
-    pub fn since(&self, revision: Revision, checking: Checking) -> Option<News> {
+    /// Objects that were created and removed before the last list have no tombstone, but a follower may
+    /// have received them from another peer. A follower that verifies the digest detects this; others
+    /// receive a snapshot.
+    pub fn update_since(&self, revision: Revision, verification: Verification) -> Option<Update> {
         if revision >= self.at {
             return None;
         }
-        let is_unchecked = checking == Checking::Unchecked;
-        let is_forgotten = revision < self.forgotten || (is_unchecked && revision < self.listed);
-        let is_whole = revision == 0 || is_forgotten;
-        let is_news = |object: &&Rc<EncodedObject>| is_whole || object.revision > revision;
-        let removed = self
-            .removed
-            .iter()
-            .filter(|(at, name)| !is_whole && *at > revision && !self.objects.contains_key(name));
-        Some(News {
-            is_whole,
-            objects: self.objects.values().filter(is_news).cloned().collect(),
+        let is_unverified = verification == Verification::Unverified;
+        let is_compacted =
+            revision < self.compacted || (is_unverified && revision < self.list_revision);
+        let is_snapshot = revision == 0 || is_compacted;
+        let is_changed = |object: &&Rc<EncodedObject>| is_snapshot || object.revision > revision;
+        let removed = self.tombstones.iter().filter(|(at, name)| {
+            !is_snapshot && *at > revision && !self.objects.contains_key(name)
+        });
+        Some(Update {
+            is_snapshot,
+            objects: self.objects.values().filter(is_changed).cloned().collect(),
             removed: removed.map(|(_, name)| name.clone()).collect(),
             at: self.at,
             digest: Some(self.digest),
         })
     }
 
-    /// Whether this would hold the same objects as who tells news, once it took the changes in.
-    pub fn accepts(&self, news: &News) -> bool {
-        let Some(told) = news.digest else {
+    /// Whether this replica would hold the same names as the sender's after applying the update.
+    pub fn accepts(&self, update: &Update) -> bool {
+        let Some(expected) = update.digest else {
             return true;
         };
         let mut digest = self.digest;
-        let removed = news.removed.iter().filter(|name| self.objects.contains_key(*name));
+        let removed = update.removed.iter().filter(|name| self.objects.contains_key(*name));
         removed.for_each(|name| digest.toggle(name));
-        let made = news.objects.iter().filter(|object| !self.objects.contains_key(&object.name));
-        made.for_each(|object| digest.toggle(&object.name));
-        digest == told
+        let created =
+            update.objects.iter().filter(|object| !self.objects.contains_key(&object.name));
+        created.for_each(|object| digest.toggle(&object.name));
+        digest == expected
     }
 }
 
-impl News {
-    /// The changes, for a follower that knows what stood before.
+impl Update {
+    /// Converts the update into changes, for a follower with the preceding state.
     pub fn into_changes(self) -> Changes {
         let removed = self.removed.into_iter().map(Change::Removed);
         let set = self.objects.into_iter().map(Change::Set);
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -23,14 +23,14 @@
 use crate::evacuations;
 use crate::gateway::Gateway;
 use crate::http::server::{Listener, ListenerLimits};
-use crate::http::{bytes_answer, text_answer, Answer};
-use crate::lease_manager::LeaseKeeper;
+use crate::http::{bytes_response, text_response, HttpResponse};
+use crate::lease_manager::LeaseManager;
 use crate::lease_state::LeaseName;
 use crate::peers;
 use crate::ports::{DialectError, Object, Ports};
 use crate::quarantine;
 use crate::quarantine::evidence;
-use crate::reflector::{self, MirrorSink, Source};
+use crate::reflector::{self, ObjectHandler, Source};
 use crate::reload;
 use crate::versions;
 use crate::wait;
@@ -105,7 +105,7 @@
     let gateway = Gateway::new(identity, ports, executor.clone(), tuning);
     gateway.know_zones(&source.settings.zones);
     smol::block_on(executor.run(async move {
-        gateway.members.introduction.begin(first_start);
+        gateway.members.bootstrap.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
         gateway.executor.spawn(reload::follow(gateway.clone(), source, hang_up)).detach();
         stop.wait().await;
@@ -133,14 +133,14 @@
     {
         let served = gateway.clone();
         listen(gateway, addresses.peers, "peers", move |request| {
-            peers::membership::answer_peer(served.clone(), request)
+            peers::membership::handle_request(served.clone(), request)
         })?;
     }
     if let Some(address) = addresses.metrics {
         let told = gateway.clone();
         let page = move |_| {
             let page = told.metrics.page();
-            async move { bytes_answer(http::StatusCode::OK, "text/plain", page.into()) }
+            async move { bytes_response(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
             log::warn!("event=metrics_not_served error=\"{error}\"");
@@ -166,7 +166,7 @@
 ) -> Result<Rc<Listener>, StartError>
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: std::future::Future<Output = Answer> + 'static,
+    F: std::future::Future<Output = HttpResponse> + 'static,
 {
     let failed = |error| StartError::Listen { address, purpose, error };
     let socket = TcpListener::bind(address).map_err(failed)?;
@@ -207,18 +207,11 @@
     let followed = gateway.clone();
     spawn(Box::pin(async move {
         let gathering = followed.tuning().configuration_notice.mul_f64(CONFIGURATION_GATHERING);
-        reflector::follow(followed, configurations, Source::Watchers, gathering, configuration)
-            .await;
+        reflector::run(followed, configurations, Source::Peers, gathering, configuration).await;
     }) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
     let directory = DirectorySink::new(gateway.clone());
     let gathering = gateway.tuning().drain_notice.mul_f64(DIRECTORY_GATHERING);
-    spawn(Box::pin(reflector::follow(
-        gateway.clone(),
-        servers,
-        Source::Watchers,
-        gathering,
-        directory,
-    )));
+    spawn(Box::pin(reflector::run(gateway.clone(), servers, Source::Peers, gathering, directory)));
     if gateway.tuning().evacuation_notice.is_some() {
         gateway.directory.borrow_mut().placer.await_evacuations();
         spawn(Box::pin(evacuations::follow(gateway.clone())));
@@ -239,7 +232,7 @@
     let Some(provider) = gateway.provider.clone() else {
         return;
     };
-    let lease = Rc::new(LeaseKeeper::new(gateway.clone(), LeaseName::Duties));
+    let lease = Rc::new(LeaseManager::new(gateway.clone(), LeaseName::Duties));
     if gateway.tuning().scales {
         let scaling = duties::scaling::run(gateway.clone(), provider.clone(), lease.clone());
         gateway.executor.spawn(scaling).detach();
@@ -256,7 +249,7 @@
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() == ready_path.0 {
         return ready(&gateway);
     }
@@ -267,18 +260,18 @@
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() != ready_path.0 {
-        return text_answer(http::StatusCode::NOT_FOUND, "no such call");
+        return text_response(http::StatusCode::NOT_FOUND, "no such call");
     }
     ready(&gateway)
 }
 
-fn ready(gateway: &Gateway) -> Answer {
+fn ready(gateway: &Gateway) -> HttpResponse {
     if gateway.is_ready() {
-        text_answer(http::StatusCode::OK, "ready")
+        text_response(http::StatusCode::OK, "ready")
     } else {
-        text_answer(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        text_response(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
@@ -340,12 +333,12 @@
     }
 }
 
-impl MirrorSink for ConfigurationSink {
-    fn keep(&self, _names: &BTreeSet<String>) {
+impl ObjectHandler for ConfigurationSink {
+    fn retain(&self, _names: &BTreeSet<String>) {
         // A configuration stays in force until there is a later one.
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if object.name != self.gateway.dialect.kinds().configuration_name {
             return;
         }
@@ -418,8 +411,8 @@
     }
 }
 
-impl MirrorSink for DirectorySink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for DirectorySink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let gateway = &self.gateway;
         let known: Vec<String> =
             gateway.directory.borrow().all().map(|server| server.id.clone()).collect();
@@ -428,13 +421,13 @@
         self.malformed.borrow_mut().retain(|name| names.contains(name));
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         let servers = self.gateway.directory.borrow().all().count();
         log::info!("event=servers_listed servers={servers}");
         self.gateway.directory_known.set(true);
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         match self.gateway.dialect.server(&object.name, &object.content) {
             Ok(mut server) => {
                 server.revision = object.revision;
@@ -454,7 +447,7 @@
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
     }
 
-    fn applied(&self) {
+    fn on_batch(&self) {
         self.gateway.places.changed.notify(usize::MAX);
         self.gateway.versions.changed.notify(usize::MAX);
     }
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -41,8 +41,8 @@
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::http::client::Exchange;
-use crate::http::client::WholeAnswer;
-use crate::http::AnswerBody;
+use crate::http::client::FullResponse;
+use crate::http::ResponseBody;
 use crate::permits;
 use crate::places;
 use crate::quarantine;
@@ -67,17 +67,17 @@
         /// Headers of the first server.
         headers: HeaderMap,
         /// The events.
-        body: AnswerBody,
+        body: ResponseBody,
     },
     /// A server answered without a stream.
-    Whole(WholeAnswer),
+    Whole(FullResponse),
 }
 
 /// Why a stream ended before its end.
 #[derive(Debug)]
 enum Break {
     /// A server answered with a failure.
-    Answered(Box<WholeAnswer>),
+    Answered(Box<FullResponse>),
     /// It failed, or no server took it.
     Failed(ForwardError),
 }
@@ -174,15 +174,15 @@
     let body = match first {
         Some(first) => body(first, relay),
         // It ended without an event.
-        None => AnswerBody::whole(Bytes::new()),
+        None => ResponseBody::full(Bytes::new()),
     };
     Ok(Opened::Events { status, headers, body })
 }
 
 /// The body of a stream whose first events are `first`.
-fn body(first: Bytes, relay: Relay) -> AnswerBody {
+fn body(first: Bytes, relay: Relay) -> ResponseBody {
     let state = (Some(first), Some(relay));
-    AnswerBody::pieces(stream::unfold(state, |(first, relay)| async move {
+    ResponseBody::stream(stream::unfold(state, |(first, relay)| async move {
         let mut relay = relay?;
         if let Some(first) = first {
             return Some((Ok(first), (None, Some(relay))));
@@ -302,7 +302,7 @@
         let per_event = run.counted.elapsed() / run.events.max(1);
         run.counted.end(AttemptOutcome::Succeeded(per_event));
         quarantine::note_answer(&self.gateway, &self.outgoing, run.exchange.status);
-        run.exchange.keep();
+        run.exchange.return_to_pool();
         self.log_end("whole");
     }
 
--- a/crates/heronbend-gateway/src/upstream.rs
+++ b/crates/heronbend-gateway/src/upstream.rs
@@ -1,15 +1,15 @@
-//! By which way a daemon hears of the store.
+//! Where a daemon receives the contents of the store from.
 
 use heronbend::identity::NodeId;
 
-/// By which way a daemon hears of the store.
+/// Where a daemon receives the contents of the store from.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Way {
-    /// It lists and watches for itself.
+pub enum Upstream {
+    /// From the store, by its own list and watch calls.
     Store,
-    /// It follows these daemons, which do.
-    Watchers(Vec<NodeId>),
-    /// Those that do hear nothing from the store, and this daemon does not either: to list would cost
-    /// a call at each daemon, and not be answered.
-    Outage,
+    /// From these peers, in order of preference.
+    Peers(Vec<NodeId>),
+    /// From nowhere: neither this daemon nor the peers that watch the store can reach it. Lists are
+    /// suspended, so that not every daemon calls the store during an outage.
+    Unavailable,
 }
--- a/crates/heronbend-gateway/src/versions/board.rs
+++ b/crates/heronbend-gateway/src/versions/board.rs
@@ -9,7 +9,7 @@
 use heronbend::identity::NodeName;
 use heronbend::Moment;
 
-use crate::lease_state::LeaseNews;
+use crate::lease_state::LeaseState;
 
 /// A step that takes longer, with its training, needs more than half of its model's servers.
 const SLOW_STEP: Duration = Duration::from_millis(4200);
@@ -25,7 +25,7 @@
     /// Times that a model's newest steps took, from hand-in to the version that came of it.
     step_times: RefCell<HashMap<String, VecDeque<Duration>>>,
     /// The lease for orders.
-    pub lease: LeaseNews,
+    pub lease: LeaseState,
     /// Notified when a version was named, or an order was taken.
     pub changed: Event,
 }
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/duty.rs
@@ -23,11 +23,11 @@
 use crate::configuration::{Destination, RouteKind};
 use crate::directory::{Server, ServerState};
 use crate::gateway::Gateway;
-use crate::http::client::WholeAnswer;
-use crate::lease_manager::LeaseKeeper;
+use crate::http::client::FullResponse;
+use crate::lease_manager::LeaseManager;
 use crate::lease_state::LeaseName;
 use crate::peers::Hint;
-use crate::peers::INTRODUCTION;
+use crate::peers::MEMBERSHIP_GRACE;
 use crate::ports::dialect::ServerCall;
 use crate::wait;
 
@@ -101,7 +101,7 @@
 /// among a thousand daemons, all from one.
 fn tell_of_order(gateway: &Gateway, order: Hint) {
     if serves_streams(gateway) {
-        gateway.members.tell_all(order);
+        gateway.members.broadcast(order);
         return;
     }
     let jobs = gateway.jobs.all();
@@ -109,7 +109,7 @@
     let mut concerned: BTreeSet<NodeId> = open.map(|job| job.owner()).collect();
     concerned.extend(candidates(gateway));
     concerned.remove(&gateway.identity.node);
-    gateway.members.tell(concerned.into_iter().collect(), order);
+    gateway.members.send_to(concerned.into_iter().collect(), order);
 }
 
 /// A load that this daemon orders, or has ordered.
@@ -122,7 +122,7 @@
 
 struct Duty {
     gateway: Rc<Gateway>,
-    lease: LeaseKeeper,
+    lease: LeaseManager,
     /// Servers that an order is being given to, or that rest after one failed.
     busy: RefCell<HashMap<String, Option<Begun>>>,
     /// Time that the last looks at what is due took.
@@ -131,21 +131,21 @@
 
 /// Runs until the daemon ends.
 pub async fn run(gateway: Rc<Gateway>) {
-    let lease = LeaseKeeper::new(gateway.clone(), LeaseName::Orders);
+    let lease = LeaseManager::new(gateway.clone(), LeaseName::Orders);
     let duty = Rc::new(Duty {
         gateway: gateway.clone(),
         lease,
         busy: RefCell::default(),
         plan_took: Cell::default(),
     });
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     // The others were told of the holder, and hear of its renewals.
-    if is_candidate(&gateway) || !gateway.members.introduction.is_complete() {
+    if is_candidate(&gateway) || !gateway.members.bootstrap.is_complete() {
         duty.lease.read().await;
     }
     loop {
         // Until others have been heard of, nobody can tell who of them is alive.
-        Timer::after(INTRODUCTION.saturating_sub(gateway.now())).await;
+        Timer::after(MEMBERSHIP_GRACE.saturating_sub(gateway.now())).await;
         let changed = gateway.versions.changed.listen();
         for load in duty.loads_to_order().await {
             let (model, version, since) = (load.model.clone(), load.version, gateway.now());
@@ -168,7 +168,7 @@
         }
         let is_urgent = due.iter().any(|load| load.urgency != Urgency::WhenIdle);
         // Loads that wait for an idle server renew the lease only once such a server is found.
-        if is_urgent && !self.lease.ensure().await {
+        if is_urgent && !self.lease.acquire_or_renew().await {
             return Vec::new();
         }
         self.loads_due()
@@ -262,7 +262,7 @@
             if gateway.draining.get() {
                 return false;
             }
-            if !gateway.members.is_name_lost(gateway.now(), holder) {
+            if !gateway.members.is_unreachable(gateway.now(), holder) {
                 before += 1;
             }
         }
@@ -317,7 +317,7 @@
         if load.urgency == Urgency::WhenIdle && report.requests > 0 {
             return false;
         }
-        if load.urgency == Urgency::WhenIdle && !self.lease.ensure().await {
+        if load.urgency == Urgency::WhenIdle && !self.lease.acquire_or_renew().await {
             return false;
         }
         let Some(fence) = self.lease.token() else {
@@ -447,7 +447,7 @@
     }
 
     /// Calls a server's own interface; nothing when there is no whole answer.
-    async fn call(&self, server: &Server, call: ServerCall) -> Option<WholeAnswer> {
+    async fn call(&self, server: &Server, call: ServerCall) -> Option<FullResponse> {
         let names = self.gateway.dialect.headers();
         let mut request = Request::new(Full::new(call.body));
         *request.method_mut() = call.method;
--- a/crates/heronbend-gateway/src/versions/named.rs
+++ b/crates/heronbend-gateway/src/versions/named.rs
@@ -16,7 +16,7 @@
 use crate::lease_state::LeaseName;
 use crate::ports::Object;
 use crate::reflector;
-use crate::reflector::MirrorSink;
+use crate::reflector::ObjectHandler;
 use crate::reflector::Source;
 
 /// Daemons that are ready to take the lease.
@@ -29,12 +29,12 @@
 /// Takes in the versions that trainers name.
 pub struct VersionSink(pub Rc<Gateway>);
 
-impl MirrorSink for VersionSink {
-    fn keep(&self, _names: &BTreeSet<String>) {
+impl ObjectHandler for VersionSink {
+    fn retain(&self, _names: &BTreeSet<String>) {
         // Versions only rise: one whose object is gone was named all the same.
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         match self.0.dialect.named_version(&object.content) {
             Ok(named) => {
                 log::info!(
@@ -69,7 +69,7 @@
 /// lease: the others have no use for them, and each watch has a price.
 pub async fn follow_versions(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().versions;
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     loop {
         let changed = gateway.members.changed.listen();
         if !is_candidate(&gateway) {
@@ -77,7 +77,7 @@
             continue;
         }
         let sink = VersionSink(gateway.clone());
-        let follow = reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, sink);
+        let follow = reflector::run(gateway.clone(), kind, Source::Store, GATHERING, sink);
         let dismissed = async {
             while is_candidate(&gateway) {
                 gateway.members.changed.listen().or(rest()).await;
@@ -103,7 +103,7 @@
 pub(super) fn candidates(gateway: &Gateway) -> Vec<NodeId> {
     let mut line = gateway.members.alive();
     line.push(gateway.identity.node.clone());
-    line.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object(), node)));
+    line.sort_by_cached_key(|node| Reverse(ownership::rank(LeaseName::Orders.object_name(), node)));
     line.truncate(CANDIDATES);
     line
 }
@@ -114,5 +114,5 @@
     let mut line: Vec<NodeId> = gateway.members.alive();
     line.push(me.clone());
     line.retain(|node| Some(&node.name) != holder);
-    ownership::place_in_line(LeaseName::Orders.object(), me, &line)
+    ownership::place_in_line(LeaseName::Orders.object_name(), me, &line)
 }
--- a/crates/heronbend-gateway/tests/adoption.rs
+++ b/crates/heronbend-gateway/tests/adoption.rs
@@ -10,7 +10,7 @@
 use heronbend_gateway::batch::adoption::{self, Reason};
 use heronbend_gateway::batch::ownership::{place_in_line, Ownership};
 use heronbend_gateway::batch::ownership_duty;
-use heronbend_gateway::peers::{PeerReply, Peers, Standing};
+use heronbend_gateway::peers::{PeerReply, PeerStatus, Peers};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::memory_store::MemoryStore;
@@ -20,11 +20,11 @@
 
 #[test]
 fn an_owner_that_nothing_is_known_of_is_not_lost_at_once() {
-    assert_eq!(adoption::reason(Standing::Unknown, SECOND, 0), None);
-    assert_eq!(adoption::reason(Standing::Unknown, 5 * SECOND, 0), Some(Reason::Unknown));
-    assert_eq!(adoption::reason(Standing::Ended, Duration::ZERO, 0), Some(Reason::Ended));
-    assert_eq!(adoption::reason(Standing::Silent, Duration::ZERO, 1), None);
-    assert_eq!(adoption::reason(Standing::Alive, 99 * SECOND, 0), None);
+    assert_eq!(adoption::reason(PeerStatus::Unknown, SECOND, 0), None);
+    assert_eq!(adoption::reason(PeerStatus::Unknown, 5 * SECOND, 0), Some(Reason::Unknown));
+    assert_eq!(adoption::reason(PeerStatus::Terminated, Duration::ZERO, 0), Some(Reason::Ended));
+    assert_eq!(adoption::reason(PeerStatus::Unreachable, Duration::ZERO, 1), None);
+    assert_eq!(adoption::reason(PeerStatus::Alive, 99 * SECOND, 0), None);
 }
 
 #[test]
@@ -37,12 +37,12 @@
         member(run("b", 5), Liveness::Dead),
         member(run("c", 5), Liveness::Left),
     ]);
-    assert_eq!(peers.standing(&run("a", 5)), Standing::Alive);
-    assert_eq!(peers.standing(&run("a", 4)), Standing::Ended);
-    assert_eq!(peers.standing(&run("a", 6)), Standing::Alive, "a later run, not heard of yet");
-    assert_eq!(peers.standing(&run("b", 5)), Standing::Silent);
-    assert_eq!(peers.standing(&run("c", 5)), Standing::Ended);
-    assert_eq!(peers.standing(&run("d", 5)), Standing::Unknown);
+    assert_eq!(peers.status_of(&run("a", 5)), PeerStatus::Alive);
+    assert_eq!(peers.status_of(&run("a", 4)), PeerStatus::Terminated);
+    assert_eq!(peers.status_of(&run("a", 6)), PeerStatus::Alive, "a later run, not heard of yet");
+    assert_eq!(peers.status_of(&run("b", 5)), PeerStatus::Unreachable);
+    assert_eq!(peers.status_of(&run("c", 5)), PeerStatus::Terminated);
+    assert_eq!(peers.status_of(&run("d", 5)), PeerStatus::Unknown);
 }
 
 #[test]
@@ -102,15 +102,15 @@
     }
 
     /// What one daemon believes of another; it differs from daemon to daemon and from second to second.
-    fn standing(&self, viewer: usize, subject: usize) -> Standing {
+    fn standing(&self, viewer: usize, subject: usize) -> PeerStatus {
         if self.dead[subject] {
-            return Standing::Silent;
+            return PeerStatus::Unreachable;
         }
         let mix = (viewer * 31 + subject * 17) as u64 + self.now.as_secs() * 7;
         match mix * 2_654_435_761 % 100 {
-            wrong if wrong < WRONG_IN_100 / 2 => Standing::Silent,
-            wrong if wrong < WRONG_IN_100 => Standing::Unknown,
-            _ => Standing::Alive,
+            wrong if wrong < WRONG_IN_100 / 2 => PeerStatus::Unreachable,
+            wrong if wrong < WRONG_IN_100 => PeerStatus::Unknown,
+            _ => PeerStatus::Alive,
         }
     }
 
@@ -130,14 +130,14 @@
     fn look(&mut self, me: usize) {
         let (owner, lost_since) = self.known[me];
         let standing = self.standing(me, owner);
-        if me == owner || standing == Standing::Alive {
+        if me == owner || standing == PeerStatus::Alive {
             self.known[me].1 = None;
             return;
         }
         let since = lost_since.unwrap_or(self.now);
         self.known[me].1 = Some(since);
         let alive: Vec<NodeId> = (0..MEMBERS)
-            .filter(|other| *other == me || self.standing(me, *other) == Standing::Alive)
+            .filter(|other| *other == me || self.standing(me, *other) == PeerStatus::Alive)
             .map(|other| self.names[other].clone())
             .collect();
         let place = place_in_line("job", &self.names[me], &alive);
--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -22,7 +22,7 @@
 use heronbend_gateway::lease_state::LeaseName;
 use heronbend_gateway::peers::messages::Datagram;
 use heronbend_gateway::peers::messages::JobEntry;
-use heronbend_gateway::peers::messages::KindState;
+use heronbend_gateway::peers::messages::KindSnapshot;
 use heronbend_gateway::peers::messages::LeaseRenewal;
 use heronbend_gateway::peers::store_messages::StoreCall;
 use heronbend_gateway::peers::store_messages::StoreReply;
@@ -30,7 +30,7 @@
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::peers::PeerRequest;
 use heronbend_gateway::ports::Object;
-use heronbend_gateway::replica::News;
+use heronbend_gateway::replica::Update;
 use heronbend_gateway::versions::lease::LeaseRecord;
 use musli::Decode;
 use musli::Encode;
@@ -138,7 +138,7 @@
 }
 
 fn replies() -> Vec<(&'static str, PeerReply)> {
-    let state = KindState {
+    let state = KindSnapshot {
         kind: "servers".to_owned(),
         objects: vec![EncodedObject::from(&object())],
         at: 44,
@@ -171,9 +171,9 @@
     ]
 }
 
-fn news() -> News {
-    News {
-        is_whole: false,
+fn news() -> Update {
+    Update {
+        is_snapshot: false,
         objects: vec![Rc::new(EncodedObject::from(&object()))],
         removed: vec!["i-6".to_owned()],
         at: 44,
@@ -195,7 +195,7 @@
         let told: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
         assert_eq!(told, reply, "{name}");
     }
-    assert_eq!(compressed_update::unpack(&sample("compressed_update")).unwrap(), news());
+    assert_eq!(compressed_update::decode(&sample("packed_news")).unwrap(), news());
 }
 
 #[test]
--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! News of the store by way of peers.
+//! Update of the store by way of peers.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use heronbend::identity::NodeId;
 use heronbend::membership::Candidate;
 use heronbend::overlay::Tree;
-use heronbend_gateway::dissemination::own_order;
+use heronbend_gateway::dissemination::failover_order;
 use heronbend_gateway::encoded_object::EncodedObject;
 use heronbend_gateway::ports::Change;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::ports::Revision;
-use heronbend_gateway::replica::Checking::ByDigest;
-use heronbend_gateway::replica::Checking::Unchecked;
 use heronbend_gateway::replica::Replica;
+use heronbend_gateway::replica::Verification::Digest;
+use heronbend_gateway::replica::Verification::Unverified;
 use serde_json::Value;
 use support::node;
 
@@ -38,16 +38,16 @@
 fn a_follower_gets_what_changed_since_it_was_told_and_nothing_else() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let whole = replica.since(0, Unchecked).unwrap();
-    assert!(whole.is_whole);
+    let whole = replica.update_since(0, Unverified).unwrap();
+    assert!(whole.is_snapshot);
     assert_eq!((names(&whole.objects), whole.at), (vec!["a", "b"], 2));
-    assert_eq!(replica.since(2, Unchecked), None);
+    assert_eq!(replica.update_since(2, Unverified), None);
     replica.apply(&[set("c", 4), Change::Removed("a".to_owned())], 5);
-    let news = replica.since(2, Unchecked).unwrap();
-    assert!(!news.is_whole);
+    let news = replica.update_since(2, Unverified).unwrap();
+    assert!(!news.is_snapshot);
     assert_eq!((names(&news.objects), news.removed, news.at), (vec!["c"], vec!["a".to_owned()], 5));
     // A follower that another watcher has told more gets nothing older.
-    assert_eq!(replica.since(6, Unchecked), None);
+    assert_eq!(replica.update_since(6, Unverified), None);
 }
 
 #[test]
@@ -71,8 +71,8 @@
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
     replica.reset(&[listed("b", 2)], 9);
     // All that there is: a follower drops whatever is not among it.
-    let news = replica.since(2, Unchecked).unwrap();
-    assert!(news.is_whole);
+    let news = replica.update_since(2, Unverified).unwrap();
+    assert!(news.is_snapshot);
     assert_eq!((names(&news.objects), news.at), (vec!["b"], 9));
 }
 
@@ -82,7 +82,7 @@
     replica.reset(&[listed("a", 1)], 1);
     replica.apply(&[Change::Removed("a".to_owned())], 2);
     replica.apply(&[set("a", 3)], 3);
-    let news = replica.since(1, Unchecked).unwrap();
+    let news = replica.update_since(1, Unverified).unwrap();
     assert_eq!((names(&news.objects), news.removed.len()), (vec!["a"], 0));
 }
 
@@ -93,8 +93,8 @@
     for revision in 2..2000 {
         replica.apply(&[Change::Removed(format!("gone-{revision}"))], revision);
     }
-    assert!(replica.since(5, Unchecked).unwrap().is_whole);
-    assert!(!replica.since(1990, Unchecked).unwrap().is_whole);
+    assert!(replica.update_since(5, Unverified).unwrap().is_snapshot);
+    assert!(!replica.update_since(1990, Unverified).unwrap().is_snapshot);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1)], 8);
     replica.reset(&[listed("a", 1)], 4);
-    assert_eq!(replica.since(8, Unchecked), None);
+    assert_eq!(replica.update_since(8, Unverified), None);
 }
 
 /// Those of a zone's daemons, all with the same processor, that watch the store for the others.
@@ -132,14 +132,14 @@
     let mut late = Replica::default();
     // The object was made at 1 and removed at 2; this daemon lists only then.
     late.reset(&[listed("b", 3)], 3);
-    let news = late.since(1, Unchecked).unwrap();
-    assert!(news.is_whole, "changes cannot tell of removals before the list");
+    let news = late.update_since(1, Unverified).unwrap();
+    assert!(news.is_snapshot, "changes cannot tell of removals before the list");
     // The same where it lists again after a gap in what it heard.
     late.reset(&[listed("b", 3), listed("c", 9)], 9);
-    assert!(late.since(5, Unchecked).unwrap().is_whole);
+    assert!(late.update_since(5, Unverified).unwrap().is_snapshot);
     late.apply(&[Change::Removed("c".to_owned())], 10);
-    let news = late.since(9, Unchecked).unwrap();
-    assert_eq!((news.is_whole, news.removed), (false, vec!["c".to_owned()]));
+    let news = late.update_since(9, Unverified).unwrap();
+    assert_eq!((news.is_snapshot, news.removed), (false, vec!["c".to_owned()]));
 }
 
 #[test]
@@ -147,14 +147,14 @@
     let upstreams = [node("w1"), node("w2"), node("w3")];
     let mut first = [0; 2];
     for number in 0..200 {
-        let order = own_order(&node(&format!("front-{number}")), &upstreams);
+        let order = failover_order(&node(&format!("front-{number}")), &upstreams);
         assert_eq!(order[2], upstreams[2]);
         let place = upstreams.iter().position(|watcher| *watcher == order[0]).expect("one of them");
         first[place] += 1;
     }
     assert!(first.iter().all(|followers| (70..=130).contains(followers)), "{first:?}");
     let alone = [node("w1")];
-    assert_eq!(own_order(&node("front-1"), &alone), alone);
+    assert_eq!(failover_order(&node("front-1"), &alone), alone);
 }
 
 #[test]
@@ -164,15 +164,15 @@
     let mut follower = known.clone();
     // The daemon that tells lists anew, as when the store has dropped its history.
     known.reset(&[listed("b", 2), listed("c", 8)], 9);
-    let news = known.since(2, ByDigest).unwrap();
-    assert!(!news.is_whole);
+    let news = known.update_since(2, Digest).unwrap();
+    assert!(!news.is_snapshot);
     assert_eq!((names(&news.objects), &news.removed), (vec!["c"], &vec!["a".to_owned()]));
     assert!(follower.accepts(&news));
     // Another daemon told of an object that came and went before the list.
     follower.apply(&[set("x", 4)], 4);
-    let news = known.since(4, ByDigest).unwrap();
-    assert!(!news.is_whole && !follower.accepts(&news));
-    assert!(known.since(0, ByDigest).unwrap().is_whole);
+    let news = known.update_since(4, Digest).unwrap();
+    assert!(!news.is_snapshot && !follower.accepts(&news));
+    assert!(known.update_since(0, Digest).unwrap().is_snapshot);
 }
 
 /// Servers of a fleet of 985 machines, and of one of twice the size, of which a zone's part is replaced.
@@ -187,8 +187,8 @@
             let made = set(&name(servers + number), number + 2);
             known.apply(&[Change::Removed(name(number)), made], number + 2);
         }
-        let news = known.since(1, ByDigest).unwrap();
-        assert!(!news.is_whole, "of {servers} servers");
+        let news = known.update_since(1, Digest).unwrap();
+        assert!(!news.is_snapshot, "of {servers} servers");
         assert_eq!(news.removed.len() as u64, servers / 5);
         assert_eq!(news.objects.len() as u64, servers / 5);
     }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -24,7 +24,7 @@
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::ports::{Object, ObjectStore};
-use heronbend_gateway::reflector::{self, MirrorSink, Source};
+use heronbend_gateway::reflector::{self, ObjectHandler, Source};
 use serde_json::json;
 use smol::LocalExecutor;
 use support::memory_store::{MemoryStore, WatchFault, WriteFault};
@@ -51,13 +51,13 @@
     }
 }
 
-impl MirrorSink for Names {
-    fn keep(&self, _names: &BTreeSet<String>) {
+impl ObjectHandler for Names {
+    fn retain(&self, _names: &BTreeSet<String>) {
         // All objects of the list follow as changes.
         self.0.borrow_mut().clear();
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.0.borrow_mut().push(object.name.clone());
     }
 
@@ -73,8 +73,7 @@
     kind: &'static str,
     names: &Names,
 ) {
-    let reflector =
-        reflector::follow(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
+    let reflector = reflector::run(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
     executor.spawn(reflector).detach();
 }
 
--- a/crates/heronbend-gateway/tests/suspension.rs
+++ b/crates/heronbend-gateway/tests/suspension.rs
@@ -51,9 +51,9 @@
             time.pass(SECOND);
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             gateway.store.list("things", None).await.unwrap();
-            assert_eq!(gateway.store.silent_for(), Duration::ZERO);
+            assert_eq!(gateway.store.since_last_response(), Duration::ZERO);
             time.pass(5 * SECOND);
-            assert_eq!(gateway.store.silent_for(), 5 * SECOND);
+            assert_eq!(gateway.store.since_last_response(), 5 * SECOND);
         })
     });
 }
--- a/spec/src/followed_news.rs
+++ b/spec/src/followed_news.rs
@@ -1,4 +1,4 @@
-//! News of the store by way of daemons that watch it: objects that are set and removed, two watchers,
+//! Update of the store by way of daemons that watch it: objects that are set and removed, two watchers,
 //! one of which may miss what the store has dropped from its history, and a follower that asks both
 //! and takes the first answer.
 //!
@@ -16,9 +16,9 @@
 use heronbend_gateway::ports::Change;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::ports::Revision;
-use heronbend_gateway::replica::Checking;
-use heronbend_gateway::replica::News;
 use heronbend_gateway::replica::Replica;
+use heronbend_gateway::replica::Update;
+use heronbend_gateway::replica::Verification;
 use serde_json::Value;
 
 use crate::explore::System;
@@ -65,7 +65,7 @@
     watcher: usize,
     /// What it was asked for; nothing for a whole list.
     since: Option<Revision>,
-    news: News,
+    news: Update,
 }
 
 /// A state of the system.
@@ -142,7 +142,7 @@
     fn is_true(&self, replica: &Replica) -> bool {
         let known: Vec<(&str, Revision)> =
             replica.objects().map(|object| (object.name.as_str(), object.revision)).collect();
-        known == self.held_at(replica.at())
+        known == self.held_at(replica.revision())
     }
 
     fn check(mut self) -> Self {
@@ -200,14 +200,14 @@
 
     /// The follower's call at a watcher is answered; the answer is on its way.
     fn answer(&self, state: &State, watcher: usize, is_list: bool) -> Option<State> {
-        let since = if is_list { 0 } else { state.follower.at() };
-        let mut news = state.watchers[watcher].since(since, Checking::ByDigest)?;
+        let since = if is_list { 0 } else { state.follower.revision() };
+        let mut news = state.watchers[watcher].update_since(since, Verification::Digest)?;
         let is_asked = state.answers.iter().any(|answer| answer.watcher == watcher);
         if is_asked || (is_list && state.lists_left == 0) {
             return None;
         }
         if self.mutation == Mutation::ForgetsRemovals && !is_list && since > 0 {
-            (news.is_whole, news.digest) = (false, None);
+            (news.is_snapshot, news.digest) = (false, None);
         }
         let mut next = state.clone();
         next.lists_left -= u8::from(is_list);
@@ -222,20 +222,20 @@
         if self.mutation != Mutation::TakesLate {
             next.answers.clear();
         }
-        let before = next.follower.at();
+        let before = next.follower.revision();
         let news = answer.news;
-        let is_list = answer.since.is_none() || news.is_whole;
+        let is_list = answer.since.is_none() || news.is_snapshot;
         if is_list {
             if news.at >= before || self.mutation == Mutation::TakesOlderList {
                 // What it knew is forgotten: a list is all that there is.
-                next.follower = Replica::remembering(REMEMBERED);
+                next.follower = Replica::with_min_tombstones(REMEMBERED);
                 next.follower.reset(&news.objects, news.at);
             }
         } else if next.follower.accepts(&news) || self.mutation == Mutation::TakesUnchecked {
             let changes = news.into_changes();
             next.follower.apply(&changes.changes, changes.at);
         }
-        if next.follower.at() < before {
+        if next.follower.revision() < before {
             next.violation = Some("the follower goes back");
         }
         next
@@ -249,9 +249,9 @@
         State {
             held: vec![Vec::new()],
             floor: 0,
-            watchers: vec![Replica::remembering(REMEMBERED); WATCHERS],
+            watchers: vec![Replica::with_min_tombstones(REMEMBERED); WATCHERS],
             watched: vec![0; WATCHERS],
-            follower: Replica::remembering(REMEMBERED),
+            follower: Replica::with_min_tombstones(REMEMBERED),
             answers: Vec::new(),
             compactions_left: self.compactions,
             lists_left: self.lists,
