--- a/crates/heronbend-gateway/src/peers/bootstrap.rs
+++ b/crates/heronbend-gateway/src/peers/bootstrap.rs
@@ -40,7 +40,7 @@
 const FIRST_START_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Timeout of the bootstrap at every other start. Short, since callers may be waiting.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which the membership counts as settled, unless it was unchanged between two attempts before.
+/// Time after which the membership counts as settled even if it still changes between attempts.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(600);
 /// Delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
@@ -124,7 +124,7 @@
 
 /// Summary of a peer's reply.
 struct BootstrapResult {
-    peer: NodeId,
+    source: NodeId,
     /// Whether it sent snapshots, or has too many objects to send them.
     knows_objects: bool,
     knows_jobs: bool,
@@ -135,7 +135,7 @@
     let result = fetch_state(&gateway).await;
     log::info!(
         "event=introduced by={} objects={} jobs_known={} after_ms={} daemons={} jobs={}",
-        result.as_ref().map_or_else(|| "nobody".to_owned(), |result| result.peer.to_string()),
+        result.as_ref().map_or_else(|| "nobody".to_owned(), |result| result.source.to_string()),
         result.as_ref().is_some_and(|result| result.knows_objects),
         result.as_ref().is_some_and(|result| result.knows_jobs),
         gateway.now().as_millis(),
@@ -146,7 +146,7 @@
     if let Some(result) = result {
         Timer::after(JOB_REFRESH_DELAY).await;
         let others = gateway.members.alive();
-        let peer = others.choose(&mut rand::rng()).unwrap_or(&result.peer).clone();
+        let peer = others.choose(&mut rand::rng()).unwrap_or(&result.source).clone();
         fetch_jobs_from(&gateway, &peer).await;
     }
 }
@@ -234,7 +234,7 @@
     let knows_objects = !kinds.is_empty() || !packed_kinds.is_empty() || has_many_objects;
     kinds.into_iter().for_each(|state| store_snapshot(gateway, state));
     packed_kinds.iter().for_each(|kind| store_compressed_snapshot(gateway, kind));
-    Some(BootstrapResult { peer: peer, knows_objects, knows_jobs })
+    Some(BootstrapResult { source: peer, knows_objects, knows_jobs })
 }
 
 /// Stores the snapshot of a kind until its reflector starts.
--- a/crates/heronbend-gateway/src/peers/membership.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_lite::{FutureExt, StreamExt};
 use heronbend::identity::NodeId;
-use heronbend::membership::{Detector, DetectorConfig, Effect, Head, Liveness, Member};
+use heronbend::membership::{ControlVersions, Detector, DetectorConfig, Effect, Liveness, Member};
 use heronbend::Moment;
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -47,13 +47,13 @@
 
 /// Detects a dead daemon within about two seconds.
 const DETECTOR_CONFIG: DetectorConfig = DetectorConfig {
-    period: Duration::from_millis(400),
+    probe_period: Duration::from_millis(400),
     direct_timeout: Duration::from_millis(150),
-    suspicion: Duration::from_millis(1200),
-    helpers: 2,
+    suspicion_timeout: Duration::from_millis(1200),
+    indirect_probes: 2,
     forget_after: Duration::from_secs(600),
-    fanout_in_region: 3,
-    fanout_elsewhere: 2,
+    local_region_fanout: 3,
+    remote_region_fanout: 2,
 };
 
 enum Event {
@@ -70,8 +70,8 @@
     // The first tick pings the seeds without delay.
     let mut ticks = Timer::interval_at(steady_now(), TICK_INTERVAL);
     let mut tick_number = 0_u32;
-    let mut head = Head::default();
-    let mut log = MembershipLog::default();
+    let mut control_versions = ControlVersions::default();
+    let mut membership_log = MembershipLog::default();
     let mut pending = PendingChanges::default();
     let mut suspension = SuspensionWatch::new(gateway.clock());
     loop {
@@ -89,13 +89,13 @@
                     !detector.members().any(|member| member.liveness <= Liveness::Suspect);
                 if knows_nobody && tick_number.is_multiple_of(SEED_PING_TICKS) {
                     let seeds = gateway.seeds.borrow();
-                    effects.extend(seeds.iter().map(|seed| detector.greet(*seed)));
+                    effects.extend(seeds.iter().map(|seed| detector.ping_address(*seed)));
                 }
                 tick_number = tick_number.wrapping_add(1);
                 let version = gateway.configuration_version();
-                if version > head.settings_revision {
-                    head.settings_revision = version;
-                    detector.set_head(head);
+                if version > control_versions.settings_revision {
+                    control_versions.settings_revision = version;
+                    detector.set_control_versions(control_versions);
                     effects.extend(detector.announce());
                 }
                 effects
@@ -116,21 +116,21 @@
                 Vec::new()
             }
             Event::Command(Command::Merge(members)) => {
-                members.into_iter().flat_map(|member| detector.learn(now, member)).collect()
+                members.into_iter().flat_map(|member| detector.merge_member(now, member)).collect()
             }
             Event::Command(Command::Leave(done)) => {
                 let effects = detector.leave();
-                apply(&gateway, &socket, effects, &mut log, &mut pending).await;
+                apply(&gateway, &socket, effects, &mut membership_log, &mut pending).await;
                 drop(done);
                 Vec::new()
             }
             Event::None => Vec::new(),
         };
-        apply(&gateway, &socket, effects, &mut log, &mut pending).await;
+        apply(&gateway, &socket, effects, &mut membership_log, &mut pending).await;
         if pending.is_due(now) || is_merge {
             pending.publish(now, &gateway, &detector);
         }
-        if let Some(line) = log.next_line(now, gateway.members.alive_count()) {
+        if let Some(line) = membership_log.next_line(now, gateway.members.alive_count()) {
             log::info!("{line}");
         }
     }
@@ -193,7 +193,7 @@
     gateway: &Rc<Gateway>,
     socket: &UdpSocket,
     effects: Vec<Effect>,
-    log: &mut MembershipLog,
+    membership_log: &mut MembershipLog,
     pending: &mut PendingChanges,
 ) {
     for effect in effects {
@@ -201,7 +201,7 @@
             Effect::Send { to, gossip } => send(socket, to, &Datagram::Gossip(*gossip)).await,
             Effect::Changed(change) => {
                 let member = change.member;
-                log.record(&member);
+                membership_log.record(&member);
                 pending.has_lost_member |= member.liveness > Liveness::Suspect;
                 pending.has_changed = true;
             }
@@ -270,21 +270,21 @@
 }
 
 /// Handles that a peer has a newer configuration: restarts the watches unless it arrives soon.
-fn check_behind(gateway: &Rc<Gateway>, head: Head) {
-    if gateway.behind.get() >= head.settings_revision {
+fn check_behind(gateway: &Rc<Gateway>, peer_versions: ControlVersions) {
+    if gateway.behind.get() >= peer_versions.settings_revision {
         return;
     }
-    gateway.behind.set(head.settings_revision);
-    let gateway_here = gateway.clone();
+    gateway.behind.set(peer_versions.settings_revision);
+    let task_gateway = gateway.clone();
     let check = async move {
         Timer::after(BEHIND_GRACE).await;
-        if gateway_here.configuration_version() < head.settings_revision {
+        if task_gateway.configuration_version() < peer_versions.settings_revision {
             log::warn!(
                 "event=configuration_behind version={} peer_version={}",
-                gateway_here.configuration_version(),
-                head.settings_revision
+                task_gateway.configuration_version(),
+                peer_versions.settings_revision
             );
-            gateway_here.watches_doubted.notify(usize::MAX);
+            task_gateway.watches_doubted.notify(usize::MAX);
         }
     };
     gateway.executor.spawn(check).detach();
