--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -140,7 +140,7 @@
     };
     let limits = BodyLimits {
         max_bytes: configuration.limits.max_body_bytes,
-        idle: configuration.limits.idle_timeout.min(route.timeout),
+        idle_timeout: configuration.limits.idle_timeout.min(route.timeout),
     };
     let mut hold = gateway.memory.hold();
     let bytes = match read_body(body, limits, &mut hold).await {
--- a/crates/heronbend-gateway/src/failover_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -21,7 +21,7 @@
 
 /// Time after a failure for which the direct path counts as unreachable, unless a call succeeds.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(2500);
-/// Time after a response for which the direct path counts as working. Longer than the probe interval.
+/// Time after a response for which calls without a result do not count as a failure of the direct path.
 const RESPONSE_VALID_FOR: Duration = Duration::from_millis(1800);
 /// Consecutive throttled calls after which the direct path counts as unreachable.
 const MAX_CONSECUTIVE_THROTTLES: u32 = 3;
@@ -77,8 +77,8 @@
 
     /// Records the result of a direct call.
     ///
-    /// A single call without a result does not count as a failure of the path while other calls are
-    /// answered, and neither does a single throttled one: only [`MAX_CONSECUTIVE_THROTTLES`] in a row do.
+    /// A call without a result does not count as a failure of the path while other calls are answered.
+    /// Throttled calls only count after [`MAX_CONSECUTIVE_THROTTLES`] in a row.
     fn record_result<T>(&self, kind: &str, result: &Result<T, StoreError>) {
         self.metrics.store_call(metric_label(kind));
         let now = self.clock.now();
--- a/crates/heronbend-gateway/src/http/client.rs
+++ b/crates/heronbend-gateway/src/http/client.rs
@@ -30,8 +30,9 @@
 /// Time without acknowledgement after which the kernel closes a connection (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2000);
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
-/// Limits on reading the rest of a discarded response: time, and bytes below.
+/// Timeout of reading the rest of a discarded response.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest rest of a discarded response that is read, in bytes.
 const MAX_DRAIN_BYTES: usize = 64 * 1024;
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
@@ -66,7 +67,7 @@
 
 struct IdleConnection {
     connection: Connection,
-    /// When the server may close it, on the clock that includes time in suspension.
+    /// When it must no longer be reused, on the clock that includes time in suspension.
     expires_at: Moment,
 }
 
--- a/crates/heronbend-gateway/src/http/server.rs
+++ b/crates/heronbend-gateway/src/http/server.rs
@@ -210,7 +210,7 @@
     /// Largest body in bytes.
     pub max_bytes: usize,
     /// Longest time without data.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Reads the complete body of a request, and accounts its memory in `hold`.
@@ -231,7 +231,7 @@
         return Err(BodyError::OutOfMemory);
     }
     let mut bytes = BytesMut::new();
-    while let Some(frame) = next_frame(&mut body, limits.idle).await? {
+    while let Some(frame) = next_frame(&mut body, limits.idle_timeout).await? {
         let Ok(data) = frame.into_data() else { continue };
         let length = bytes.len() + data.len();
         if length > limits.max_bytes {
@@ -248,14 +248,14 @@
 
 async fn next_frame(
     body: &mut Incoming,
-    idle: Duration,
+    idle_timeout: Duration,
 ) -> Result<Option<Frame<Bytes>>, BodyError> {
     let frame = async {
         let frame = body.frame().await.transpose();
         frame.map_err(|error| BodyError::Aborted(io::Error::other(error)))
     };
     let silent = async {
-        Timer::after(idle).await;
+        Timer::after(idle_timeout).await;
         Err(BodyError::Timeout)
     };
     frame.or(silent).await
--- a/crates/heronbend-gateway/src/replica.rs
+++ b/crates/heronbend-gateway/src/replica.rs
@@ -25,7 +25,8 @@
     objects: BTreeMap<String, Rc<EncodedObject>>,
     /// Names of removed objects, with the revision at which the removal was observed.
     tombstones: VecDeque<(Revision, String)>,
-    at: Revision,
+    /// Revision up to which the objects are current.
+    revision: Revision,
     /// Tombstones up to this revision were discarded.
     compacted: Revision,
     /// Revision of the last list, which does not include objects that were created and removed before.
@@ -85,7 +86,7 @@
         Self {
             objects: BTreeMap::new(),
             tombstones: VecDeque::new(),
-            at: 0,
+            revision: 0,
             compacted: 0,
             list_revision: 0,
             min_tombstones,
@@ -106,7 +107,7 @@
             self.set(object.clone());
         }
         self.list_revision = self.list_revision.max(at);
-        self.at = self.at.max(at);
+        self.revision = self.revision.max(at);
     }
 
     fn set(&mut self, object: Rc<EncodedObject>) {
@@ -125,7 +126,7 @@
                 Change::Removed(name) => self.remove(name.clone(), at),
             }
         }
-        self.at = self.at.max(at);
+        self.revision = self.revision.max(at);
     }
 
     fn remove(&mut self, name: String, at: Revision) {
@@ -153,7 +154,7 @@
 
     /// Revision up to which the objects are current.
     pub fn revision(&self) -> Revision {
-        self.at
+        self.revision
     }
 
     /// Returns the changes since a revision, or a snapshot if the tombstones do not reach that far back;
@@ -163,7 +164,7 @@
     /// have received them from another peer. A follower that verifies the digest detects this; others
     /// receive a snapshot.
     pub fn update_since(&self, revision: Revision, verification: Verification) -> Option<Update> {
-        if revision >= self.at {
+        if revision >= self.revision {
             return None;
         }
         let is_unverified = verification == Verification::Unverified;
@@ -178,12 +179,13 @@
             is_snapshot,
             objects: self.objects.values().filter(is_changed).cloned().collect(),
             removed: removed.map(|(_, name)| name.clone()).collect(),
-            at: self.at,
+            at: self.revision,
             digest: Some(self.digest),
         })
     }
 
-    /// Whether this replica would hold the same names as the sender's after applying the update.
+    /// Whether the names in this replica would match the sender's digest after applying the update. Always
+    /// true for an update without a digest.
     pub fn accepts(&self, update: &Update) -> bool {
         let Some(expected) = update.digest else {
             return true;
