--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -1,4 +1,4 @@
-//! Runs one item: its text at one or more servers, then its score.
+//! Runs one item: generates its text on one or more servers, then requests its score.
 
 use std::cell::OnceCell;
 use std::cell::RefCell;
@@ -18,12 +18,12 @@
 use smol::Timer;
 
 use super::event_stream::{EventReader, ItemText};
-use super::moves;
-use super::pace::PaceMeter;
+use super::migration;
 use super::registry::Job;
 use super::result_log::{ItemResult, ItemState};
 use super::reward::{self, Score};
 use super::specification::{Item, JobSpecification};
+use super::throughput::ThroughputMeter;
 use crate::access;
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
@@ -39,41 +39,41 @@
 use crate::quarantine::Isolation;
 use crate::quarantine::Pass;
 
-/// Longest silence before the first event. A request may wait in the server's queue.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(2500);
-/// Longest silence between two events. Servers fall silent while they load a version.
-const EVENT_LIMIT: Duration = Duration::from_millis(1600);
-/// Time that a server is given for an item, for want of a shorter bound.
-const ITEM_DEADLINE: Duration = Duration::from_secs(30);
-/// Wait for the first configuration.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(50);
-/// Half of the rest after the first attempt that added nothing.
-const IDLE_REST: Duration = Duration::from_millis(5);
-const MAX_REST_DOUBLINGS: u32 = 6;
-/// Longest rest until it is looked again whether an item that is held back may be sent to engines.
-const HELD_REST: Duration = Duration::from_secs(1);
+/// Timeout for the first event, including time in the server's queue.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout between two events. Servers pause their streams while they load a version.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Upper bound on the duration of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between checks for a configuration or a missing route.
+const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Base of the exponential backoff after attempts without progress.
+const BACKOFF_BASE: Duration = Duration::from_millis(5);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Longest wait before a quarantined item is checked again.
+const MAX_QUARANTINE_WAIT: Duration = Duration::from_secs(1);
 
-/// Lowest rank that servers tell apart.
+/// Largest priority value that servers distinguish.
 const MAX_SERVER_PRIORITY: u8 = 9;
 
-/// Why a text is moved to a faster server.
+/// Reason for migrating a text to a faster server.
 const OUTPACED: &str = "outpaced";
-/// Why a text leaves a server whose zone is evacuated.
+/// Reason for migrating a text out of an evacuated zone.
 const EVACUATED: &str = "evacuated";
 
-/// How an attempt at one server ended.
-enum RunEnd {
-    /// The text is whole.
-    Whole,
-    /// The server has not run it, or broke off: to be continued elsewhere.
-    Again,
-    /// The server failed at it.
+/// Result of an attempt on one server.
+enum AttemptResult {
+    /// The text is complete.
+    Complete,
+    /// The server did not run the item or the stream broke; retry on another server.
+    Retry,
+    /// The server reported a failure.
     Failed,
-    /// It can never be done.
-    Impossible,
+    /// The request is invalid and is not retried.
+    Unsendable,
 }
 
-/// One item that is being run.
+/// State of an item that is being run.
 struct ItemRun<'a> {
     gateway: &'a Rc<Gateway>,
     job: &'a Job,
@@ -81,22 +81,22 @@
     item: &'a Item,
     text: Rc<RefCell<ItemText>>,
     failures: u32,
-    /// Attempts in a row that added nothing.
-    idle_attempts: u32,
-    /// Since when the configuration in force has no route for it.
-    route_missing: Option<heronbend::Moment>,
-    /// The service that was drawn for it.
+    /// Consecutive attempts that produced no events.
+    attempts_without_progress: u32,
+    /// When the route was first found missing from the configuration.
+    route_missing_since: Option<heronbend::Moment>,
+    /// The service selected by the route's weights.
     service: Option<String>,
-    /// The server whose attempt ended last, to be avoided once, and those that failed at it: one more
-    /// failure may be the last that the route allows.
+    /// The last server, which the next attempt avoids, and all servers that failed the item.
     history: AttemptHistory,
-    /// Found when it is first asked for.
+    /// Computed on first use.
     fingerprint: OnceCell<Fingerprint>,
-    /// Whether it has been logged that the item is held back.
-    is_held: bool,
+    /// Whether the current quarantine of the item has been logged.
+    hold_logged: bool,
 }
 
-/// Runs an item until it has a result; goes on with `text`, which may have been begun elsewhere.
+/// Runs an item until it has a result. Continues `text`, which may hold events restored from a
+/// checkpoint.
 pub async fn run(
     gateway: &Rc<Gateway>,
     job: &Job,
@@ -111,69 +111,70 @@
         item,
         text,
         failures: 0,
-        idle_attempts: 0,
-        route_missing: None,
+        attempts_without_progress: 0,
+        route_missing_since: None,
         service: None,
         history: AttemptHistory::default(),
         fingerprint: OnceCell::new(),
-        is_held: false,
+        hold_logged: false,
     };
-    run.run_whole().await
+    run.run_to_completion().await
 }
 
 impl ItemRun<'_> {
-    async fn run_whole(mut self) -> ItemResult {
-        let begun = self.gateway.now();
+    async fn run_to_completion(mut self) -> ItemResult {
+        let started = self.gateway.now();
         loop {
             let Some(configuration) = self.gateway.configuration() else {
-                // A daemon that has just started cannot tell whether the route is still there.
-                Timer::after(CONFIGURATION_WAIT).await;
+                // Until the first configuration arrives the route cannot be looked up.
+                Timer::after(CONFIGURATION_POLL_INTERVAL).await;
                 continue;
             };
             let Some(route) = self.route(&configuration) else {
-                // The daemon that took the job in may know a newer configuration than this one.
-                let missing_since = *self.route_missing.get_or_insert(self.gateway.now());
+                // The daemon that accepted the job may have a newer configuration.
+                let missing_since = *self.route_missing_since.get_or_insert(self.gateway.now());
                 let missing_for = self.gateway.now().saturating_sub(missing_since);
                 if missing_for > self.gateway.tuning().configuration_notice * 2 {
                     return self.terminated("route removed");
                 }
-                Timer::after(CONFIGURATION_WAIT).await;
+                Timer::after(CONFIGURATION_POLL_INTERVAL).await;
                 continue;
             };
-            self.route_missing = None;
+            self.route_missing_since = None;
             let Some(service) = self.service(&route) else {
                 return self.terminated("route without a service");
             };
-            let need = self.need(&configuration, &route, &service);
+            let requirements = self.requirements(&configuration, &route, &service);
             let urgency = self.urgency(&configuration, &route);
             let Some(pass) = self.admit(&route).await else {
                 continue;
             };
-            self.keep_apart(pass, &route);
+            self.restrict_servers(pass, &route);
             let history = self.history.clone();
-            let placed = places::text(self.gateway, &self.item.id, need, urgency, history).await;
-            // What is known may have changed while it waited for a place.
-            if pass != Pass::Probe && self.is_barred(&route) {
+            let placed =
+                places::text(self.gateway, &self.item.id, requirements, urgency, history).await;
+            // The item may have been quarantined while it waited for a slot.
+            if pass != Pass::Probe && self.is_quarantined(&route) {
                 continue;
             }
-            let before = self.last_event();
+            let events_before = self.last_event();
             let key = placed.key;
-            match self.attempt(placed, need, &route).await {
-                RunEnd::Whole => break,
-                RunEnd::Again => self.rest(before).await,
-                RunEnd::Failed => {
+            match self.attempt(placed, requirements, &route).await {
+                AttemptResult::Complete => break,
+                AttemptResult::Retry => self.back_off(events_before).await,
+                AttemptResult::Failed => {
                     self.failures += 1;
                     self.history.failed.push(key);
                 }
-                RunEnd::Impossible => return self.terminated("impossible"),
+                AttemptResult::Unsendable => return self.terminated("impossible"),
             }
             if self.failures >= route.max_attempts.max(1) {
                 return self.terminated("failed too often");
             }
             self.history.last = Some(key);
         }
-        let text_millis = (self.gateway.now() - begun).as_millis();
-        self.gateway.lengths.borrow_mut().learn(self.item, self.last_event());
+        let text_millis = (self.gateway.now() - started).as_millis();
+        self.gateway.length_estimator.borrow_mut().record(self.item, self.last_event());
         let score = match &self.item.reward {
             None => None,
             Some(call) => match reward::score(self.gateway, self.job, &self.item.id, call).await {
@@ -187,23 +188,23 @@
             self.item.id,
             self.last_event(),
             self.text.borrow().versions(),
-            (self.gateway.now() - begun).as_millis()
+            (self.gateway.now() - started).as_millis()
         );
         self.text.borrow().result(&self.item.id, score)
     }
 
-    /// How the item may be sent to engines; nothing after a rest, where it may not yet. It is not
-    /// terminated: its caller has been promised that it waits until it can be run.
+    /// Asks the quarantine whether the item may be sent. Returns `None` after a delay if it may
+    /// not; a quarantined item is retried rather than terminated.
     async fn admit(&mut self, route: &Route) -> Option<Pass> {
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
             Ok(pass) => {
-                self.is_held = false;
+                self.hold_logged = false;
                 return Some(pass);
             }
             Err(refused) => refused,
         };
-        if !std::mem::replace(&mut self.is_held, true) {
+        if !std::mem::replace(&mut self.hold_logged, true) {
             log::warn!(
                 "event=item_held job={} item={} request={} come_back_ms={}",
                 self.job.id,
@@ -212,40 +213,41 @@
                 refused.retry_after.as_millis()
             );
         }
-        Timer::after(refused.retry_after.min(HELD_REST)).await;
+        Timer::after(refused.retry_after.min(MAX_QUARANTINE_WAIT)).await;
         None
     }
 
-    fn keep_apart(&mut self, pass: Pass, route: &Route) {
+    fn restrict_servers(&mut self, pass: Pass, route: &Route) {
         let mut history = std::mem::take(&mut self.history);
         quarantine::keep_apart(self.gateway, pass, || self.fingerprint(route), &mut history);
         self.history = history;
     }
 
-    /// Whether the item, which was admitted, may not be sent to engines by now.
-    fn is_barred(&self, route: &Route) -> bool {
+    /// Whether an item that was admitted earlier has been quarantined since.
+    fn is_quarantined(&self, route: &Route) -> bool {
         !quarantine::may_go_on(self.gateway, || self.fingerprint(route))
     }
 
-    /// What tells that the item has come before.
+    /// Identifies repeated submissions of the same request.
     fn fingerprint(&self, route: &Route) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let outgoing = self.outgoing(VersionStatus::Registered, route);
-            // One that cannot be sent at all ends no engine.
+            // A request that cannot be built is never sent, so any fingerprint will do.
             let names = self.gateway.dialect.headers();
             outgoing.map_or_else(Fingerprint::default, |outgoing| outgoing.fingerprint(names))
         })
     }
 
-    /// Rests after an attempt that added nothing to the text, longer after each one in a row.
-    async fn rest(&mut self, before: u64) {
-        if self.last_event() > before {
-            self.idle_attempts = 0;
+    /// Applies exponential backoff after consecutive attempts without progress.
+    async fn back_off(&mut self, events_before: u64) {
+        if self.last_event() > events_before {
+            self.attempts_without_progress = 0;
             return;
         }
-        self.idle_attempts += 1;
-        let rest = IDLE_REST * 2_u32.pow(self.idle_attempts.min(MAX_REST_DOUBLINGS));
-        Timer::after(rest).await;
+        self.attempts_without_progress += 1;
+        let delay =
+            BACKOFF_BASE * 2_u32.pow(self.attempts_without_progress.min(MAX_BACKOFF_DOUBLINGS));
+        Timer::after(delay).await;
     }
 
     fn terminated(&self, reason: &str) -> ItemResult {
@@ -264,7 +266,7 @@
         }
     }
 
-    /// The item's route in force; nothing when it has been removed.
+    /// The current route of the item, or `None` if it has been removed.
     fn route(&self, configuration: &Configuration) -> Option<Rc<Route>> {
         let path = self.item.path.split('?').next().unwrap_or_default();
         let route = configuration.route(&self.specification.host, path);
@@ -273,14 +275,15 @@
             .cloned()
     }
 
-    /// The service that runs the item: drawn once, unless the route leads elsewhere meanwhile.
+    /// The service that runs the item. Selected once and again only if the route no longer includes
+    /// it.
     fn service(&mut self, route: &Route) -> Option<String> {
         let is_current = |service: &String| {
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
         };
         if !self.service.as_ref().is_some_and(is_current) {
-            let drawn = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
-            self.service = drawn;
+            let selected = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+            self.service = selected;
         }
         self.service.clone()
     }
@@ -289,23 +292,29 @@
         self.text.borrow().last_event()
     }
 
-    /// What the item needs of a server.
-    fn need(&self, configuration: &Configuration, route: &Route, service: &str) -> Requirements {
+    /// Placement requirements of the item.
+    fn requirements(
+        &self,
+        configuration: &Configuration,
+        route: &Route,
+        service: &str,
+    ) -> Requirements {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let homes = homes::of(configuration, route, &owner);
+        let allowed_regions = homes::of(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        places::need(self.gateway, service, model, homes.as_ref())
+        places::need(self.gateway, service, model, allowed_regions.as_ref())
     }
 
-    /// How urgent the item is among those that wait.
+    /// Queueing priority of the item.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
         let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let rest = self.gateway.lengths.borrow().expected_rest(self.item, self.last_event());
+        let remaining =
+            self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
             priority: access::priority(configuration, &owner, route),
-            deadline: self.job.known_since + route.result_deadline.unwrap_or_default(),
-            remaining_tokens: Reverse(u64::from(rest)),
+            deadline: self.job.first_seen + route.result_deadline.unwrap_or_default(),
+            remaining_tokens: Reverse(u64::from(remaining)),
         }
     }
 
@@ -313,23 +322,28 @@
         self.specification.step.as_ref().map_or(0, |step| step.min_version)
     }
 
-    async fn attempt(&mut self, placed: Placed, need: Requirements, route: &Route) -> RunEnd {
+    async fn attempt(
+        &mut self,
+        placed: Placed,
+        requirements: Requirements,
+        route: &Route,
+    ) -> AttemptResult {
         let Placed { server, version_status, counted, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(version_status, route) else {
-            return RunEnd::Impossible;
+            return AttemptResult::Unsendable;
         };
-        let is_alone = self.history.is_isolated;
-        let isolated = passage::isolate(self.gateway, server, &outgoing, is_alone).await;
+        let is_isolated = self.history.is_isolated;
+        let isolated = passage::isolate(self.gateway, server, &outgoing, is_isolated).await;
         let Ok(isolation) = isolated else {
             counted.fail(&AttemptFailure::Held);
-            return RunEnd::Again;
+            return AttemptResult::Retry;
         };
         let first_event = self.last_event();
-        let asked = self.gateway.now();
-        let answer = exchange::begin(self.gateway, server, &outgoing, ITEM_DEADLINE);
+        let sent_at = self.gateway.now();
+        let answer = exchange::begin(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
         let answer = answer.or(async {
-            Timer::after(FIRST_EVENT_LIMIT).await;
+            Timer::after(FIRST_EVENT_TIMEOUT).await;
             Err(AttemptFailure::Unknown("no head in time"))
         });
         let exchange = match answer.await {
@@ -340,40 +354,41 @@
                     evidence::note_break(self.gateway, server, &outgoing, 0);
                 }
                 counted.fail(&failure);
-                return RunEnd::Again;
+                return AttemptResult::Retry;
             }
         };
         if exchange.status != StatusCode::OK {
             let status = exchange.status;
             quarantine::note_answer(self.gateway, &outgoing, status);
             self.log_attempt(server, status.as_str(), 0);
-            // A server that fails at all it gets is always free, and would get ever more.
+            // Record failures: a server that fails every request is always idle and would attract
+            // more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
             counted.end(end);
             return match status {
-                StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
-                StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
-                _ => RunEnd::Again,
+                StatusCode::UNPROCESSABLE_ENTITY => AttemptResult::Unsendable,
+                StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::Failed,
+                _ => AttemptResult::Retry,
             };
         }
         if first_event > 0 {
             self.gateway.metrics.items_resumed.inc();
         }
-        let reading = (need, route);
-        let outcome = self.read_events(server, exchange, reading, asked, isolation).await;
+        let context = (requirements, route);
+        let outcome = self.read_events(server, exchange, context, sent_at, isolation).await;
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
                 let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
                 counted.end(AttemptOutcome::Succeeded(per_event));
                 quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
-                RunEnd::Whole
+                AttemptResult::Complete
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
                 counted.end(AttemptOutcome::Abandoned);
-                RunEnd::Again
+                AttemptResult::Retry
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
@@ -381,7 +396,7 @@
                     evidence::note_break(self.gateway, server, &outgoing, events);
                 }
                 counted.fail(&AttemptFailure::Unknown(reason));
-                RunEnd::Again
+                AttemptResult::Retry
             }
         }
     }
@@ -430,28 +445,28 @@
         })
     }
 
-    /// Reads events until the text is whole; an error when it has to be continued elsewhere.
+    /// Reads events until the text is complete. Returns the reason if it must continue elsewhere.
     async fn read_events(
         &mut self,
         server: &Rc<Server>,
         exchange: Exchange,
-        (need, route): (Requirements, &Route),
-        asked: Moment,
+        (requirements, route): (Requirements, &Route),
+        sent_at: Moment,
         isolation: Option<Isolation>,
     ) -> Result<(), &'static str> {
         let (mut exchange, mut isolation) = (exchange, isolation);
-        let mut pace = PaceMeter::new(self.gateway.now());
+        let mut throughput = ThroughputMeter::new(self.gateway.now());
         let names = self.gateway.dialect.headers();
-        // An answer that has nothing to add to the text tells no version.
+        // The version header is absent if the response has no further events.
         let version = exchange.header(&names.weight_version).and_then(|value| value.parse().ok());
         let field = names.weight_version.as_str();
         let mut reader = EventReader::new(field, version);
-        let mut limit = FIRST_EVENT_LIMIT;
-        let mut resumed_at = (self.last_event() > 0).then_some(asked);
-        let _reader = self.gateway.crowd.enter();
+        let mut timeout = FIRST_EVENT_TIMEOUT;
+        let mut resume_sent_at = (self.last_event() > 0).then_some(sent_at);
+        let _reader = self.gateway.read_pacer.register();
         let outcome = loop {
             let bytes = exchange.next_bytes().or(async {
-                Timer::after(limit).await;
+                Timer::after(timeout).await;
                 Err(ExchangeError::Timeout)
             });
             match bytes.await {
@@ -460,17 +475,22 @@
                     match read {
                         Ok(0) => {}
                         Ok(events) => {
-                            limit = EVENT_LIMIT;
-                            // It has begun and its engine lives: others need not wait for its end.
+                            timeout = EVENT_TIMEOUT;
+                            // The engine survived the start of the request; release the isolation.
                             drop(isolation.take());
-                            if let Some(asked) = resumed_at.take() {
-                                let delay = self.gateway.now().saturating_sub(asked);
-                                self.gateway.move_cost.borrow_mut().learn(delay);
+                            if let Some(sent_at) = resume_sent_at.take() {
+                                let delay = self.gateway.now().saturating_sub(sent_at);
+                                self.gateway.migration_cost.borrow_mut().record(delay);
                             }
-                            if self.is_outpaced(server, &mut pace, events, (need, route)) {
+                            if self.should_migrate(
+                                server,
+                                &mut throughput,
+                                events,
+                                (requirements, route),
+                            ) {
                                 break Err(OUTPACED);
                             }
-                            if self.is_to_be_left(server, &need) {
+                            if self.must_leave_zone(server, &requirements) {
                                 break Err(EVACUATED);
                             }
                         }
@@ -483,14 +503,14 @@
                 Err(ExchangeError::Timeout) => break Err("silent"),
                 Err(_) => break Err(exchange::BROKEN_OFF),
             }
-            if !self.versions_fit(route) {
+            if !self.satisfies_versions(route) {
                 break Err("versions do not fit");
             }
-            if let Some(rest) = self.gateway.crowd.rest() {
-                Timer::after(rest).await;
+            if let Some(delay) = self.gateway.read_pacer.delay() {
+                Timer::after(delay).await;
             }
         };
-        if !self.versions_fit(route) {
+        if !self.satisfies_versions(route) {
             *self.text.borrow_mut() = ItemText::default();
         }
         if outcome.is_ok() {
@@ -499,43 +519,43 @@
         outcome
     }
 
-    /// Whether the text had better go on at another server.
-    fn is_outpaced(
+    /// Whether the text is expected to complete sooner on another server.
+    fn should_migrate(
         &self,
         server: &Server,
-        pace: &mut PaceMeter,
+        throughput: &mut ThroughputMeter,
         events: usize,
-        (need, route): (Requirements, &Route),
+        (requirements, route): (Requirements, &Route),
     ) -> bool {
         let now = self.gateway.now();
-        let Some(per_event) = pace.add(now, events as u64) else {
+        let Some(per_event) = throughput.record(now, events as u64) else {
             return false;
         };
         {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
             placer.record_outcome(now, &server.id, AttemptOutcome::Succeeded(per_event));
         }
-        let lengths = self.gateway.lengths.borrow();
-        let remaining = lengths.expected_rest(self.item, self.last_event());
-        let age = now.saturating_sub(self.job.known_since);
-        if moves::is_in_time(age, per_event * remaining, route.result_deadline) {
+        let estimator = self.gateway.length_estimator.borrow();
+        let remaining = estimator.expected_remaining(self.item, self.last_event());
+        let age = now.saturating_sub(self.job.first_seen);
+        if migration::meets_deadline(age, per_event * remaining, route.result_deadline) {
             return false;
         }
         let gain = {
             let placer = &mut self.gateway.directory.borrow_mut().placer;
-            placer.migration_gain(now, &need, &server.id, per_event, remaining)
+            placer.migration_gain(now, &requirements, &server.id, per_event, remaining)
         };
-        gain.is_some_and(|gain| self.gateway.move_cost.borrow().is_exceeded_by(gain))
+        gain.is_some_and(|gain| self.gateway.migration_cost.borrow().is_exceeded_by(gain))
     }
 
-    /// Whether the text has to go on elsewhere, and can: its server's zone is evacuated.
-    fn is_to_be_left(&self, server: &Server, need: &Requirements) -> bool {
+    /// Whether the server's zone is evacuated and another server can continue the text.
+    fn must_leave_zone(&self, server: &Server, requirements: &Requirements) -> bool {
         let placer = &mut self.gateway.directory.borrow_mut().placer;
         placer.is_in_evacuated_zone(&server.id)
-            && placer.place_batch_item(self.gateway.now(), need, &self.history).is_some()
+            && placer.place_batch_item(self.gateway.now(), requirements, &self.history).is_some()
     }
 
-    fn versions_fit(&self, route: &Route) -> bool {
-        self.text.borrow().versions_fit(self.min_version(), route.single_version)
+    fn satisfies_versions(&self, route: &Route) -> bool {
+        self.text.borrow().satisfies_versions(self.min_version(), route.single_version)
     }
 }
--- a/crates/heronbend-gateway/src/failover_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -10,8 +10,8 @@
 use rand::seq::IndexedRandom;
 use serde_json::Value;
 
-use crate::batch::checkpoint::PROGRESS;
-use crate::batch::registry::RESULTS;
+use crate::batch::checkpoint::CHECKPOINTS_KIND_PREFIX;
+use crate::batch::registry::RESULTS_KIND_PREFIX;
 use crate::clock::Clock;
 use crate::gateway::Gateway;
 use crate::metrics::Metrics;
@@ -168,7 +168,7 @@
 
 /// The metrics label of a kind: the kind itself, or the common prefix of kinds that exist per job.
 fn metric_label(kind: &str) -> &str {
-    let per_job = [RESULTS, PROGRESS];
+    let per_job = [RESULTS_KIND_PREFIX, CHECKPOINTS_KIND_PREFIX];
     per_job.into_iter().find(|prefix| kind.starts_with(prefix)).unwrap_or(kind)
 }
 
--- a/crates/heronbend-gateway/src/peers/bootstrap.rs
+++ b/crates/heronbend-gateway/src/peers/bootstrap.rs
@@ -24,7 +24,7 @@
 use super::PeerRequest;
 use super::UpstreamFailure;
 use crate::batch::registry::Job;
-use crate::batch::runner::start_own_jobs;
+use crate::batch::runner::start_owned_jobs;
 use crate::compressed_update;
 use crate::dissemination;
 use crate::gateway::Gateway;
@@ -278,9 +278,9 @@
 
 fn merge_jobs(gateway: &Rc<Gateway>, jobs: Vec<JobEntry>) {
     for JobEntry { job, ownership, revision } in jobs {
-        gateway.jobs.learn(&job, ownership, revision);
+        gateway.jobs.upsert(&job, ownership, revision);
     }
-    start_own_jobs(gateway);
+    start_owned_jobs(gateway);
 }
 
 /// Handles the bootstrap request of a peer.
@@ -303,7 +303,7 @@
     PeerReply::Introduced {
         members: if options.members { gateway.members.all() } else { Vec::new() },
         jobs: gateway.jobs.all().into_iter().map(entry).collect(),
-        knows_jobs: gateway.jobs.is_listed.get(),
+        knows_jobs: gateway.jobs.is_loaded.get(),
         lease: gateway.versions.lease.newest_renewal().map(renewal),
         duty_lease: gateway.duty_lease.newest_renewal().map(renewal),
         suspects: news::reports(gateway),
