--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -138,7 +138,7 @@
     pub directory_known: Cell<bool>,
     /// Division of requests among destinations.
     pub splitter: RefCell<Splitter>,
-    /// UpdateCache that wait for places.
+    /// Texts that wait for places.
     pub places: Places,
     /// Permits for cold servers.
     pub permits: Permits,
--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Update of the store by way of peers.
+//! News of the store by way of peers.
 
 mod support;
 
--- a/crates/heronbend-gateway/tests/packed_news.rs
+++ b/crates/heronbend-gateway/tests/packed_news.rs
@@ -1,4 +1,4 @@
-//! Update as it travels between daemons.
+//! News as it travels between daemons.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/spec/src/followed_news.rs
+++ b/spec/src/followed_news.rs
@@ -1,4 +1,4 @@
-//! Update of the store by way of daemons that watch it: objects that are set and removed, two watchers,
+//! News of the store by way of daemons that watch it: objects that are set and removed, two watchers,
 //! one of which may miss what the store has dropped from its history, and a follower that asks both
 //! and takes the first answer.
 //!
