--- a/crates/heronbend-gateway/src/http/client.rs
+++ b/crates/heronbend-gateway/src/http/client.rs
@@ -284,7 +284,7 @@
                 Err(ExchangeError::NotSent("no connection in time".to_owned()))
             })
             .await?;
-        set_dead_peer_timeouts(&socket);
+        configure_socket(&socket);
         let (sender, driver) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(FuturesIo::new(socket))
@@ -298,8 +298,9 @@
     }
 }
 
-/// Makes the kernel detect a dead peer, both while data is unacknowledged and while idle.
-fn set_dead_peer_timeouts(socket: &TcpStream) {
+/// Disables Nagle's algorithm, and makes the kernel detect a dead peer while data is unacknowledged and
+/// while the connection is idle.
+fn configure_socket(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let socket_ref = socket2::SockRef::from(socket);
     let keepalive = socket2::TcpKeepalive::new()
--- a/crates/heronbend-gateway/src/peers/membership_log.rs
+++ b/crates/heronbend-gateway/src/peers/membership_log.rs
@@ -43,10 +43,10 @@
         }
         let Self { changes, alive, suspect, lost, .. } = std::mem::take(self);
         self.last_logged = now;
-        let named = lost.iter().take(MAX_LISTED).cloned().collect::<Vec<_>>().join(",");
+        let listed = lost.iter().take(MAX_LISTED).cloned().collect::<Vec<_>>().join(",");
         Some(format!(
             "event=members_changed changes={changes} to_alive={alive} to_suspect={suspect} to_lost={} \
-             lost={named} alive_now={alive_count}",
+             lost={listed} alive_now={alive_count}",
             lost.len()
         ))
     }
--- a/crates/heronbend-gateway/src/peers/messages.rs
+++ b/crates/heronbend-gateway/src/peers/messages.rs
@@ -17,7 +17,7 @@
 use crate::lease_state::LeaseName;
 use crate::versions::lease::LeaseRecord;
 
-/// A datagram.
+/// A UDP datagram between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Datagram {
     /// A message of the failure detector.
@@ -122,14 +122,14 @@
 pub struct CompressedSnapshot {
     /// Kind of the objects.
     pub kind: String,
-    /// What [`crate::compressed_update::encode`] made.
+    /// The result of [`crate::compressed_update::encode`].
     pub packed: Vec<u8>,
 }
 
 /// A call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum PeerRequest {
-    /// Asks the peer to run a job that was submitted on its behalf.
+    /// Asks the peer to run a job that was assigned to it when it was submitted.
     RunJob {
         /// The job's ownership record in the store.
         ownership: Box<Ownership>,
@@ -153,7 +153,8 @@
         #[musli(default)]
         checks: bool,
     },
-    /// Requests the state that a starting daemon needs: members, jobs and leases.
+    /// Requests the state that a starting daemon needs: members, jobs, leases and
+    /// suspected requests.
     Introduce {
         /// Whether to include the replicated objects.
         with_objects: bool,
@@ -214,9 +215,9 @@
     NoNews,
     /// An update of the objects of a kind.
     News {
-        /// What [`crate::compressed_update::encode`] made.
+        /// The result of [`crate::compressed_update::encode`].
         packed: Vec<u8>,
-        /// Age of the data in milliseconds: when it was last current in the store.
+        /// Time since the data was last known to be current in the store, in milliseconds.
         #[musli(default)]
         age_millis: u64,
     },
@@ -268,7 +269,7 @@
     Uninformed,
     /// The follower is up to date.
     Current {
-        /// Age of the data in milliseconds: when it was last current in the store.
+        /// Time since the data was last known to be current in the store, in milliseconds.
         age_millis: u64,
     },
 }
