--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use crate::duties::billing::Billing;
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::http::client::{Exchange, ExchangeError, WholeAnswer};
+use crate::http::client::{Exchange, ExchangeError, FullResponse};
 use crate::memory::Reservation;
 use crate::ports::HeaderNames;
 use crate::quarantine::crash_detection;
@@ -143,7 +143,7 @@
     let is_rejected = exchange.status == StatusCode::MISDIRECTED_REQUEST
         || exchange.headers.contains_key(&names.not_run);
     if is_rejected {
-        gateway.server_connections.reuse(exchange);
+        gateway.server_connections.drain(exchange);
         return Err(AttemptFailure::NotRun);
     }
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
@@ -234,8 +234,8 @@
 }
 
 /// Reads the complete response.
-pub async fn read_response(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
-    exchange.read_whole(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
+pub async fn read_response(exchange: Exchange) -> Result<FullResponse, AttemptFailure> {
+    exchange.read_full(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
         _ => AttemptFailure::BrokenOff,
     })
--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -11,8 +11,8 @@
 use super::registry::{chunk_name, results_kind, Job, OWNERSHIPS};
 use super::result_log::{Chunk, ItemResult};
 use crate::gateway::Gateway;
-use crate::mirror::{backoff, list_all};
 use crate::ports::{Object, ObjectStore, StoreError};
+use crate::reflector::{backoff, list_all};
 use crate::wait;
 
 /// Delay before ownership is checked again.
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -14,7 +14,7 @@
 use crate::attempt::OutgoingRequest;
 use crate::forward::{forward, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 use crate::region_policy;
 
 /// Maximum number of servers tried in one round.
@@ -76,7 +76,7 @@
 }
 
 /// Delay before the next round, longer for a quarantined call.
-fn retry_delay(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
+fn retry_delay(answer: &Result<FullResponse, ForwardError>) -> Duration {
     match answer {
         Err(ForwardError::Quarantined(refused)) => {
             refused.retry_after.clamp(RETRY_DELAY, MAX_RETRY_DELAY)
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -23,9 +23,9 @@
 use super::specification::{is_base64, JobSpecification};
 use crate::access;
 use crate::gateway::Gateway;
-use crate::mirror::backoff;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::backoff;
 use crate::region_policy;
 
 /// Bytes reserved in an object for metadata besides the specification.
@@ -229,7 +229,7 @@
     specification: JobSpecification,
     is_submitted_here: bool,
 ) -> PeerReply {
-    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reached();
+    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reachable();
     if ownership.owner != gateway.identity.node || !(accepts_jobs || is_submitted_here) {
         return PeerReply::NotOwner;
     }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -22,7 +22,7 @@
 use crate::configuration::Scaling;
 use crate::directory::ServerState;
 use crate::gateway::Gateway;
-use crate::lease_keeper::LeaseKeeper;
+use crate::lease_manager::LeaseManager;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -54,15 +54,15 @@
 struct Scaler {
     gateway: Rc<Gateway>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
     plans: BTreeMap<String, ServicePlan>,
     /// When a step was last seen near its deadline.
     last_pressure: Moment,
 }
 
 /// Runs until the daemon stops.
-pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseKeeper>) {
-    gateway.members.introduction.wait().await;
+pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseManager>) {
+    gateway.members.bootstrap.wait().await;
     let mut scaler =
         Scaler { gateway, provider, lease, plans: BTreeMap::new(), last_pressure: Moment::ZERO };
     loop {
@@ -81,7 +81,7 @@
         let gateway = &self.gateway;
         let since = gateway.store_reachable_since.get();
         gateway.is_ready()
-            && gateway.store.is_reached()
+            && gateway.store.is_reachable()
             && gateway.now() >= since + STABILIZATION_TIME
     }
 
@@ -120,7 +120,7 @@
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
             }
-            if !self.lease.ensure().await {
+            if !self.lease.acquire_or_renew().await {
                 break;
             }
             let outcome = self.send_order(service, &order, &zones, demand).await;
@@ -210,7 +210,7 @@
             // A retry would be rejected too, so back off as if there were no capacity.
             Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
-                self.lease.lost_track();
+                self.lease.invalidate();
                 OrderOutcome::Failed
             }
             Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => OrderOutcome::Failed,
--- a/crates/heronbend-gateway/src/duties/usage_broadcast.rs
+++ b/crates/heronbend-gateway/src/duties/usage_broadcast.rs
@@ -93,7 +93,7 @@
             window,
             counts: part.to_vec(),
         };
-        gateway.members.tell(recipients.to_vec(), hint);
+        gateway.members.send_to(recipients.to_vec(), hint);
     }
 }
 
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -22,7 +22,7 @@
 use crate::configuration::Route;
 use crate::directory::Server;
 use crate::gateway::Gateway;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 use crate::permits;
 use crate::quarantine;
 use crate::quarantine::admitted_request;
@@ -103,7 +103,7 @@
 }
 
 enum Event {
-    AttemptEnded(Result<WholeAnswer, AttemptFailure>),
+    AttemptEnded(Result<FullResponse, AttemptFailure>),
     HedgeDue,
     DeadlinePassed,
 }
@@ -126,7 +126,7 @@
     /// Whether a server has responded. Attempts dropped after that were not cancelled by the
     /// client.
     is_answered: Rc<Cell<bool>>,
-    last_failure: Option<WholeAnswer>,
+    last_failure: Option<FullResponse>,
 }
 
 /// Result of starting an attempt.
@@ -147,7 +147,7 @@
     service: &str,
     outgoing: OutgoingRequest,
     limits: RequestLimits,
-) -> Result<WholeAnswer, ForwardError> {
+) -> Result<FullResponse, ForwardError> {
     gateway.retries.borrow_mut().deposit(RETRY_RATIO);
     let admitted = AdmittedRequest::admit(gateway, &outgoing).await;
     let admitted_request = admitted.map_err(ForwardError::Quarantined)?;
@@ -173,7 +173,7 @@
 }
 
 impl ForwardedRequest {
-    async fn run(mut self) -> Result<WholeAnswer, ForwardError> {
+    async fn run(mut self) -> Result<FullResponse, ForwardError> {
         let (sender, results) = bounded(16);
         let mut hedge_at = self.started_at + self.limits.target_latency.mul_f64(HEDGE_DELAY_RATIO);
         let mut in_flight = 0_usize;
@@ -213,7 +213,7 @@
 
     async fn next_event(
         &self,
-        results: &smol::channel::Receiver<Result<WholeAnswer, AttemptFailure>>,
+        results: &smol::channel::Receiver<Result<FullResponse, AttemptFailure>>,
         hedge_at: Moment,
     ) -> Event {
         let may_hedge =
@@ -259,7 +259,7 @@
     /// Starts an attempt on the best server that has not been tried yet.
     fn start_attempt(
         &mut self,
-        sender: &Sender<Result<WholeAnswer, AttemptFailure>>,
+        sender: &Sender<Result<FullResponse, AttemptFailure>>,
     ) -> StartOutcome {
         self.admitted_request.set_isolation(&self.gateway, &self.outgoing, &mut self.history);
         let choice = match self.decide() {
@@ -315,8 +315,8 @@
     /// one.
     fn process_result(
         &mut self,
-        result: Result<WholeAnswer, AttemptFailure>,
-    ) -> Option<WholeAnswer> {
+        result: Result<FullResponse, AttemptFailure>,
+    ) -> Option<FullResponse> {
         self.admitted_request.note_attempt(result.as_ref().err());
         match result {
             Ok(response) if response.status.is_server_error() && self.limits.is_idempotent => {
@@ -342,7 +342,7 @@
         Timer::after(delay).await;
     }
 
-    fn give_up(self, rejection: Rejection) -> Result<WholeAnswer, ForwardError> {
+    fn give_up(self, rejection: Rejection) -> Result<FullResponse, ForwardError> {
         match self.last_failure {
             Some(response) => Ok(response),
             None if self.attempts_used == 0 => Err(ForwardError::NotRun(rejection)),
@@ -351,7 +351,7 @@
         }
     }
 
-    fn deadline_result(self) -> Result<WholeAnswer, ForwardError> {
+    fn deadline_result(self) -> Result<FullResponse, ForwardError> {
         self.last_failure.ok_or(ForwardError::TimedOut)
     }
 }
@@ -370,7 +370,7 @@
 
 impl Attempt {
     /// Sends the request and records the outcome for the server, the quarantine and billing.
-    async fn run(self, mut guard: AttemptGuard) -> Result<WholeAnswer, AttemptFailure> {
+    async fn run(self, mut guard: AttemptGuard) -> Result<FullResponse, AttemptFailure> {
         let (gateway, server) = (&self.gateway, &self.server);
         let isolated =
             admitted_request::isolate(gateway, server, &self.outgoing, self.is_isolated).await;
@@ -400,7 +400,7 @@
         result
     }
 
-    async fn send_and_read(&self) -> Result<WholeAnswer, AttemptFailure> {
+    async fn send_and_read(&self) -> Result<FullResponse, AttemptFailure> {
         let time_left = self.deadline.saturating_sub(self.gateway.now());
         let exchange = attempt::send(&self.gateway, &self.server, &self.outgoing, time_left);
         attempt::read_response(exchange.await?).await
@@ -417,7 +417,7 @@
         }
     }
 
-    fn record_outcome(&self, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn record_outcome(&self, result: &Result<FullResponse, AttemptFailure>) {
         match result {
             Ok(response) => {
                 quarantine::note_response(&self.gateway, &self.outgoing, response.status)
@@ -434,7 +434,7 @@
         }
     }
 
-    fn bill(&self, started_at: Moment, result: &Result<WholeAnswer, AttemptFailure>) {
+    fn bill(&self, started_at: Moment, result: &Result<FullResponse, AttemptFailure>) {
         let Some(billing) = self.outgoing.billing.as_deref() else {
             return;
         };
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -29,28 +29,28 @@
 use crate::batch::read_pacing::ReadPacer;
 use crate::batch::registry::JobRegistry;
 use crate::clock::Clock;
+use crate::compressed_update::UpdateCache;
 use crate::configuration::Configuration;
 use crate::directory::Directory;
-use crate::dissemination::Telling;
+use crate::dissemination::UpdateAge;
 use crate::duties::usage::ReportingSchedule;
 use crate::duties::usage::UsageTracker;
+use crate::failover_store::FailoverStore;
 use crate::http::client::ConnectionPool;
-use crate::lease_news::LeaseName;
-use crate::lease_news::LeaseNews;
+use crate::lease_state::LeaseName;
+use crate::lease_state::LeaseState;
 use crate::memory::MemoryBudget;
 use crate::metrics::Metrics;
-use crate::news_way::Way;
-use crate::packed_news::Texts;
 use crate::peers::Peers;
 use crate::permits::ColdStartMargin;
 use crate::permits::Permits;
 use crate::ports::{Dialect, Ports, Provider};
 use crate::quarantine::Quarantine;
 use crate::region_policy;
-use crate::relayed_store::RelayedStore;
 use crate::replica::Replica;
 use crate::slot_queue::SlotQueue;
 use crate::traffic_split::TrafficSplitter;
+use crate::upstream::Upstream;
 use crate::versions::published::PublishedVersions;
 
 /// Timeout for connecting to a server.
@@ -109,7 +109,7 @@
     /// Identity of this daemon.
     pub identity: Identity,
     /// Persistent object store, reached directly or through a peer.
-    pub store: RelayedStore,
+    pub store: FailoverStore,
     /// Encoding of calls and objects.
     pub dialect: Rc<dyn Dialect>,
     /// Infrastructure provider, if this daemon calls it.
@@ -123,9 +123,9 @@
     /// Local copies of the store's objects that peers may read, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
     /// Encoded updates of the replicas for peers.
-    pub compressed_updates: Texts,
+    pub compressed_updates: UpdateCache,
     /// Upstream of the updates of each kind; kinds without an entry are read from the store.
-    pub upstreams: RefCell<HashMap<&'static str, Way>>,
+    pub upstreams: RefCell<HashMap<&'static str, Upstream>>,
     /// Notified when a replica changes.
     pub replica_changed: Event,
     /// Hashes the API keys of tenants.
@@ -163,7 +163,7 @@
     /// Usage counters per tenant, if usage is reported.
     pub usage: Option<Rc<UsageTracker>>,
     /// Lease for calls to the provider.
-    pub duty_lease: LeaseNews,
+    pub duty_lease: LeaseState,
     /// Published model versions and commands in progress.
     pub versions: PublishedVersions,
     /// Peer addresses to contact while no other member is known.
@@ -172,7 +172,7 @@
     /// Overlay tree of this daemon's zone, with the membership version it was built from.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
     /// When a peer last confirmed each kind as current, and the age of its state.
-    pub update_ages: RefCell<HashMap<&'static str, Telling>>,
+    pub update_ages: RefCell<HashMap<&'static str, UpdateAge>>,
     /// When a peer last sent an update of any kind.
     pub last_update_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
@@ -225,17 +225,21 @@
         });
         let gateway = Rc::new(Self {
             identity,
-            store: RelayedStore::new(store, metrics.clone(), clock.clone()),
+            store: FailoverStore::new(store, metrics.clone(), clock.clone()),
             dialect,
             provider,
-            server_connections: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
-                let metrics = metrics.clone();
-                move |reason| metrics.connection_opened(reason.name())
-            }),
+            server_connections: ConnectionPool::with_open_observer(
+                executor.clone(),
+                SERVER_CONNECT_TIMEOUT,
+                {
+                    let metrics = metrics.clone();
+                    move |reason| metrics.connection_opened(reason.name())
+                },
+            ),
             peer_connections: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
             replicas: RefCell::default(),
-            compressed_updates: Texts::default(),
+            compressed_updates: UpdateCache::default(),
             upstreams: RefCell::default(),
             replica_changed: Event::new(),
             key_hasher: KeyHasher::random(),
@@ -258,7 +262,7 @@
                 move || clock.now()
             }),
             usage,
-            duty_lease: LeaseNews::default(),
+            duty_lease: LeaseState::default(),
             versions: PublishedVersions::default(),
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
@@ -275,7 +279,7 @@
             resumed: Event::new(),
             clock,
         });
-        gateway.store.relay_through(&gateway);
+        gateway.store.set_relay(&gateway);
         gateway
     }
 
@@ -318,7 +322,7 @@
     /// Time since the active configuration was last confirmed to be current.
     pub fn configuration_age(&self) -> Duration {
         let told = self.now().saturating_sub(self.configuration_confirmed_at.get());
-        told.min(self.store.silent_for())
+        told.min(self.store.since_last_response())
     }
 
     /// Whether the active configuration is too old to accept API keys, which may have been revoked
@@ -337,7 +341,7 @@
     }
 
     /// Known state of a lease.
-    pub fn lease_state(&self, lease: LeaseName) -> &LeaseNews {
+    pub fn lease_state(&self, lease: LeaseName) -> &LeaseState {
         match lease {
             LeaseName::Orders => &self.versions.lease,
             LeaseName::Duties => &self.duty_lease,
@@ -380,7 +384,7 @@
 
     /// Whether this daemon has seeds configured but sees no live peer.
     pub fn has_lost_all_peers(&self) -> bool {
-        self.members.count_alive() == 0 && !self.seeds.borrow().is_empty()
+        self.members.alive_count() == 0 && !self.seeds.borrow().is_empty()
     }
 
     /// Whether any route or tenant restricts the regions in which its requests run.
@@ -398,7 +402,7 @@
     /// each server accepts.
     pub fn update_service_limits(&self) {
         let own = self.tuning().processor_millis;
-        let mut processors = self.members.alive_processors();
+        let mut processors = self.members.alive_cpu_millis();
         processors.push(own);
         let daemons = share::Daemons::count(&processors);
         let Some(configuration) = self.configuration() else {
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -14,9 +14,9 @@
 //! - [`quarantine`]: quarantine of requests that crash servers.
 //! - [`batch`]: batch jobs.
 //! - [`versions`]: rollout of model versions.
-//! - [`duties`], [`lease_keeper`], [`lease_news`]: tasks that one lease holder runs for the fleet.
+//! - [`duties`], [`lease_manager`], [`lease_state`]: tasks that one lease holder runs for the fleet.
 //! - [`peers`]: membership and messages between daemons.
-//! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`], [`news_way`], [`dissemination`],
+//! - [`failover_store`], [`reflector`], [`replica`], [`compressed_update`], [`upstream`], [`dissemination`],
 //!   [`configuration`]: access to the store and distribution of its updates.
 //! - [`clock`], [`wait`]: time and timeouts.
 //! - [`memory`]: memory budget for request bodies.
@@ -29,6 +29,7 @@
 pub mod batch;
 pub mod calls;
 pub mod clock;
+pub mod compressed_update;
 pub mod configuration;
 pub mod day;
 pub mod day_plot;
@@ -39,25 +40,23 @@
 pub mod evacuations;
 pub mod events;
 pub mod explain;
+pub mod failover_store;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
 pub mod http;
 pub mod interner;
-pub mod lease_keeper;
-pub mod lease_news;
+pub mod lease_manager;
+pub mod lease_state;
 pub mod logging;
 pub mod memory;
 pub mod metrics;
-pub mod mirror;
-pub mod news_way;
-pub mod packed_news;
 pub mod peers;
 pub mod permits;
 pub mod ports;
 pub mod quarantine;
+pub mod reflector;
 pub mod region_policy;
-pub mod relayed_store;
 pub mod reload;
 pub mod replica;
 pub mod retirement;
@@ -67,5 +66,6 @@
 pub mod steps;
 pub mod stream;
 pub mod traffic_split;
+pub mod upstream;
 pub mod versions;
 pub mod wait;
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -122,7 +122,7 @@
     if issuer == gateway.identity.node.name {
         return issue(gateway, server, permits).ok();
     }
-    let issuer = gateway.members.named(&issuer)?;
+    let issuer = gateway.members.find_by_name(&issuer)?;
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
     match client::call(gateway, &issuer, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -18,7 +18,7 @@
 use crate::attempt::OutgoingRequest;
 use crate::directory::Server;
 use crate::gateway::Gateway;
-use crate::http::client::Reach;
+use crate::http::client::ProbeResult;
 
 /// Delays before each probe of a server's address. The last one covers slow process exits on busy
 /// hosts.
@@ -77,7 +77,7 @@
         Timer::after(delay).await;
         let reach = gateway.server_connections.probe(address).await;
         log::info!("event=server_looked_at server={server} new_connection={}", reach.name());
-        if reach == Reach::Refused {
+        if reach == ProbeResult::Refused {
             note_server_gone(&gateway, &server);
             break;
         }
--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -37,7 +37,7 @@
         unsent.into_iter().map(|request| table.report(request)).collect()
     };
     for reports in reports.chunks(MAX_REPORTS_PER_DATAGRAM) {
-        gateway.members.tell_all(Hint::RequestsSuspected { reports: reports.to_vec() });
+        gateway.members.broadcast(Hint::RequestsSuspected { reports: reports.to_vec() });
     }
 }
 
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -23,14 +23,14 @@
 use crate::evacuations;
 use crate::gateway::Gateway;
 use crate::http::server::{Listener, ListenerLimits};
-use crate::http::{bytes_answer, text_answer, Answer};
-use crate::lease_keeper::LeaseKeeper;
-use crate::lease_news::LeaseName;
-use crate::mirror::{self, MirrorSink, Source};
+use crate::http::{bytes_response, text_response, HttpResponse};
+use crate::lease_manager::LeaseManager;
+use crate::lease_state::LeaseName;
 use crate::peers;
 use crate::ports::{DialectError, Object, Ports};
 use crate::quarantine;
 use crate::quarantine::crash_detection;
+use crate::reflector::{self, ObjectHandler, Source};
 use crate::reload;
 use crate::versions;
 use crate::wait;
@@ -108,7 +108,7 @@
     let gateway = Gateway::new(identity, ports, executor.clone(), tuning);
     gateway.set_zone_regions(&source.settings.zones);
     smol::block_on(executor.run(async move {
-        gateway.members.introduction.begin(first_start);
+        gateway.members.bootstrap.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
         gateway.executor.spawn(reload::follow(gateway.clone(), source, reload_signal)).detach();
         stop.wait().await;
@@ -136,14 +136,14 @@
     {
         let served = gateway.clone();
         listen(gateway, addresses.peers, "peers", move |request| {
-            peers::duty::answer_peer(served.clone(), request)
+            peers::membership::handle_request(served.clone(), request)
         })?;
     }
     if let Some(address) = addresses.metrics {
         let served = gateway.clone();
         let page = move |_| {
             let page = served.metrics.page();
-            async move { bytes_answer(http::StatusCode::OK, "text/plain", page.into()) }
+            async move { bytes_response(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
             log::warn!("event=metrics_not_served error=\"{error}\"");
@@ -169,7 +169,7 @@
 ) -> Result<Rc<Listener>, StartError>
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: std::future::Future<Output = Answer> + 'static,
+    F: std::future::Future<Output = HttpResponse> + 'static,
 {
     let failed = |error| StartError::Listen { address, purpose, error };
     let socket = TcpListener::bind(address).map_err(failed)?;
@@ -197,7 +197,7 @@
     };
     let others = addresses.seeds.iter().copied().filter(|seed| *seed != address);
     *gateway.seeds.borrow_mut() = others.collect();
-    let membership = peers::duty::run_membership(gateway.clone(), socket.into(), local);
+    let membership = peers::membership::run_membership(gateway.clone(), socket.into(), local);
     gateway.executor.spawn(membership).detach();
     Ok(())
 }
@@ -211,15 +211,15 @@
     spawn(Box::pin(async move {
         let batching_delay =
             followed.tuning().configuration_notice.mul_f64(CONFIGURATION_BATCHING_RATIO);
-        mirror::follow(followed, configurations, Source::Watchers, batching_delay, configuration)
+        reflector::run(followed, configurations, Source::Peers, batching_delay, configuration)
             .await;
     }) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
     let directory = DirectorySink::new(gateway.clone());
     let batching_delay = gateway.tuning().drain_notice.mul_f64(DIRECTORY_BATCHING_RATIO);
-    spawn(Box::pin(mirror::follow(
+    spawn(Box::pin(reflector::run(
         gateway.clone(),
         servers,
-        Source::Watchers,
+        Source::Peers,
         batching_delay,
         directory,
     )));
@@ -229,8 +229,8 @@
     }
     spawn(Box::pin(quarantine::record::follow(gateway.clone())));
     spawn(Box::pin(quarantine::run_maintenance(gateway.clone())));
-    spawn(Box::pin(peers::introduction::run(gateway.clone())));
-    spawn(Box::pin(mirror::probe_store(gateway.clone())));
+    spawn(Box::pin(peers::bootstrap::run(gateway.clone())));
+    spawn(Box::pin(reflector::probe_store(gateway.clone())));
     spawn(Box::pin(log_counters_periodically(gateway.clone())));
     spawn(Box::pin(ownership_manager::refresh_ownerships(gateway.clone())));
     spawn(Box::pin(ownership_manager::adopt_orphans(gateway.clone())));
@@ -243,7 +243,7 @@
     let Some(provider) = gateway.provider.clone() else {
         return;
     };
-    let lease = Rc::new(LeaseKeeper::new(gateway.clone(), LeaseName::Duties));
+    let lease = Rc::new(LeaseManager::new(gateway.clone(), LeaseName::Duties));
     if gateway.tuning().scaling_enabled {
         let scaling = duties::scaling::run(gateway.clone(), provider.clone(), lease.clone());
         gateway.executor.spawn(scaling).detach();
@@ -260,7 +260,7 @@
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() == ready_path.0 {
         return ready(&gateway);
     }
@@ -271,18 +271,18 @@
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() != ready_path.0 {
-        return text_answer(http::StatusCode::NOT_FOUND, "no such call");
+        return text_response(http::StatusCode::NOT_FOUND, "no such call");
     }
     ready(&gateway)
 }
 
-fn ready(gateway: &Gateway) -> Answer {
+fn ready(gateway: &Gateway) -> HttpResponse {
     if gateway.is_ready() {
-        text_answer(http::StatusCode::OK, "ready")
+        text_response(http::StatusCode::OK, "ready")
     } else {
-        text_answer(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        text_response(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
@@ -344,12 +344,11 @@
     }
 }
 
-impl MirrorSink for ConfigurationSink {
-    fn keep(&self, _names: &BTreeSet<String>) {
-        // A deleted configuration stays active until it is replaced.
+impl ObjectHandler for ConfigurationSink {
+    fn retain(&self, _names: &BTreeSet<String>) { // A deleted configuration stays active until it is replaced.
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if object.name != self.gateway.dialect.kinds().configuration_name {
             return;
         }
@@ -421,8 +420,8 @@
     }
 }
 
-impl MirrorSink for DirectorySink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for DirectorySink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let gateway = &self.gateway;
         let known: Vec<String> =
             gateway.directory.borrow().all().map(|server| server.id.clone()).collect();
@@ -431,13 +430,13 @@
         self.malformed.borrow_mut().retain(|name| names.contains(name));
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         let servers = self.gateway.directory.borrow().all().count();
         log::info!("event=servers_listed servers={servers}");
         self.gateway.servers_loaded.set(true);
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         match self.gateway.dialect.server(&object.name, &object.content) {
             Ok(mut server) => {
                 server.revision = object.revision;
@@ -457,7 +456,7 @@
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
     }
 
-    fn applied(&self) {
+    fn on_batch(&self) {
         self.gateway.slot_queue.changed.notify(usize::MAX);
         self.gateway.versions.changed.notify(usize::MAX);
     }
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -41,8 +41,8 @@
 use crate::gateway::Gateway;
 use crate::headers;
 use crate::http::client::Exchange;
-use crate::http::client::WholeAnswer;
-use crate::http::AnswerBody;
+use crate::http::client::FullResponse;
+use crate::http::ResponseBody;
 use crate::permits;
 use crate::quarantine;
 use crate::quarantine::admitted_request;
@@ -67,17 +67,17 @@
         /// Headers sent by the first server.
         headers: HeaderMap,
         /// Body with all events.
-        body: AnswerBody,
+        body: ResponseBody,
     },
     /// A complete response that is not a stream.
-    Complete(WholeAnswer),
+    Complete(FullResponse),
 }
 
 /// Why a stream failed.
 #[derive(Debug)]
 enum StreamError {
     /// A server sent an error response.
-    Response(Box<WholeAnswer>),
+    Response(Box<FullResponse>),
     /// The connection failed or no server was available.
     Failed(ForwardError),
 }
@@ -175,15 +175,15 @@
     let body = match first {
         Some(first) => body(first, relay),
         // The stream ended without any event.
-        None => AnswerBody::whole(Bytes::new()),
+        None => ResponseBody::full(Bytes::new()),
     };
     Ok(StreamResponse::Events { status, headers, body })
 }
 
 /// Builds the response body, which starts with the events in `first`.
-fn body(first: Bytes, relay: StreamRelay) -> AnswerBody {
+fn body(first: Bytes, relay: StreamRelay) -> ResponseBody {
     let state = (Some(first), Some(relay));
-    AnswerBody::pieces(stream::unfold(state, |(first, relay)| async move {
+    ResponseBody::stream(stream::unfold(state, |(first, relay)| async move {
         let mut relay = relay?;
         if let Some(first) = first {
             return Some((Ok(first), (None, Some(relay))));
@@ -308,7 +308,7 @@
         let per_event = current.guard.elapsed() / current.events.max(1);
         current.guard.end(AttemptOutcome::Succeeded(per_event));
         quarantine::note_response(&self.gateway, &self.outgoing, current.exchange.status);
-        current.exchange.keep();
+        current.exchange.return_to_pool();
         self.log_stream_end("whole");
     }
 
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -23,11 +23,11 @@
 use crate::configuration::{Destination, RouteKind};
 use crate::directory::{Server, ServerState};
 use crate::gateway::Gateway;
-use crate::http::client::WholeAnswer;
-use crate::lease_keeper::LeaseKeeper;
-use crate::lease_news::LeaseName;
+use crate::http::client::FullResponse;
+use crate::lease_manager::LeaseManager;
+use crate::lease_state::LeaseName;
 use crate::peers::Hint;
-use crate::peers::INTRODUCTION;
+use crate::peers::MEMBERSHIP_GRACE;
 use crate::ports::dialect::ServerCall;
 use crate::wait;
 
@@ -102,7 +102,7 @@
 /// Limiting the recipients keeps the number of datagrams from growing with commands times daemons.
 fn announce_command(gateway: &Gateway, hint: Hint) {
     if serves_streams(gateway) {
-        gateway.members.tell_all(hint);
+        gateway.members.broadcast(hint);
         return;
     }
     let jobs = gateway.jobs.all();
@@ -110,7 +110,7 @@
     let mut recipients: BTreeSet<NodeId> = active.map(|job| job.owner()).collect();
     recipients.extend(candidates(gateway));
     recipients.remove(&gateway.identity.node);
-    gateway.members.tell(recipients.into_iter().collect(), hint);
+    gateway.members.send_to(recipients.into_iter().collect(), hint);
 }
 
 /// A load that this daemon is commanding or has commanded.
@@ -123,7 +123,7 @@
 
 struct Dispatcher {
     gateway: Rc<Gateway>,
-    lease: LeaseKeeper,
+    lease: LeaseManager,
     /// Servers with a command in progress, or in the delay after a failed one (`None`).
     busy: RefCell<HashMap<String, Option<StartedLoad>>>,
     /// Time spent on planning since the last pause.
@@ -132,21 +132,20 @@
 
 /// Runs until the daemon stops.
 pub async fn run(gateway: Rc<Gateway>) {
-    let lease = LeaseKeeper::new(gateway.clone(), LeaseName::Orders);
+    let lease = LeaseManager::new(gateway.clone(), LeaseName::Orders);
     let dispatcher = Rc::new(Dispatcher {
         gateway: gateway.clone(),
         lease,
         busy: RefCell::default(),
         planning_time: Cell::default(),
     });
-    gateway.members.introduction.wait().await;
-    // Other daemons learn of the holder and its renewals from peers.
-    if is_candidate(&gateway) || !gateway.members.introduction.is_complete() {
+    gateway.members.bootstrap.wait().await; // Other daemons learn of the holder and its renewals from peers.
+    if is_candidate(&gateway) || !gateway.members.bootstrap.is_complete() {
         dispatcher.lease.read().await;
     }
     loop {
         // Until the introduction is over, the set of live daemons is unknown.
-        Timer::after(INTRODUCTION.saturating_sub(gateway.now())).await;
+        Timer::after(MEMBERSHIP_GRACE.saturating_sub(gateway.now())).await;
         let changed = gateway.versions.changed.listen();
         for load in dispatcher.next_loads().await {
             let (model, version, since) = (load.model.clone(), load.version, gateway.now());
@@ -170,7 +169,7 @@
         }
         let is_urgent = due.iter().any(|load| load.urgency != Urgency::WhenIdle);
         // Loads that wait for an idle server renew the lease only once such a server is found.
-        if is_urgent && !self.lease.ensure().await {
+        if is_urgent && !self.lease.acquire_or_renew().await {
             return Vec::new();
         }
         self.loads_due()
@@ -270,7 +269,7 @@
             if gateway.draining.get() {
                 return false;
             }
-            if !gateway.members.is_name_lost(gateway.now(), holder) {
+            if !gateway.members.is_unreachable(gateway.now(), holder) {
                 ahead += 1;
             }
         }
@@ -326,7 +325,7 @@
         if load.urgency == Urgency::WhenIdle && report.requests > 0 {
             return false;
         }
-        if load.urgency == Urgency::WhenIdle && !self.lease.ensure().await {
+        if load.urgency == Urgency::WhenIdle && !self.lease.acquire_or_renew().await {
             return false;
         }
         let Some(fence) = self.lease.token() else {
@@ -457,7 +456,7 @@
     }
 
     /// Calls a server's management API. Returns `None` without a complete response.
-    async fn call(&self, server: &Server, call: ServerCall) -> Option<WholeAnswer> {
+    async fn call(&self, server: &Server, call: ServerCall) -> Option<FullResponse> {
         let names = self.gateway.dialect.headers();
         let mut request = Request::new(Full::new(call.body));
         *request.method_mut() = call.method;
--- a/crates/heronbend-gateway/src/versions/watch.rs
+++ b/crates/heronbend-gateway/src/versions/watch.rs
@@ -13,11 +13,11 @@
 use crate::batch::ownership;
 use crate::batch::registry::Job;
 use crate::gateway::Gateway;
-use crate::lease_news::LeaseName;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
+use crate::lease_state::LeaseName;
 use crate::ports::Object;
+use crate::reflector;
+use crate::reflector::ObjectHandler;
+use crate::reflector::Source;
 
 /// Number of daemons that are ready to take over the lease.
 const CANDIDATES: usize = 3;
@@ -29,12 +29,11 @@
 /// Applies published versions.
 pub struct VersionSink(pub Rc<Gateway>);
 
-impl MirrorSink for VersionSink {
-    fn keep(&self, _names: &BTreeSet<String>) {
-        // Versions only increase, so a deleted object changes nothing.
+impl ObjectHandler for VersionSink {
+    fn retain(&self, _names: &BTreeSet<String>) { // Versions only increase, so a deleted object changes nothing.
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         match self.0.dialect.published_version(&object.content) {
             Ok(published) => {
                 log::info!(
@@ -71,7 +70,7 @@
 /// need them, and each watch loads the store.
 pub async fn watch_versions(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().versions;
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     loop {
         let changed = gateway.members.changed.listen();
         if !is_candidate(&gateway) {
@@ -79,7 +78,7 @@
             continue;
         }
         let sink = VersionSink(gateway.clone());
-        let follow = mirror::follow(gateway.clone(), kind, Source::Store, BATCHING_WINDOW, sink);
+        let follow = reflector::run(gateway.clone(), kind, Source::Store, BATCHING_WINDOW, sink);
         let demoted = async {
             while is_candidate(&gateway) {
                 gateway.members.changed.listen().or(wait_for_check()).await;
@@ -106,7 +105,7 @@
     let mut nodes = gateway.members.alive();
     nodes.push(gateway.identity.node.clone());
     nodes.sort_by_cached_key(|node| {
-        Reverse(ownership::rendezvous_weight(LeaseName::Orders.object(), node))
+        Reverse(ownership::rendezvous_weight(LeaseName::Orders.object_name(), node))
     });
     nodes.truncate(CANDIDATES);
     nodes
@@ -118,5 +117,5 @@
     let mut nodes: Vec<NodeId> = gateway.members.alive();
     nodes.push(local.clone());
     nodes.retain(|node| Some(&node.name) != holder);
-    ownership::takeover_position(LeaseName::Orders.object(), local, &nodes)
+    ownership::takeover_position(LeaseName::Orders.object_name(), local, &nodes)
 }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -22,9 +22,9 @@
 };
 use heronbend_gateway::batch::{appender, ownership_manager, results_reader};
 use heronbend_gateway::gateway::Gateway;
-use heronbend_gateway::mirror::{self, MirrorSink, Source};
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::ports::{Object, ObjectStore};
+use heronbend_gateway::reflector::{self, ObjectHandler, Source};
 use serde_json::json;
 use smol::LocalExecutor;
 use support::memory_store::{MemoryStore, WatchFault, WriteFault};
@@ -41,7 +41,7 @@
     run(|executor| test(Rc::new(MemoryStore::default()), executor))
 }
 
-/// Names of the objects that a mirror knows.
+/// Names of the objects that a reflector knows.
 #[derive(Clone, Default)]
 struct Names(Rc<RefCell<Vec<String>>>);
 
@@ -51,13 +51,13 @@
     }
 }
 
-impl MirrorSink for Names {
-    fn keep(&self, _names: &BTreeSet<String>) {
+impl ObjectHandler for Names {
+    fn retain(&self, _names: &BTreeSet<String>) {
         // All objects of the list follow as changes.
         self.0.borrow_mut().clear();
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.0.borrow_mut().push(object.name.clone());
     }
 
@@ -73,8 +73,8 @@
     kind: &'static str,
     names: &Names,
 ) {
-    let mirror = mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
-    executor.spawn(mirror).detach();
+    let reflector = reflector::run(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
+    executor.spawn(reflector).detach();
 }
 
 #[test]
@@ -386,7 +386,7 @@
             store.fail_watches(&[WatchFault::Deaf]);
             let names = Names::default();
             follow(&executor, &gateway, KIND, &names);
-            executor.spawn(mirror::probe_store(gateway.clone())).detach();
+            executor.spawn(reflector::probe_store(gateway.clone())).detach();
             smol::Timer::after(Duration::from_millis(30)).await;
             store.set_down(true);
             let calls = store.calls.get();
