--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -21,15 +21,13 @@
 //!   the store and what it says.
 //! - [`service`], [`keeper`], [`settings`], [`reload`]: the programs and their settings.
 //! - [`logging`], [`metrics`]: what they tell.
-//! - [`explain`], [`steps`], [`day`], [`day_plot`]: what their logs tell afterwards.
+//! - [`explain`], [`steps`], [`fleet_summary`], [`summary_plot`]: what their logs tell afterwards.
 
 pub mod access;
 pub mod batch;
 pub mod calls;
 pub mod clock;
 pub mod configuration;
-pub mod day;
-pub mod day_plot;
 pub mod directory;
 pub mod dissemination;
 pub mod duties;
@@ -38,6 +36,7 @@
 pub mod events;
 pub mod exchange;
 pub mod explain;
+pub mod fleet_summary;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
@@ -66,5 +65,6 @@
 pub mod split;
 pub mod steps;
 pub mod stream;
+pub mod summary_plot;
 pub mod versions;
 pub mod wait;
--- a/crates/heronbend-gateway/src/day_plot.rs
+++ b/crates/heronbend-gateway/src/summary_plot.rs
@@ -6,9 +6,9 @@
 
 use plotters::prelude::*;
 
-use crate::day::cause;
-use crate::day::Cause;
-use crate::day::Day;
+use crate::fleet_summary::cause;
+use crate::fleet_summary::Cause;
+use crate::fleet_summary::Day;
 
 /// Size of the picture, in pixels.
 const SIZE: (u32, u32) = (1000, 700);
--- a/crates/heronbend-gateway/tests/day.rs
+++ b/crates/heronbend-gateway/tests/day.rs
@@ -1,9 +1,9 @@
 //! From log lines to what a fleet did over a time.
 
-use heronbend_gateway::day::cause;
-use heronbend_gateway::day::Cause;
-use heronbend_gateway::day::Day;
-use heronbend_gateway::day::Report;
+use heronbend_gateway::fleet_summary::cause;
+use heronbend_gateway::fleet_summary::Cause;
+use heronbend_gateway::fleet_summary::Day;
+use heronbend_gateway::fleet_summary::Report;
 use heronbend_gateway::metrics::Metrics;
 
 const LINES: &str = "\
@@ -67,7 +67,7 @@
     let folder = tempfile::TempDir::new().unwrap();
     for (name, lines) in [("day.svg", LINES), ("empty.svg", "")] {
         let path = folder.path().join(name);
-        heronbend_gateway::day_plot::write(&Day::read(lines), 8.0, &path).unwrap();
+        heronbend_gateway::summary_plot::write(&Day::read(lines), 8.0, &path).unwrap();
         let plot = std::fs::read_to_string(&path).unwrap();
         assert!(plot.contains("</svg>") && plot.contains("calls to the store"));
     }
