--- a/crates/heronbend-gateway/src/explain.rs
+++ b/crates/heronbend-gateway/src/explain.rs
@@ -1,37 +1,37 @@
-//! Finds the log lines that tell what became of a request, a batch job or an item.
+//! Selects the log lines that concern a request, a batch job or a batch item.
 
 use std::collections::BTreeSet;
 
-/// Keys whose values identify what a line is about.
-const SUBJECTS: [&str; 6] = ["id", "job", "item", "reward", "server", "request"];
-/// Keys that lead from one subject to another that explains it.
-const LEADS: [(&str, &str); 2] = [("item", "job"), ("reward", "item")];
+/// Keys whose values identify the subject of a line.
+const SUBJECT_KEYS: [&str; 6] = ["id", "job", "item", "reward", "server", "request"];
+/// Pairs of keys, from a subject to the parent that it belongs to.
+const LINKED_KEYS: [(&str, &str); 2] = [("item", "job"), ("reward", "item")];
 
-/// The value of a key in a line of `key=value` pairs.
-pub(crate) fn value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
+/// Returns the value of `key` in a line of `key=value` pairs.
+pub(crate) fn key_value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split_whitespace().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
-fn is_about(line: &str, subject: &str) -> bool {
-    SUBJECTS.iter().any(|key| value(line, key) == Some(subject))
+fn mentions(line: &str, subject: &str) -> bool {
+    SUBJECT_KEYS.iter().any(|key| key_value(line, key) == Some(subject))
 }
 
-/// Lines about a job as a whole, and not about one of its items.
-fn is_of_job(line: &str, job: &str) -> bool {
-    value(line, "job") == Some(job) && value(line, "item").is_none()
+/// Whether the line concerns the job as a whole, not one of its items.
+fn concerns_whole_job(line: &str, job: &str) -> bool {
+    key_value(line, "job") == Some(job) && key_value(line, "item").is_none()
 }
 
-/// The lines that tell of `subject`, in the order given: those that name it, and those about the
-/// job that it is a part of.
+/// Returns the lines that concern `subject`, in their original order: those that mention it or its
+/// parent item, and those about the job that it belongs to.
 pub fn explain<'a>(subject: &str, lines: &[&'a str]) -> Vec<&'a str> {
     let mut subjects = BTreeSet::from([subject.to_owned()]);
     let mut jobs = BTreeSet::new();
-    // A reward call leads to its item, and the item to its job.
-    for _ in 0..LEADS.len() {
+    // One pass per link: from a reward call to its item, and from the item to its job.
+    for _ in 0..LINKED_KEYS.len() {
         for line in lines {
-            for (from, to) in LEADS {
-                let leads = value(line, from).is_some_and(|known| subjects.contains(known));
-                let Some(next) = value(line, to).filter(|_| leads) else {
+            for (from, to) in LINKED_KEYS {
+                let is_linked = key_value(line, from).is_some_and(|known| subjects.contains(known));
+                let Some(next) = key_value(line, to).filter(|_| is_linked) else {
                     continue;
                 };
                 if to == "job" {
@@ -46,8 +46,8 @@
         .iter()
         .copied()
         .filter(|line| {
-            let is_named = subjects.iter().any(|subject| is_about(line, subject));
-            is_named || jobs.iter().any(|job| is_of_job(line, job))
+            let is_direct = subjects.iter().any(|subject| mentions(line, subject));
+            is_direct || jobs.iter().any(|job| concerns_whole_job(line, job))
         })
         .collect()
 }
--- a/crates/heronbend-gateway/src/fleet_summary.rs
+++ b/crates/heronbend-gateway/src/fleet_summary.rs
@@ -1,76 +1,76 @@
-//! What a fleet did over a time, from the log lines of all its daemons: late steps with the part that
-//! made them late, jobs that changed hands, calls to the store and connections by reason.
+//! Summarizes the activity of a fleet from the log lines of all its daemons: late steps with the
+//! cause of their delay, ownership changes of jobs, store calls and connections to servers.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::explain::value;
+use crate::explain::key_value;
 use crate::steps;
 use crate::steps::Step;
 
-/// What made a step late: the part of its time that is longest beyond what it takes at best.
+/// The phase that delayed a step: the one with the most time beyond its lower bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// It was taken in late: the store was away, or did not answer.
-    HandIn,
-    /// Its texts took longer, and it changed hands.
-    Owner,
-    /// Its texts took longer at their servers.
-    Texts,
-    /// Whole texts were not listed: the store was away, or did not answer.
-    Listing,
-    /// The trainer looked late, or rested.
-    End,
+    /// Submission: the store was slow or unavailable.
+    Submission,
+    /// Generation, of a job whose owner was lost.
+    OwnerLost,
+    /// Generation, of a job that kept its owner.
+    Generation,
+    /// Commit of the results: the store was slow or unavailable.
+    Commit,
+    /// Completion by the trainer, after the results were committed.
+    Completion,
 }
 
 impl Cause {
     fn name(self) -> &'static str {
         match self {
-            Self::HandIn => "hand-in",
-            Self::Owner => "owner lost",
-            Self::Texts => "texts",
-            Self::Listing => "listing",
-            Self::End => "end",
+            Self::Submission => "hand-in",
+            Self::OwnerLost => "owner lost",
+            Self::Generation => "texts",
+            Self::Commit => "listing",
+            Self::Completion => "end",
         }
     }
 }
 
-/// What made a step take so long.
+/// Returns the main cause of a step's duration.
 pub fn cause(step: &Step) -> Cause {
-    let texts = if step.adoptions > 0 { Cause::Owner } else { Cause::Texts };
-    let parts = [
-        (step.hand_in, Cause::HandIn),
-        (step.texts - step.bound, texts),
-        (step.listing, Cause::Listing),
-        (step.end, Cause::End),
+    let generation = if step.adoptions > 0 { Cause::OwnerLost } else { Cause::Generation };
+    let phases = [
+        (step.submission, Cause::Submission),
+        (step.generation - step.generation_bound, generation),
+        (step.commit, Cause::Commit),
+        (step.completion, Cause::Completion),
     ];
-    parts.into_iter().max_by(|one, other| one.0.total_cmp(&other.0)).map_or(texts, |(_, c)| c)
+    phases.into_iter().max_by(|one, other| one.0.total_cmp(&other.0)).map_or(generation, |(_, c)| c)
 }
 
-/// What the lines of a fleet tell of a time.
+/// A summary of a fleet's log lines.
 #[derive(Debug, Default, PartialEq)]
-pub struct Day {
-    /// The steps that were handed in and ended.
+pub struct FleetSummary {
+    /// Steps that were both submitted and ended.
     pub steps: Vec<Step>,
-    /// Jobs that changed hands, by reason.
+    /// Ownership changes of jobs, by reason.
     pub adoptions: BTreeMap<String, u64>,
-    /// Owners that were asked, and ran their job.
-    pub owners_well: u64,
-    /// Calls to the store, by what they were for.
+    /// Owners that were suspected to be lost but confirmed that they run their job.
+    pub false_suspicions: u64,
+    /// Calls to the store, by purpose.
     pub store_calls: BTreeMap<String, u64>,
     /// Connections opened to servers, by reason.
     pub connections: BTreeMap<String, u64>,
-    /// Attempts at servers that did not make a text whole, by outcome.
+    /// Attempts that did not complete an item, by outcome.
     pub attempts: BTreeMap<String, u64>,
-    /// Calls to the store by second of the log, as far as daemons have told of them.
+    /// Calls to the store, by the second in which daemons reported them.
     pub calls_by_time: BTreeMap<i64, u64>,
 }
 
-/// Adds counts that a line tells as `label:count,label:count`; their sum.
-fn add_pairs(into: &mut BTreeMap<String, u64>, pairs: &str) -> u64 {
+/// Adds counts given as `label:count,label:count` to `into`, and returns their sum.
+fn add_counts(into: &mut BTreeMap<String, u64>, counts: &str) -> u64 {
     let mut sum = 0;
-    for (label, count) in pairs.split(',').filter_map(|pair| pair.rsplit_once(':')) {
-        // A count that is cut off tells nothing.
+    for (label, count) in counts.split(',').filter_map(|entry| entry.rsplit_once(':')) {
+        // A truncated line may end within a count.
         let Ok(count) = count.parse::<u64>() else {
             continue;
         };
@@ -80,51 +80,55 @@
     sum
 }
 
-/// How an attempt ended. The text stands in quotation marks, and may hold some itself.
+/// Returns the outcome of an attempt. Its quoted value may itself contain quotation marks.
 fn outcome(line: &str) -> &str {
     let quoted = line.split_once("outcome=\"").and_then(|(_, rest)| rest.split_once("\" "));
     quoted.map_or("untold", |(outcome, _)| outcome)
 }
 
-impl Day {
-    /// Reads the lines of all daemons; each begins with its time, others are passed over.
-    pub fn read(text: &str) -> Self {
-        let mut day = Self { steps: steps::steps(text.lines()), ..Self::default() };
+impl FleetSummary {
+    /// Summarizes the lines of all daemons. Each line starts with its time in seconds; others are
+    /// ignored.
+    pub fn from_log(text: &str) -> Self {
+        let mut summary = Self { steps: steps::parse_steps(text.lines()), ..Self::default() };
         for line in text.lines() {
-            if let (Some(at), Some(event)) = (steps::time(line), value(line, "event")) {
-                day.take(at, event, line);
+            if let (Some(at), Some(event)) = (steps::line_time(line), key_value(line, "event")) {
+                summary.record_line(at, event, line);
             }
         }
-        day
+        summary
     }
 
-    fn take(&mut self, at: f64, event: &str, line: &str) {
+    fn record_line(&mut self, at: f64, event: &str, line: &str) {
         match event {
             "job_adopted" if line.contains("outcome=done") => {
-                let reason = value(line, "reason").unwrap_or("untold").to_owned();
+                let reason = key_value(line, "reason").unwrap_or("untold").to_owned();
                 *self.adoptions.entry(reason).or_default() += 1;
             }
-            "owner_asked" if line.contains("runs_it=true") => self.owners_well += 1,
+            "owner_asked" if line.contains("runs_it=true") => self.false_suspicions += 1,
             "item_attempt" => {
                 *self.attempts.entry(outcome(line).to_owned()).or_default() += 1;
             }
             "counted" => {
-                let calls = value(line, "store_calls").unwrap_or_default();
-                let sum = add_pairs(&mut self.store_calls, calls);
+                let calls = key_value(line, "store_calls").unwrap_or_default();
+                let sum = add_counts(&mut self.store_calls, calls);
                 *self.calls_by_time.entry(at.floor() as i64).or_default() += sum;
-                add_pairs(&mut self.connections, value(line, "connections").unwrap_or_default());
+                add_counts(
+                    &mut self.connections,
+                    key_value(line, "connections").unwrap_or_default(),
+                );
             }
             _ => {}
         }
     }
 
-    /// The steps that took longer than so many seconds, each with its cause.
+    /// Returns the steps that took longer than `limit` seconds, each with its cause.
     pub fn late(&self, limit: f64) -> impl Iterator<Item = (&Step, Cause)> {
         let late = self.steps.iter().filter(move |step| step.total() > limit);
         late.map(|step| (step, cause(step)))
     }
 
-    /// Late steps by cause, with the seconds beyond the limit.
+    /// Returns, for each cause, the number of late steps and their total seconds beyond `limit`.
     pub fn late_by_cause(&self, limit: f64) -> BTreeMap<Cause, (usize, f64)> {
         let mut causes: BTreeMap<Cause, (usize, f64)> = BTreeMap::new();
         for (step, cause) in self.late(limit) {
@@ -138,11 +142,11 @@
 
 fn write_counts(
     f: &mut fmt::Formatter<'_>,
-    what: &str,
+    title: &str,
     counts: &BTreeMap<String, u64>,
 ) -> fmt::Result {
     let sum: u64 = counts.values().sum();
-    writeln!(f, "{what}: {sum}")?;
+    writeln!(f, "{title}: {sum}")?;
     let mut sorted: Vec<_> = counts.iter().collect();
     sorted.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
     for (label, count) in sorted {
@@ -151,26 +155,26 @@
     Ok(())
 }
 
-/// A day with the time after which a step is late, in seconds.
-pub struct Report<'a> {
-    /// The day.
-    pub day: &'a Day,
-    /// The limit.
+/// Displays a summary as text.
+pub struct SummaryReport<'a> {
+    /// The summary to display.
+    pub summary: &'a FleetSummary,
+    /// Seconds after which a step counts as late.
     pub limit: f64,
 }
 
-impl fmt::Display for Report<'_> {
+impl fmt::Display for SummaryReport<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { day, limit } = self;
-        let late = day.late(*limit).count();
-        writeln!(f, "steps: {}, of them {late} took over {limit} s", day.steps.len())?;
-        for (cause, (count, seconds)) in day.late_by_cause(*limit) {
+        let Self { summary, limit } = self;
+        let late = summary.late(*limit).count();
+        writeln!(f, "steps: {}, of them {late} took over {limit} s", summary.steps.len())?;
+        for (cause, (count, seconds)) in summary.late_by_cause(*limit) {
             writeln!(f, "  {count:>7}  {:10}  {seconds:.2} s over", cause.name())?;
         }
-        write_counts(f, "jobs that changed hands", &day.adoptions)?;
-        writeln!(f, "owners taken for lost that were well: {}", day.owners_well)?;
-        write_counts(f, "attempts that did not make a text whole", &day.attempts)?;
-        write_counts(f, "calls to the store", &day.store_calls)?;
-        write_counts(f, "connections opened to servers", &day.connections)
+        write_counts(f, "jobs that changed hands", &summary.adoptions)?;
+        writeln!(f, "owners taken for lost that were well: {}", summary.false_suspicions)?;
+        write_counts(f, "attempts that did not make a text whole", &summary.attempts)?;
+        write_counts(f, "calls to the store", &summary.store_calls)?;
+        write_counts(f, "connections opened to servers", &summary.connections)
     }
 }
--- a/crates/heronbend-gateway/src/logging.rs
+++ b/crates/heronbend-gateway/src/logging.rs
@@ -1,7 +1,7 @@
-//! Structured lines on standard output that never hold the program up.
+//! A non-blocking logger that writes structured lines to standard output.
 //!
-//! Lines go through a bounded buffer to a thread of their own, which writes what has gathered. When
-//! the buffer is full, lines are dropped and counted, and a line says how many.
+//! Lines go through a bounded buffer to a writer thread. When the buffer is full, lines are dropped
+//! and counted, and the writer logs their number.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,80 +10,84 @@
 
 use log::{LevelFilter, Log, Metadata, Record};
 
-/// Most bytes that wait to be written.
+/// Capacity of the buffer, in bytes.
 const CAPACITY_BYTES: usize = 256 * 1024;
-/// Lines that come within this time are written together.
-const GATHERING: Duration = Duration::from_millis(50);
+/// How long the writer waits to collect lines for one write.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Lines dropped by this process so far.
+/// Lines dropped since the process started.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were dropped since the start.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines that wait to be written.
+/// A bounded buffer of lines to be written.
 #[derive(Default)]
 pub struct Buffer {
-    waiting: Mutex<Vec<u8>>,
-    filled: Condvar,
-    /// Lines dropped since the last were told of.
-    untold: AtomicU64,
+    pending: Mutex<Vec<u8>>,
+    not_empty: Condvar,
+    /// Lines dropped since the last [`Self::drain`].
+    unreported_drops: AtomicU64,
 }
 
 impl Buffer {
-    /// Adds a line, unless there is no room for it; never waits for room.
+    /// Appends a line without blocking. Returns `false` if the buffer is full and the line is dropped.
     pub fn push(&self, line: &str) -> bool {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.len() + line.len() > CAPACITY_BYTES {
-            self.untold.fetch_add(1, Ordering::Relaxed);
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        if pending.len() + line.len() > CAPACITY_BYTES {
+            self.unreported_drops.fetch_add(1, Ordering::Relaxed);
             DROPPED.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        let was_empty = waiting.is_empty();
-        waiting.extend_from_slice(line.as_bytes());
-        drop(waiting);
+        let was_empty = pending.is_empty();
+        pending.extend_from_slice(line.as_bytes());
+        drop(pending);
         if was_empty {
-            self.filled.notify_one();
+            self.not_empty.notify_one();
         }
         true
     }
 
-    /// Waits for lines.
-    fn wait(&self) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        while waiting.is_empty() {
-            waiting = self.filled.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+    /// Blocks until the buffer is not empty.
+    fn wait_for_lines(&self) {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        while pending.is_empty() {
+            pending = self.not_empty.wait(pending).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
-    /// The lines that wait, and how many were dropped since the last call.
-    pub fn take(&self) -> (Vec<u8>, u64) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        (std::mem::take(&mut *waiting), self.untold.swap(0, Ordering::Relaxed))
+    /// Takes all buffered lines, and the number of lines dropped since the last call.
+    pub fn drain(&self) -> (Vec<u8>, u64) {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        (std::mem::take(&mut *pending), self.unreported_drops.swap(0, Ordering::Relaxed))
     }
 
     fn is_empty(&self) -> bool {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
     }
 }
 
-/// The logger of a daemon.
+/// The [`log`] backend of a daemon.
 pub struct BoundedLogger {
     buffer: Arc<Buffer>,
     level: LevelFilter,
 }
 
 impl BoundedLogger {
-    /// Makes this the program's logger, and starts its thread. Its lines carry no time where the
-    /// system that collects them adds one.
+    /// Installs the global logger and starts its writer thread. Lines carry no timestamp: the log
+    /// collector adds one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the thread cannot be spawned.
     pub fn install(level: LevelFilter) -> std::io::Result<()> {
         let buffer = Arc::new(Buffer::default());
         let writer = buffer.clone();
-        std::thread::Builder::new().name("log".to_owned()).spawn(move || write_out(&writer))?;
+        std::thread::Builder::new().name("log".to_owned()).spawn(move || run_writer(&writer))?;
         let logger = Box::new(Self { buffer, level });
-        // Only a second logger could make this fail, and there is none.
+        // Fails only if a logger is already installed.
         let _ = log::set_boxed_logger(logger);
         log::set_max_level(level);
         Ok(())
@@ -103,25 +107,25 @@
     }
 
     fn flush(&self) {
-        for _ in 0..FLUSH_LOOKS {
+        for _ in 0..MAX_FLUSH_POLLS {
             if self.buffer.is_empty() {
                 return;
             }
-            std::thread::sleep(GATHERING);
+            std::thread::sleep(BATCH_DELAY);
         }
     }
 }
 
-/// How often a flush looks whether all is written.
-const FLUSH_LOOKS: u32 = 4;
+/// Maximum number of times that a flush polls the buffer.
+const MAX_FLUSH_POLLS: u32 = 4;
 
-fn write_out(buffer: &Buffer) {
+fn run_writer(buffer: &Buffer) {
     let mut output = std::io::stdout();
     loop {
-        buffer.wait();
-        std::thread::sleep(GATHERING);
-        let (bytes, dropped) = buffer.take();
-        // Nobody reads: there is no other place to say so.
+        buffer.wait_for_lines();
+        std::thread::sleep(BATCH_DELAY);
+        let (bytes, dropped) = buffer.drain();
+        // A failed write cannot be reported anywhere else.
         let _ = output.write_all(&bytes);
         if dropped > 0 {
             let _ = writeln!(output, "level=WARN event=log_lines_dropped count={dropped}");
--- a/crates/heronbend-gateway/src/reload.rs
+++ b/crates/heronbend-gateway/src/reload.rs
@@ -1,7 +1,7 @@
-//! Reads the settings file again when a signal says that it has changed, or when it shows.
+//! Reloads the settings file on a signal, or when its modification time changes.
 //!
-//! A file with findings changes nothing. Settings that a running daemon can take over are in force
-//! at once; the others are named in the log and wait for the next start.
+//! An invalid file is ignored. Settings that can be changed at runtime take effect immediately; the
+//! others are logged and take effect at the next start.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -17,55 +17,55 @@
 use crate::keeper::SignalWait;
 use crate::settings::Settings;
 
-/// Time between two looks whether the file has changed without a signal.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which the file's modification time is checked.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The settings of a daemon and the file that they came from.
-pub struct Source {
-    /// The file.
+/// The current settings of a daemon, with their file.
+pub struct SettingsSource {
+    /// Path of the settings file.
     pub path: PathBuf,
-    /// What is in force.
+    /// The settings as last loaded.
     pub settings: Settings,
 }
 
-/// A setting whose value in the file differs from the one in force.
+/// A setting whose value differs between two versions of the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Changed {
-    /// The field, with the names of its tables.
+pub struct SettingChange {
+    /// Dotted path of the field.
     pub field: &'static str,
-    /// Whether a running daemon takes it over.
-    pub is_taken_over: bool,
+    /// Whether the change takes effect without a restart.
+    pub applies_live: bool,
 }
 
-/// Follows the file until the daemon ends.
-pub async fn follow(gateway: Rc<Gateway>, mut source: Source, signal: SignalWait) {
-    let mut seen = modified(&source.path);
+/// Watches the settings file and applies its changes. Never returns.
+pub async fn watch_settings(gateway: Rc<Gateway>, mut source: SettingsSource, signal: SignalWait) {
+    let mut last_modified = modification_time(&source.path);
     loop {
-        let asked = async {
+        let signalled = async {
             signal.wait().await;
             true
         };
-        let looked = async {
-            Timer::after(LOOK_PERIOD).await;
+        let polled = async {
+            Timer::after(POLL_INTERVAL).await;
             false
         };
-        let is_asked = asked.or(looked).await;
-        let now = modified(&source.path);
-        if is_asked {
+        let is_signalled = signalled.or(polled).await;
+        let current_modified = modification_time(&source.path);
+        if is_signalled {
             log::info!("event=reload_requested file={}", source.path.display());
         }
-        if is_asked || now != seen {
-            seen = now;
+        if is_signalled || current_modified != last_modified {
+            last_modified = current_modified;
             reload(&gateway, &mut source);
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modification_time(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
 
-fn reload(gateway: &Gateway, source: &mut Source) {
+fn reload(gateway: &Gateway, source: &mut SettingsSource) {
     let file = source.path.display().to_string();
     let text = match std::fs::read_to_string(&source.path) {
         Ok(text) => text,
@@ -92,16 +92,16 @@
         log::info!(
             "event=settings_changed file={file} field={} in_force={}",
             change.field,
-            if change.is_taken_over { "now" } else { "next_start" }
+            if change.applies_live { "now" } else { "next_start" }
         );
     }
     log::info!("event=settings_reloaded file={file} changed={}", changed.len());
-    take_over(gateway, &settings);
+    apply(gateway, &settings);
     source.settings = settings;
 }
 
-/// The fields whose values differ.
-pub fn changes(old: &Settings, new: &Settings) -> Vec<Changed> {
+/// Compares two versions of the settings and returns the fields that differ.
+pub fn changes(old: &Settings, new: &Settings) -> Vec<SettingChange> {
     let fields = [
         ("node", old.node != new.node, false),
         ("zone", old.zone != new.zone, false),
@@ -131,10 +131,10 @@
         ("configuration_notice_ms", old.configuration_notice != new.configuration_notice, false),
     ];
     let differing = fields.into_iter().filter(|(_, differs, _)| *differs);
-    differing.map(|(field, _, is_taken_over)| Changed { field, is_taken_over }).collect()
+    differing.map(|(field, _, applies_live)| SettingChange { field, applies_live }).collect()
 }
 
-fn take_over(gateway: &Gateway, settings: &Settings) {
+fn apply(gateway: &Gateway, settings: &Settings) {
     let tuning = Tuning {
         max_object_bytes: settings.max_object_bytes,
         result_retention: settings.result_retention,
--- a/crates/heronbend-gateway/tests/day.rs
+++ b/crates/heronbend-gateway/tests/day.rs
@@ -2,8 +2,8 @@
 
 use heronbend_gateway::fleet_summary::cause;
 use heronbend_gateway::fleet_summary::Cause;
-use heronbend_gateway::fleet_summary::Day;
-use heronbend_gateway::fleet_summary::Report;
+use heronbend_gateway::fleet_summary::FleetSummary;
+use heronbend_gateway::fleet_summary::SummaryReport;
 use heronbend_gateway::metrics::Metrics;
 
 const LINES: &str = "\
@@ -25,25 +25,25 @@
 
 #[test]
 fn late_steps_are_told_with_what_made_them_late() {
-    let day = Day::read(LINES);
-    let late: Vec<_> = day.late(8.0).map(|(step, cause)| (step.job.as_str(), cause)).collect();
-    assert_eq!(late, [("j1", Cause::Listing), ("j2", Cause::Owner)]);
-    assert_eq!(day.late(20.0).count(), 0);
-    let (count, seconds) = day.late_by_cause(8.0)[&Cause::Listing];
+    let summary = FleetSummary::from_log(LINES);
+    let late: Vec<_> = summary.late(8.0).map(|(step, cause)| (step.job.as_str(), cause)).collect();
+    assert_eq!(late, [("j1", Cause::Commit), ("j2", Cause::OwnerLost)]);
+    assert_eq!(summary.late(20.0).count(), 0);
+    let (count, seconds) = summary.late_by_cause(8.0)[&Cause::Commit];
     assert!(count == 1 && (seconds - 1.2).abs() < 1e-6, "{count} {seconds}");
-    assert_eq!(cause(&day.steps[0]), Cause::Listing);
+    assert_eq!(cause(&summary.steps[0]), Cause::Commit);
 }
 
 #[test]
 fn calls_connections_and_changes_of_hands_are_summed_over_all_daemons() {
-    let day = Day::read(LINES);
-    assert_eq!(day.store_calls["config"], 3);
-    assert_eq!(day.store_calls["heronbend-results"], 3);
-    assert_eq!(day.connections.get("first"), Some(&4), "what cannot be read is passed over");
-    assert_eq!(day.adoptions.iter().collect::<Vec<_>>(), [(&"ended".to_owned(), &1)]);
-    assert_eq!((day.owners_well, day.attempts["outpaced"]), (1, 1));
-    assert_eq!(day.calls_by_time[&31], 6);
-    let report = Report { day: &day, limit: 8.0 }.to_string();
+    let summary = FleetSummary::from_log(LINES);
+    assert_eq!(summary.store_calls["config"], 3);
+    assert_eq!(summary.store_calls["heronbend-results"], 3);
+    assert_eq!(summary.connections.get("first"), Some(&4), "what cannot be read is passed over");
+    assert_eq!(summary.adoptions.iter().collect::<Vec<_>>(), [(&"ended".to_owned(), &1)]);
+    assert_eq!((summary.false_suspicions, summary.attempts["outpaced"]), (1, 1));
+    assert_eq!(summary.calls_by_time[&31], 6);
+    let report = SummaryReport { summary: &summary, limit: 8.0 }.to_string();
     assert!(report.contains("steps: 2, of them 2 took over 8 s"), "{report}");
     assert!(report.contains("calls to the store: 6"), "{report}");
 }
@@ -51,15 +51,15 @@
 #[test]
 fn a_daemon_tells_what_it_counted_once() {
     let metrics = Metrics::default();
-    assert_eq!(metrics.line(), None);
-    metrics.store_call("config");
-    metrics.store_call("config");
-    metrics.connection_opened("first");
-    let line = metrics.line().expect("something was counted");
+    assert_eq!(metrics.take_log_line(), None);
+    metrics.record_store_call("config");
+    metrics.record_store_call("config");
+    metrics.record_connection("first");
+    let line = metrics.take_log_line().expect("something was counted");
     assert_eq!(line, "event=counted store_calls=config:2 connections=first:1");
-    assert_eq!(metrics.line(), None);
-    let day = Day::read(&format!(" 1.5 front-1 level=INFO {line}"));
-    assert_eq!(day.store_calls["config"], 2);
+    assert_eq!(metrics.take_log_line(), None);
+    let summary = FleetSummary::from_log(&format!(" 1.5 front-1 level=INFO {line}"));
+    assert_eq!(summary.store_calls["config"], 2);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let folder = tempfile::TempDir::new().unwrap();
     for (name, lines) in [("day.svg", LINES), ("empty.svg", "")] {
         let path = folder.path().join(name);
-        heronbend_gateway::summary_plot::write(&Day::read(lines), 8.0, &path).unwrap();
+        heronbend_gateway::summary_plot::write(&FleetSummary::from_log(lines), 8.0, &path).unwrap();
         let plot = std::fs::read_to_string(&path).unwrap();
         assert!(plot.contains("</svg>") && plot.contains("calls to the store"));
     }
--- a/crates/heronbend-gateway/tests/steps.rs
+++ b/crates/heronbend-gateway/tests/steps.rs
@@ -1,6 +1,6 @@
 //! From log lines to the time of each step by part.
 
-use heronbend_gateway::steps::steps;
+use heronbend_gateway::steps::parse_steps;
 
 const LINES: [&str; 14] = [
     " 10.1 front-1 level=INFO event=job_handed_in job=j1 items=2 step=4 model=m outcome=Ok(()) ms=100",
@@ -21,23 +21,30 @@
 
 #[test]
 fn a_steps_time_is_split_at_the_text_that_decided() {
-    let found = steps(LINES.into_iter());
+    let found = parse_steps(LINES.into_iter());
     let [step] = found.as_slice() else {
         panic!("one step was handed in and ended: {found:?}");
     };
     assert_eq!((step.job.as_str(), step.number.as_str()), ("j1", "4"));
-    let parts = [step.handed_in, step.hand_in, step.texts, step.listing, step.end, step.total()];
+    let parts = [
+        step.submitted_at,
+        step.submission,
+        step.generation,
+        step.commit,
+        step.completion,
+        step.total(),
+    ];
     for (part, expected) in parts.into_iter().zip([10.0, 0.1, 6.0, 0.1, 0.3, 6.5]) {
         assert!((part - expected).abs() < 1e-6, "{part} instead of {expected}");
     }
-    assert_eq!(step.decided_by.item, "i2");
-    assert_eq!(step.decided_by.attempts, ["outpaced"]);
+    assert_eq!(step.deciding_item.item, "i2");
+    assert_eq!(step.deciding_item.attempts, ["outpaced"]);
     // The longest text before the end, at the pace of the fastest that ran at one server.
-    assert!((step.bound - 150.0 * 0.04).abs() < 1e-6, "{}", step.bound);
+    assert!((step.generation_bound - 150.0 * 0.04).abs() < 1e-6, "{}", step.generation_bound);
 }
 
 #[test]
 fn a_row_names_the_deciding_text_and_its_attempts() {
-    let row = steps(LINES.into_iter())[0].to_string();
+    let row = parse_steps(LINES.into_iter())[0].to_string();
     assert!(row.ends_with("i2 (150 events, 6000 ms: outpaced)"), "{row}");
 }
