--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -141,7 +141,7 @@
     let required_unlisted = required.iter().filter(|item| !log.is_listed(item)).count();
     let age = gateway.now().saturating_sub(job.known_since);
     let due = gateway.configuration().and_then(|configuration| {
-        configuration.route(&specification.host, &specification.path)?.result_deadline
+        configuration.match_route(&specification.host, &specification.path)?.result_deadline
     });
     let due = due.map(|due| match due.checked_sub(age) {
         Some(left) => gathering::Due::In(left),
--- a/crates/heronbend-gateway/src/batch/hand_in.rs
+++ b/crates/heronbend-gateway/src/batch/hand_in.rs
@@ -251,7 +251,7 @@
 /// The regions in which a job may run.
 fn homes_of(gateway: &Gateway, specification: &JobSpecification) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
-    let route = configuration.route(&specification.host, &specification.path)?;
+    let route = configuration.match_route(&specification.host, &specification.path)?;
     let owner = access::owner_of_job(&configuration, specification.tenant.as_deref());
     homes::of(&configuration, route, &owner)
 }
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -267,9 +267,11 @@
     /// The item's route in force; nothing when it has been removed.
     fn route(&self, configuration: &Configuration) -> Option<Rc<Route>> {
         let path = self.item.path.split('?').next().unwrap_or_default();
-        let route = configuration.route(&self.specification.host, path);
+        let route = configuration.match_route(&self.specification.host, path);
         route
-            .or_else(|| configuration.route(&self.specification.host, &self.specification.path))
+            .or_else(|| {
+                configuration.match_route(&self.specification.host, &self.specification.path)
+            })
             .cloned()
     }
 
--- a/crates/heronbend-gateway/src/batch/ownership_duty.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_duty.rs
@@ -270,7 +270,7 @@
     );
     match written {
         Ok(object) => {
-            gateway.metrics.job_adopted(reason.name());
+            gateway.metrics.record_adoption(reason.name());
             job.is_new.set(false);
             gateway.jobs.learn_object(&object);
             tell(gateway, &job.id, &job.ownership.borrow().0, object.revision, false);
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -89,7 +89,7 @@
 ) -> Option<(Outgoing, String, Allowance, u32)> {
     let configuration = gateway.configuration()?;
     let path = call.path.split('?').next().unwrap_or_default();
-    let route = configuration.route(&call.host, path)?;
+    let route = configuration.match_route(&call.host, path)?;
     let service = gateway.splitter.borrow_mut().next(route)?.to_owned();
     let names = gateway.dialect.headers();
     let mut headers = HeaderMap::new();
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -58,7 +58,7 @@
         }
     }
     let latency = gateway.now().saturating_sub(arrived);
-    gateway.metrics.answered(&name, answer.status().as_u16(), latency);
+    gateway.metrics.record_response(&name, answer.status().as_u16(), latency);
     answer
 }
 
@@ -118,7 +118,7 @@
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
-    let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
+    let Some(route) = configuration.match_route(host, head.uri.path()).cloned() else {
         if gateway.is_configuration_behind() {
             return ("none".to_owned(), refuse_behind(gateway, id));
         }
@@ -350,7 +350,7 @@
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if !route.is_repeatable() && promises.contains(&answer.status) {
+    if !route.is_idempotent() && promises.contains(&answer.status) {
         return text_answer(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
     let mut passed = Answer::new(AnswerBody::whole(answer.body));
@@ -392,7 +392,7 @@
 
 /// The answer to a request that no server could be sent.
 fn unplaced(gateway: &Gateway, refusal: &Unplaced) -> Answer {
-    gateway.metrics.unplaced(refusal.reason);
+    gateway.metrics.record_unplaced(refusal.reason);
     not_run_until("no server took it", refusal.retry_after)
 }
 
--- a/crates/heronbend-gateway/src/configuration.rs
+++ b/crates/heronbend-gateway/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in force: routes, services and limits.
+//! The operator's configuration: routes, services and limits.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,109 +10,109 @@
 use heronbend::scaling::ScalingSpec;
 use serde::{Deserialize, Serialize};
 
-/// What may be done with requests of a route.
+/// How requests of a route may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// Requests may be run more than once.
+    /// Idempotent requests: they may be executed more than once.
     Safe,
-    /// Requests run at most once.
+    /// Non-idempotent requests: they are executed at most once.
     Unsafe,
-    /// Answers are streams of events.
+    /// Responses are event streams.
     Stream,
     /// Requests are batch jobs.
     Rollout,
 }
 
-/// One of the services that share a route.
+/// A service that receives part of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other destinations'.
+    /// Traffic weight, relative to the route's other destinations.
     pub weight: u32,
 }
 
-/// How requests under one host and path prefix are handled.
+/// How requests for one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, unique in a configuration.
+    /// Name, unique within a configuration.
     pub name: String,
-    /// Host that clients state.
+    /// Host name in the request, without a port.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// How its requests may be executed.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Total time allowed for a request.
     pub timeout: Duration,
-    /// Time within which an answer is of full value.
+    /// Target response time.
     pub target_latency: Duration,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers one request may be sent to.
     pub max_attempts: u32,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether its requests need no key.
+    /// Whether requests are accepted without an API key.
     #[serde(default)]
     pub is_public: bool,
-    /// Where requests go.
+    /// Services that receive the requests.
     pub destinations: Vec<Destination>,
-    /// Whether a stream may be continued at another server.
+    /// Whether an interrupted stream may be resumed on another server.
     pub resumable: bool,
-    /// Whether all events of a text must come from one version of the weights.
+    /// Whether one generation must use a single version of the weights throughout.
     pub single_version: bool,
-    /// Time from a batch job's hand-in within which its results are due.
+    /// Time after the submission of a batch job by which its results are due.
     pub result_deadline: Option<Duration>,
-    /// Time from a batch job's hand-in after which an item may be given up.
+    /// Time after the submission of a batch job from which an item may be abandoned.
     pub max_queue: Option<Duration>,
-    /// The regions in which its requests may run; anywhere where it names none.
+    /// Regions in which its requests may run; `None` allows all regions.
     #[serde(default)]
     pub homes: Option<BTreeSet<String>>,
 }
 
 impl Route {
-    /// Whether a request may be run by more than one server.
-    pub fn is_repeatable(&self) -> bool {
+    /// Whether a request may be executed by more than one server.
+    pub fn is_idempotent(&self) -> bool {
         self.kind == RouteKind::Safe
     }
 }
 
-/// A pool of servers.
+/// A pool of interchangeable servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name.
+    /// Name, unique within a configuration.
     pub name: String,
-    /// Connections that one of its servers takes from all callers together.
+    /// Connections that one server accepts, over all clients.
     pub max_connections: u32,
-    /// Whether its servers run models.
+    /// Whether its servers are inference engines.
     pub is_engine: bool,
-    /// How its servers may be ordered, if they may.
+    /// How the service is scaled; `None` disables scaling.
     #[serde(skip)]
     pub scaling: Option<Scaling>,
-    /// What one of its servers bears while it is cold; nothing where that is not bounded.
+    /// Request rate limit of a cold server; `None` is unlimited.
     #[serde(skip)]
     pub cold: Option<ColdStartLimit>,
 }
 
-/// How the servers of a service may be ordered.
+/// How servers of a service are ordered from the provider.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scaling {
-    /// Bounds and times.
+    /// Fleet size bounds and timing.
     pub spec: ScalingSpec,
-    /// Price of a server by zone, relative to each other.
+    /// Relative price of a server by zone.
     pub zone_prices: BTreeMap<String, f64>,
 }
 
-/// Bounds on what clients may send and how long they may take.
+/// Size limits and timeouts for client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Time allowed for a request head to arrive.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Time after which an idle keep-alive connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -127,48 +127,48 @@
     }
 }
 
-/// A whole configuration. Daemons swap it whole and never go back to an earlier version.
+/// A complete configuration. Daemons replace it atomically and never revert to an older version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Grows with every change, in uneven steps.
+    /// Version number; increases with every change, not necessarily by one.
     pub version: u64,
-    /// Routes in the operator's order.
+    /// Routes, in the order in which the operator defined them.
     pub routes: Vec<Rc<Route>>,
-    /// Services by name.
+    /// Services, by name.
     pub services: BTreeMap<String, Service>,
-    /// Bounds on clients.
+    /// Limits on client connections.
     pub limits: ClientLimits,
-    /// The tenants; none where callers are not told apart.
+    /// API keys of the tenants; `None` disables authentication.
     #[serde(skip)]
     pub access: Option<Rc<Keyring>>,
-    /// The regions in which a tenant's requests may run, for those that name some.
+    /// Regions in which a tenant's requests may run, by tenant; tenants not listed are unrestricted.
     #[serde(default)]
     pub tenant_homes: BTreeMap<String, BTreeSet<String>>,
-    /// What cannot be meant so; the configuration is in force all the same.
+    /// Problems that do not prevent the configuration from taking effect.
     #[serde(skip)]
     pub findings: Vec<Finding>,
 }
 
-/// Something in a configuration that cannot be meant so.
+/// A likely mistake in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// Where in the configuration.
+    /// Path of the faulty element in the configuration.
     pub place: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
 }
 
 impl Configuration {
-    /// Whether requests of some route or tenant may be in some regions only.
-    pub fn has_homes(&self) -> bool {
-        let of_routes = self.routes.iter().any(|route| route.homes.is_some());
-        of_routes || !self.tenant_homes.is_empty()
+    /// Whether any route or tenant restricts the regions in which requests may run.
+    pub fn restricts_regions(&self) -> bool {
+        let any_route = self.routes.iter().any(|route| route.homes.is_some());
+        any_route || !self.tenant_homes.is_empty()
     }
 
-    /// The route of a request: of the routes of its host, the one with the longest prefix.
+    /// Finds the route for a request: the one with the longest matching prefix for its host.
     ///
-    /// `host` may carry a port, which is not looked at.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
+    /// `host` may include a port, which is ignored.
+    pub fn match_route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         self.routes
             .iter()
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -220,7 +220,7 @@
         let actor = Actor { holder: self.gateway.identity.node.name.clone(), fence };
         let begun = self.gateway.now();
         let sent = self.provider.report_usage(report, &actor).await;
-        self.gateway.metrics.duty_called("usage", sent.is_ok());
+        self.gateway.metrics.record_provider_call("usage", sent.is_ok());
         log::info!(
             "event=usage_reported window={} requests={} fence={fence} ms={} outcome={}",
             report.window.0,
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -185,7 +185,7 @@
             is_revocable: order.is_revocable,
         };
         let given = self.provider.order_servers(&call, &actor).await;
-        self.gateway.metrics.duty_called("scale", given.is_ok());
+        self.gateway.metrics.record_provider_call("scale", given.is_ok());
         let there = zones.iter().find(|zone| zone.name == order.zone);
         log::info!(
             "event=servers_ordered service={service} zone={} revocable={} count={} on_demand={} revocable_there={} slowest_step={:.2} fence={fence} outcome={}",
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -42,7 +42,7 @@
             }
         }
         log::info!("event=zone_evacuated zone={zone} connections_closed={closed}");
-        gateway.metrics.zone_evacuated(zone, true);
+        gateway.metrics.set_zone_evacuated(zone, true);
     }
 
     fn end(&self, zone: &str) {
@@ -52,7 +52,7 @@
         }
         gateway.directory.borrow_mut().placer.end_evacuation(gateway.now(), zone);
         log::info!("event=zone_readmitted zone={zone}");
-        gateway.metrics.zone_evacuated(zone, false);
+        gateway.metrics.set_zone_evacuated(zone, false);
     }
 }
 
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -91,7 +91,7 @@
         let held = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
         Self {
             deadline: arrived + held,
-            is_repeatable: route.is_repeatable(),
+            is_repeatable: route.is_idempotent(),
             max_attempts: route.max_attempts.max(1),
             target_latency: route.target_latency,
             homes,
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -229,7 +229,7 @@
             provider,
             servers: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
                 let metrics = metrics.clone();
-                move |reason| metrics.connection_opened(reason.name())
+                move |reason| metrics.record_connection(reason.name())
             }),
             peers: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
@@ -382,7 +382,7 @@
 
     /// Whether requests of some route or tenant may be in some regions only.
     pub fn has_homes(&self) -> bool {
-        self.configuration().is_some_and(|configuration| configuration.has_homes())
+        self.configuration().is_some_and(|configuration| configuration.restricts_regions())
     }
 
     /// Notes the region of each zone.
--- a/crates/heronbend-gateway/src/metrics.rs
+++ b/crates/heronbend-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, and their page in the text format of OpenMetrics.
+//! Metrics of a daemon, exported in the OpenMetrics text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,129 +18,129 @@
 
 type Count = Counter<u64, AtomicU64>;
 
-/// Labels of an answered request.
+/// Labels of a response to a client.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct AnswerLabels {
-    /// Route, or the call of the service's own interface.
+pub struct ResponseLabels {
+    /// Route name, or the name of a call to the gateway's own API.
     pub route: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
 }
 
 /// Labels of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreLabels {
-    /// What it was for: the kind of the objects.
+    /// Purpose of the call: usually the object kind.
     pub purpose: String,
 }
 
-/// Labels of a job that was taken over.
+/// Labels of a batch job that changed its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AdoptionLabels {
-    /// Why it changed hands.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// Labels of a connection that was opened to a server.
+/// Labels of a new connection to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct OpenLabels {
-    /// Why it was opened.
+pub struct ConnectionLabels {
+    /// Reason for opening it.
     pub reason: String,
 }
 
 /// Labels of a call to the provider.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct DutyLabels {
-    /// The duty.
+pub struct ProviderCallLabels {
+    /// The duty that made the call.
     pub duty: &'static str,
-    /// Whether the call was accepted: `done` or `failed`.
+    /// Outcome of the call: `done` or `failed`.
     pub outcome: &'static str,
 }
 
-/// Labels of a request that no server could be sent.
+/// Labels of a request for which no server was available.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UnplacedLabels {
-    /// What kept most servers from it.
+    /// The reason that excluded the most servers.
     pub reason: &'static str,
 }
 
-/// Labels of what concerns a zone.
+/// Labels of a per-zone metric.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ZoneLabels {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
 }
 
-/// What was counted since the last line that told of it, by what and by which label.
+/// Counts, by label, since the last [`Metrics::take_log_line`].
 #[derive(Debug, Default)]
-struct Tally {
+struct UnloggedCounts {
     store_calls: BTreeMap<String, u64>,
     connections: BTreeMap<&'static str, u64>,
 }
 
-/// All counters of a daemon.
+/// All metrics of a daemon. Clones share their values.
 #[derive(Clone)]
 pub struct Metrics {
-    /// Requests answered.
-    pub answers: Family<AnswerLabels, Count>,
-    /// Seconds from the head of a request to the head of its answer.
+    /// Responses to clients, by route and status.
+    pub answers: Family<ResponseLabels, Count>,
+    /// Seconds from the request head to the response head.
     pub latency: Histogram,
-    /// Attempts at servers.
+    /// Attempts to run a request on a server.
     pub attempts: Count,
-    /// Attempts that a server refused without running them.
+    /// Attempts that a server rejected without running the request.
     pub refusals: Count,
-    /// Attempts that were broken off or did not end in time.
+    /// Attempts that were interrupted or timed out.
     pub failures: Count,
-    /// Servers that ended while they ran a request of this daemon.
+    /// Servers that crashed while they ran a request of this daemon.
     pub servers_ended: Count,
-    /// Servers that started again under the name that they had.
+    /// Servers that restarted under the same name.
     pub servers_restarted: Count,
-    /// Entries of servers that cannot be understood.
+    /// Server registrations that could not be parsed.
     pub server_entries_malformed: Count,
-    /// Requests that were refused because servers ended under them.
+    /// Requests rejected because they are quarantined.
     pub quarantine_refusals: Count,
-    /// Requests that are quarantined.
+    /// Number of quarantined requests.
     pub requests_quarantined: Gauge,
-    /// Second attempts made while the first was still open.
+    /// Hedged attempts.
     pub hedges: Count,
-    /// Retries that were not made because too many others had been.
+    /// Retries suppressed by the retry budget.
     pub retries_withheld: Count,
-    /// Answers that did not belong to their request, or were not whole.
+    /// Responses dropped because they did not match their request or were incomplete.
     pub foreign_answers: Count,
-    /// Calls to the store.
+    /// Calls to the store, by purpose.
     pub store_calls: Family<StoreLabels, Count>,
-    /// Connections opened to servers, by reason.
-    pub connections: Family<OpenLabels, Count>,
-    tally: Rc<RefCell<Tally>>,
-    /// Batch jobs accepted here.
+    /// New connections to servers, by reason.
+    pub connections: Family<ConnectionLabels, Count>,
+    unlogged: Rc<RefCell<UnloggedCounts>>,
+    /// Batch jobs accepted by this daemon.
     pub jobs_accepted: Count,
-    /// Batch jobs taken over, by reason.
+    /// Batch jobs taken over from another owner, by reason.
     pub jobs_adopted: Family<AdoptionLabels, Count>,
-    /// Items whose result was listed.
+    /// Batch items whose result was committed.
     pub items_listed: Count,
-    /// Items that were continued at another server.
+    /// Batch items resumed on another server.
     pub items_resumed: Count,
-    /// Streams that were continued at another server.
+    /// Client streams resumed on another server.
     pub streams_resumed: Count,
-    /// Seconds from the hand-in of a batch job to the listing of a result.
+    /// Seconds from the submission of a batch job to the commit of a result.
     pub item_age: Histogram,
-    /// Orders given to servers.
+    /// Load commands sent to servers.
     pub orders: Count,
     /// Calls to the provider, by duty and outcome.
-    pub duty_calls: Family<DutyLabels, Count>,
-    /// Requests that were refused because no server could be sent them, by what kept most from it.
+    pub duty_calls: Family<ProviderCallLabels, Count>,
+    /// Requests rejected because no server was available, by main exclusion reason.
     pub requests_unplaced: Family<UnplacedLabels, Count>,
-    /// Seconds that a text waited for a place, where it had to.
+    /// Seconds that batch items waited for a slot; immediate placements are not observed.
     pub place_wait: Histogram,
-    /// Permits for cold servers that were borrowed.
+    /// Cold start permits received from other daemons.
     pub permits_borrowed: Count,
-    /// Permits for cold servers that were lent.
+    /// Cold start permits issued to other daemons.
     pub permits_lent: Count,
-    /// Whether a zone is evacuated: 1 or 0.
+    /// 1 while a zone is evacuated, else 0.
     pub zones_evacuated: Family<ZoneLabels, Gauge>,
-    /// Servers that are cold, by zone.
+    /// Number of cold servers, by zone.
     pub cold_servers: Family<ZoneLabels, Gauge>,
-    /// Log lines that were dropped.
+    /// Log lines dropped because the log buffer was full.
     pub log_lines_dropped: Count,
 }
 
@@ -163,7 +163,7 @@
             foreign_answers: Count::default(),
             store_calls: Family::default(),
             connections: Family::default(),
-            tally: Rc::default(),
+            unlogged: Rc::default(),
             jobs_accepted: Count::default(),
             jobs_adopted: Family::default(),
             items_listed: Count::default(),
@@ -183,80 +183,80 @@
     }
 }
 
-/// Labels with their counts, as `label:count,label:count`.
-fn pairs<L: std::fmt::Display>(counts: &BTreeMap<L, u64>) -> String {
-    let pairs: Vec<String> =
+/// Formats counts as `label:count,label:count`.
+fn format_counts<L: std::fmt::Display>(counts: &BTreeMap<L, u64>) -> String {
+    let format_counts: Vec<String> =
         counts.iter().map(|(label, count)| format!("{label}:{count}")).collect();
-    pairs.join(",")
+    format_counts.join(",")
 }
 
 impl Metrics {
-    /// Notes an answer.
-    pub fn answered(&self, route: &str, status: u16, latency: Duration) {
-        let labels = AnswerLabels { route: route.to_owned(), status };
+    /// Records a response and the time from the request head to the response head.
+    pub fn record_response(&self, route: &str, status: u16, latency: Duration) {
+        let labels = ResponseLabels { route: route.to_owned(), status };
         self.answers.get_or_create(&labels).inc();
         self.latency.observe(latency.as_secs_f64());
     }
 
-    /// Notes a call to the store.
-    pub fn store_call(&self, purpose: &str) {
+    /// Records a call to the store.
+    pub fn record_store_call(&self, purpose: &str) {
         self.store_calls.get_or_create(&StoreLabels { purpose: purpose.to_owned() }).inc();
-        *self.tally.borrow_mut().store_calls.entry(purpose.to_owned()).or_default() += 1;
+        *self.unlogged.borrow_mut().store_calls.entry(purpose.to_owned()).or_default() += 1;
     }
 
-    /// Notes a connection that is opened to a server.
-    pub fn connection_opened(&self, reason: &'static str) {
-        self.connections.get_or_create(&OpenLabels { reason: reason.to_owned() }).inc();
-        *self.tally.borrow_mut().connections.entry(reason).or_default() += 1;
+    /// Records a new connection to a server.
+    pub fn record_connection(&self, reason: &'static str) {
+        self.connections.get_or_create(&ConnectionLabels { reason: reason.to_owned() }).inc();
+        *self.unlogged.borrow_mut().connections.entry(reason).or_default() += 1;
     }
 
-    /// A line that tells what was counted since the one before it; nothing where that is nothing.
-    pub fn line(&self) -> Option<String> {
-        let Tally { store_calls, connections } = self.tally.take();
+    /// Returns a log line with the counts since the last call, or `None` if there are none.
+    pub fn take_log_line(&self) -> Option<String> {
+        let UnloggedCounts { store_calls, connections } = self.unlogged.take();
         if store_calls.is_empty() && connections.is_empty() {
             return None;
         }
         Some(format!(
             "event=counted store_calls={} connections={}",
-            pairs(&store_calls),
-            pairs(&connections)
+            format_counts(&store_calls),
+            format_counts(&connections)
         ))
     }
 
-    /// Notes a job that was taken over.
-    pub fn job_adopted(&self, reason: &str) {
+    /// Records a batch job taken over from another owner.
+    pub fn record_adoption(&self, reason: &str) {
         self.jobs_adopted.get_or_create(&AdoptionLabels { reason: reason.to_owned() }).inc();
     }
 
-    /// Notes a request that no server could be sent.
-    pub fn unplaced(&self, reason: Option<Exclusion>) {
+    /// Records a request for which no server was available.
+    pub fn record_unplaced(&self, reason: Option<Exclusion>) {
         let reason = reason.map_or("none", Exclusion::name);
         self.requests_unplaced.get_or_create(&UnplacedLabels { reason }).inc();
     }
 
-    /// Notes whether a zone is evacuated.
-    pub fn zone_evacuated(&self, zone: &str, is_evacuated: bool) {
+    /// Sets whether a zone is evacuated.
+    pub fn set_zone_evacuated(&self, zone: &str, is_evacuated: bool) {
         let labels = ZoneLabels { zone: zone.to_owned() };
         self.zones_evacuated.get_or_create(&labels).set(i64::from(is_evacuated));
     }
 
-    /// Notes how many servers of a zone are cold.
-    pub fn servers_cold(&self, zone: &str, servers: usize) {
+    /// Sets the number of cold servers in a zone.
+    pub fn set_cold_servers(&self, zone: &str, servers: usize) {
         let labels = ZoneLabels { zone: zone.to_owned() };
         let servers = i64::try_from(servers).unwrap_or(i64::MAX);
         self.cold_servers.get_or_create(&labels).set(servers);
     }
 
-    /// Notes a call to the provider.
-    pub fn duty_called(&self, duty: &'static str, is_done: bool) {
-        let outcome = if is_done { "done" } else { "failed" };
-        self.duty_calls.get_or_create(&DutyLabels { duty, outcome }).inc();
+    /// Records a call to the provider.
+    pub fn record_provider_call(&self, duty: &'static str, succeeded: bool) {
+        let outcome = if succeeded { "done" } else { "failed" };
+        self.duty_calls.get_or_create(&ProviderCallLabels { duty, outcome }).inc();
     }
 
-    /// The page.
-    pub fn page(&self) -> String {
-        let told = self.log_lines_dropped.get();
-        self.log_lines_dropped.inc_by(logging::dropped().saturating_sub(told));
+    /// Encodes all metrics in the OpenMetrics text format.
+    pub fn encode(&self) -> String {
+        let reported = self.log_lines_dropped.get();
+        self.log_lines_dropped.inc_by(logging::dropped().saturating_sub(reported));
         let mut registry = Registry::with_prefix("heronbend");
         registry.register("answers", "Requests answered", self.answers.clone());
         registry.register("latency_seconds", "Time to answer", self.latency.clone());
--- a/crates/heronbend-gateway/src/peers/store_relay.rs
+++ b/crates/heronbend-gateway/src/peers/store_relay.rs
@@ -13,7 +13,7 @@
     if !gateway.store.is_reached() {
         return StoreReply::NotDone("the store is out of reach here too".to_owned());
     }
-    gateway.metrics.store_call("relay");
+    gateway.metrics.record_store_call("relay");
     let store = gateway.store.direct();
     match call {
         StoreCall::List { kind, after } => match store.list(&kind, after.as_deref()).await {
--- a/crates/heronbend-gateway/src/relayed_store.rs
+++ b/crates/heronbend-gateway/src/relayed_store.rs
@@ -79,7 +79,7 @@
     /// of the way: a peer's would be lost as well. One call that is refused for now says little
     /// either; several in a row say that this daemon is refused.
     fn note<T>(&self, kind: &str, result: &Result<T, StoreError>) {
-        self.metrics.store_call(purpose(kind));
+        self.metrics.record_store_call(purpose(kind));
         let now = self.clock.now();
         match result {
             Err(StoreError::Throttled) => {
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -92,7 +92,7 @@
 /// Runs a daemon until it is told to stop and has drained.
 pub fn run(
     ready_path: ReadyPath,
-    source: reload::Source,
+    source: reload::SettingsSource,
     ports: impl FnOnce(Rc<LocalExecutor<'static>>) -> Ports,
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
@@ -107,7 +107,7 @@
     smol::block_on(executor.run(async move {
         gateway.members.introduction.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
-        gateway.executor.spawn(reload::follow(gateway.clone(), source, hang_up)).detach();
+        gateway.executor.spawn(reload::watch_settings(gateway.clone(), source, hang_up)).detach();
         stop.wait().await;
         drain(&gateway, &callers).await;
         Ok(())
@@ -139,7 +139,7 @@
     if let Some(address) = addresses.metrics {
         let told = gateway.clone();
         let page = move |_| {
-            let page = told.metrics.page();
+            let page = told.metrics.encode();
             async move { bytes_answer(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
@@ -474,12 +474,12 @@
     let zones: BTreeSet<String> = directory.all().map(|server| server.zone.clone()).collect();
     for zone in zones {
         let key = directory.placer.zone(&zone);
-        gateway.metrics.servers_cold(&zone, directory.placer.count_cold_servers(now, key));
+        gateway.metrics.set_cold_servers(&zone, directory.placer.count_cold_servers(now, key));
     }
 }
 
 fn log_count(gateway: &Gateway) {
-    if let Some(line) = gateway.metrics.line() {
+    if let Some(line) = gateway.metrics.take_log_line() {
         log::info!("{line}");
     }
 }
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! A daemon's settings file, in TOML. All findings are told at once, each with its place.
+//! A daemon's settings file, in TOML. Validation reports all findings at once, each with its field.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,33 +15,33 @@
 use crate::permits::ColdMargin;
 use crate::service::Addresses;
 
-/// Memory of a process where the file does not say.
+/// Default for `memory_limit_mb`.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
-const BYTES_A_MEGABYTE: usize = 1_000_000;
-/// Servers that may end by chance while they run a request: a single one always may.
-const FEWEST_ENDINGS: usize = 2;
-/// One part in so many of the memory is for clients' bodies: a job takes several times its body's
-/// size while it is taken in.
-const HELD_SHARE: usize = 4;
-
-/// One thing that is wrong with a settings file.
+const BYTES_PER_MEGABYTE: usize = 1_000_000;
+/// Smallest valid crash threshold: a single crash can be unrelated to the request.
+const MIN_CRASH_THRESHOLD: usize = 2;
+/// Fraction of the memory limit, as a divisor, available for buffered request bodies. Parsing a job
+/// takes several times the size of its body.
+const BODY_MEMORY_DIVISOR: usize = 4;
+
+/// A problem in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The field, with the names of its tables.
+    /// Dotted path of the field.
     pub field: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
 }
 
-/// All that is wrong with a settings file.
+/// All problems in a settings file. Displays one line per finding.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{}", self.lines())]
 pub struct Findings {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// The node that the file is for, where it says so.
+    /// Name of the node, if the file sets it.
     pub node: Option<String>,
-    /// What is wrong, in the order of the fields.
+    /// The problems, in the order in which fields are read.
     pub findings: Vec<Finding>,
 }
 
@@ -55,89 +55,88 @@
     }
 }
 
-/// Valid settings.
+/// Validated settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Name of the daemon, kept across restarts.
+    /// Name of the daemon; stable across restarts.
     pub node: String,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: String,
-    /// Its region.
+    /// Region of the daemon.
     pub region: String,
-    /// Where callers connect; not set on machines that nobody calls.
+    /// Listen address for clients; `None` if the daemon serves no clients.
     pub callers: Option<SocketAddr>,
-    /// Where the entry asks whether the daemon is ready.
+    /// Listen address for readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Where peers connect, by TCP and UDP.
+    /// Listen address for peers (TCP and UDP).
     pub peers: SocketAddr,
-    /// Addresses of some other daemons; only their hosts matter.
+    /// Addresses of other daemons to join through; their ports are ignored.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time: nothing is kept from before, and nobody
-    /// waits for it yet.
+    /// Whether the cluster is being bootstrapped, without existing state or traffic.
     pub first_start: bool,
-    /// Where the counters are served.
+    /// Listen address for metrics; `None` disables the endpoint.
     pub metrics: Option<SocketAddr>,
-    /// The store.
+    /// Address of the object store.
     pub store: SocketAddr,
-    /// Share of a core that the process may use; 0 where that is not stated.
+    /// CPU limit of the process, in cores; 0 if unknown.
     pub processor_share: f64,
-    /// Memory that the process may use, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_limit_mb: usize,
-    /// Largest object that the store takes, in bytes.
+    /// Maximum object size of the store, in bytes.
     pub max_object_bytes: usize,
-    /// Pause between the last order of one holder and the first of another.
+    /// Minimum pause between the last command of one lease holder and the first of the next.
     pub lease_pause: Duration,
-    /// How long results stay readable.
+    /// How long results of a finished job remain readable.
     pub result_retention: Duration,
-    /// Longest time from the signal to stop until the process is gone.
+    /// Time allowed from the stop signal until the process exits.
     pub stop_limit: Duration,
-    /// Time within which a server that leaves has to be known everywhere.
+    /// Time within which the drain of a server must be known to all daemons.
     pub drain_notice: Duration,
-    /// Time within which a configuration has to be in force everywhere.
+    /// Time within which a new configuration must take effect on all daemons.
     pub configuration_notice: Duration,
-    /// Who provides the machines, where this daemon has duties towards them.
+    /// Address of the machine provider; required if `duties` is not empty.
     pub provider: Option<SocketAddr>,
-    /// Those duties.
+    /// Duties towards the provider that this daemon may perform.
     pub duties: Vec<Duty>,
-    /// How usage is to be reported, if it is.
+    /// Usage reporting schedule; `None` disables reporting.
     pub usage: Option<Terms>,
-    /// Whether callers with keys are refused while nobody can tell whether keys were taken away.
+    /// Whether API keys are rejected while revocations cannot be checked.
     pub fail_closed: bool,
-    /// Time within which a key that is taken away has to be refused everywhere.
+    /// Time within which a revoked key must be rejected by all daemons.
     pub revocation_notice: Option<Duration>,
-    /// The region of each zone.
+    /// Region of each zone, by zone name.
     pub zones: BTreeMap<String, String>,
-    /// Time within which nothing goes to an evacuated zone any more; nothing where zones are never
-    /// evacuated.
+    /// Time within which traffic to an evacuated zone must stop; `None` disables evacuation.
     pub evacuation_notice: Option<Duration>,
-    /// How much more than it bears a cold server may get.
+    /// Tolerance above the rate limit of cold servers.
     pub cold_margin: ColdMargin,
-    /// When requests that end their servers are refused, and tried again.
+    /// Limits for quarantining requests that crash servers.
     pub quarantine: Limits,
 }
 
-/// A duty towards the provider.
+/// A duty of the daemons towards the machine provider.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Duty {
-    /// To report what tenants use.
+    /// Report the tenants' usage.
     Usage,
-    /// To order servers.
+    /// Order servers for scaling.
     Scale,
 }
 
-struct Reader<'a> {
+/// Reads fields of a settings table and collects findings.
+struct TableReader<'a> {
     table: &'a Table,
     findings: Vec<Finding>,
-    known: BTreeSet<String>,
+    known_fields: BTreeSet<String>,
 }
 
-impl Reader<'_> {
+impl TableReader<'_> {
     fn report(&mut self, field: &str, problem: impl Into<String>) {
         self.findings.push(Finding { field: field.to_owned(), problem: problem.into() });
     }
 
-    /// A field that is true or false; false where it is not set.
-    fn flag(&mut self, field: &str) -> bool {
+    /// Reads an optional boolean; defaults to `false`.
+    fn boolean(&mut self, field: &str) -> bool {
         match self.optional(field) {
             None => false,
             Some(Value::Boolean(flag)) => flag,
@@ -148,9 +147,9 @@
         }
     }
 
-    /// A field's value; an empty text counts as none.
+    /// Reads an optional value by its dotted path; an empty string counts as missing.
     fn optional(&mut self, field: &str) -> Option<Value> {
-        self.known.insert(field.to_owned());
+        self.known_fields.insert(field.to_owned());
         let mut value = None;
         let mut table = Some(self.table);
         for part in field.split('.') {
@@ -168,7 +167,7 @@
         value
     }
 
-    fn text(&mut self, field: &str) -> String {
+    fn string(&mut self, field: &str) -> String {
         match self.required(field) {
             Some(Value::String(text)) => text,
             Some(_) => {
@@ -250,8 +249,8 @@
         Duration::try_from_secs_f64(self.number(field)).unwrap_or_default()
     }
 
-    /// A table of names with the name that each stands for.
-    fn names(&mut self, field: &str) -> BTreeMap<String, String> {
+    /// Reads an optional table of non-empty strings.
+    fn string_table(&mut self, field: &str) -> BTreeMap<String, String> {
         let table = match self.optional(field) {
             None => return BTreeMap::new(),
             Some(Value::Table(table)) => table,
@@ -263,7 +262,7 @@
         let mut names = BTreeMap::new();
         for (name, value) in table {
             let entry = format!("{field}.{name}");
-            self.known.insert(entry.clone());
+            self.known_fields.insert(entry.clone());
             match value {
                 Value::String(value) if !value.is_empty() => {
                     names.insert(name, value);
@@ -274,9 +273,9 @@
         names
     }
 
-    /// The region of each zone; this daemon's own must not be another one than it says.
+    /// Reads the region of each zone; the entry of the daemon's own zone must match its region.
     fn zones(&mut self, field: &str, own: (&str, &str)) -> BTreeMap<String, String> {
-        let zones = self.names(field);
+        let zones = self.string_table(field);
         let (zone, region) = own;
         if zones.get(zone).is_some_and(|known| known != region) {
             self.report(
@@ -287,43 +286,44 @@
         zones
     }
 
-    /// How much more than it bears a cold server may get.
+    /// Reads the tolerance above the rate limit of cold servers.
     fn cold_margin(&mut self) -> ColdMargin {
         let margin = ColdMargin {
             overshoot: self.number_or("cold.overshoot", 1.0),
             slack: self.number_or("cold.slack", 0.0),
         };
         if margin.overshoot < 1.0 {
-            self.report("cold.overshoot", "is below 1: less than a cold server bears");
+            self.report("cold.overshoot", "is below 1, the rate limit of a cold server");
         }
         margin
     }
 
-    /// When requests that end their servers are refused, and tried again.
+    /// Reads the limits for quarantining requests that crash servers.
     fn quarantine(&mut self) -> Limits {
         let default = Limits::default();
-        let or = |duration: Duration| duration.as_secs_f64();
-        let endings = self.number_or("quarantine.endings", default.crash_threshold as f64);
-        let first_probe = self.number_or("quarantine.first_probe_s", or(default.first_probe_delay));
-        let retention = self.number_or("quarantine.retention_s", or(default.retention));
+        let seconds = |duration: Duration| duration.as_secs_f64();
+        let crash_threshold = self.number_or("quarantine.endings", default.crash_threshold as f64);
+        let first_probe_delay =
+            self.number_or("quarantine.first_probe_s", seconds(default.first_probe_delay));
+        let retention = self.number_or("quarantine.retention_s", seconds(default.retention));
         let limits = Limits {
-            crash_threshold: endings as usize,
-            first_probe_delay: Duration::try_from_secs_f64(first_probe).unwrap_or_default(),
+            crash_threshold: crash_threshold as usize,
+            first_probe_delay: Duration::try_from_secs_f64(first_probe_delay).unwrap_or_default(),
             retention: Duration::try_from_secs_f64(retention).unwrap_or_default(),
         };
-        if limits.crash_threshold < FEWEST_ENDINGS || endings.fract() > 0.0 {
-            let problem = format!("is not a whole number from {FEWEST_ENDINGS} on");
+        if limits.crash_threshold < MIN_CRASH_THRESHOLD || crash_threshold.fract() > 0.0 {
+            let problem = format!("is not a whole number from {MIN_CRASH_THRESHOLD} on");
             self.report("quarantine.endings", problem);
         }
         if limits.retention < limits.total_probe_time() {
-            let least = or(limits.total_probe_time());
-            let problem = format!("is below {least}, the time that all probes take");
+            let minimum = seconds(limits.total_probe_time());
+            let problem = format!("is below {minimum}, the time that all probes take");
             self.report("quarantine.retention_s", problem);
         }
         limits
     }
 
-    /// The duties towards the provider.
+    /// Reads the duties towards the provider.
     fn duties(&mut self, field: &str) -> Vec<Duty> {
         let Some(value) = self.optional(field) else {
             return Vec::new();
@@ -343,10 +343,10 @@
         duties
     }
 
-    /// How usage is to be reported, where that is one of the duties.
+    /// Reads the usage reporting schedule, if usage reporting is one of the duties.
     fn usage(&mut self, duties: &[Duty]) -> Option<Terms> {
         let (window_field, due_field) = ("provider.usage_window_s", "provider.usage_due_s");
-        self.known.extend([window_field.to_owned(), due_field.to_owned()]);
+        self.known_fields.extend([window_field.to_owned(), due_field.to_owned()]);
         if !duties.contains(&Duty::Usage) {
             return None;
         }
@@ -357,13 +357,13 @@
         Some(terms)
     }
 
-    /// Fields that are not settings are mistakes in this form.
+    /// Reports fields that are not settings.
     fn report_unknown(&mut self, table: &Table, prefix: &str) {
         for (name, value) in table {
             let field = format!("{prefix}{name}");
             match value {
                 Value::Table(inner) => self.report_unknown(inner, &format!("{field}.")),
-                _ if !self.known.contains(&field) => self.report(&field, "is not a setting"),
+                _ if !self.known_fields.contains(&field) => self.report(&field, "is not a setting"),
                 _ => {}
             }
         }
@@ -371,27 +371,32 @@
 }
 
 impl Settings {
-    /// Reads a settings file's text.
+    /// Parses and validates the contents of the settings file `file`.
+    ///
+    /// # Errors
+    ///
+    /// Returns all findings if the text is not TOML or any field is missing, invalid or unknown.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let table: Table = text.parse().map_err(|error: toml::de::Error| Findings {
             file: file.to_owned(),
             node: None,
             findings: vec![Finding { field: "file".to_owned(), problem: error.to_string() }],
         })?;
-        let mut reader = Reader { table: &table, findings: Vec::new(), known: BTreeSet::new() };
+        let mut reader =
+            TableReader { table: &table, findings: Vec::new(), known_fields: BTreeSet::new() };
         let duties = reader.duties("provider.duties");
-        let (zone, region) = (reader.text("zone"), reader.text("region"));
+        let (zone, region) = (reader.string("zone"), reader.string("region"));
         let settings = Self {
             zones: reader.zones("zones", (&zone, &region)),
             evacuation_notice: reader.optional_millis("evacuation_notice_ms"),
             cold_margin: reader.cold_margin(),
             quarantine: reader.quarantine(),
             usage: reader.usage(&duties),
-            fail_closed: reader.flag("access.fail_closed"),
+            fail_closed: reader.boolean("access.fail_closed"),
             revocation_notice: reader.optional_millis("access.revocation_notice_ms"),
             provider: reader.address("provider.address"),
             duties,
-            node: reader.text("node"),
+            node: reader.string("node"),
             zone,
             region,
             callers: reader.address("listen.callers"),
@@ -399,7 +404,7 @@
             peers: reader.required_address("listen.peers"),
             metrics: reader.address("listen.metrics"),
             seeds: reader.addresses("seeds"),
-            first_start: reader.flag("first_start"),
+            first_start: reader.boolean("first_start"),
             store: reader.required_address("store.address"),
             processor_share: reader.number_or("processor_share", 0.0),
             memory_limit_mb: reader.number_or("memory_limit_mb", DEFAULT_MEMORY_MB) as usize,
@@ -411,10 +416,10 @@
             configuration_notice: reader.millis("configuration_notice_ms"),
         };
         if !settings.duties.is_empty() && settings.provider.is_none() {
-            reader.report("provider.address", "is missing: there are duties");
+            reader.report("provider.address", "is missing: provider.duties is not empty");
         }
         if settings.fail_closed && settings.revocation_notice.is_none() {
-            reader.report("access.revocation_notice_ms", "is missing: access fails closed");
+            reader.report("access.revocation_notice_ms", "is missing: access.fail_closed is set");
         }
         reader.report_unknown(&table, "");
         if reader.findings.is_empty() {
@@ -424,7 +429,7 @@
         Err(Findings { file: file.to_owned(), node, findings: reader.findings })
     }
 
-    /// Who the daemon is, from now on.
+    /// Identity of the daemon, with a new incarnation.
     pub fn identity(&self) -> Identity {
         Identity {
             node: NodeId {
@@ -436,7 +441,7 @@
         }
     }
 
-    /// Where the daemon serves.
+    /// Listen addresses of the daemon, and its seeds with the daemon's peer port.
     pub fn addresses(&self) -> Addresses {
         let callers = self.callers.unwrap_or(self.peers);
         let port = self.peers.port();
@@ -449,10 +454,10 @@
         }
     }
 
-    /// Time constants.
+    /// Limits and time constants for the gateway.
     pub fn tuning(&self) -> Tuning {
         Tuning {
-            max_held_bytes: self.memory_limit_mb * BYTES_A_MEGABYTE / HELD_SHARE,
+            max_held_bytes: self.memory_limit_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
             lease_pause: self.lease_pause,
             result_retention: self.result_retention,
             max_object_bytes: self.max_object_bytes,
--- a/crates/heronbend-gateway/tests/routing.rs
+++ b/crates/heronbend-gateway/tests/routing.rs
@@ -30,7 +30,7 @@
         route("long", "a.example", "/x/y/"),
         route("other", "b.example", "/x/y/z/"),
     ]);
-    let name = |host, path| configuration.route(host, path).map(|route| route.name.clone());
+    let name = |host, path| configuration.match_route(host, path).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/x/y/z/1").as_deref(), Some("long"));
     assert_eq!(name("A.EXAMPLE:8080", "/x/1").as_deref(), Some("short"));
     assert_eq!(name("a.example", "/x").as_deref(), None);
