--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -1,5 +1,5 @@
-//! What neighbours of another build send and have stored. `samples` holds messages and records as the
-//! build before wrote them.
+//! Compatibility of messages and stored records with other builds. `samples` holds messages and
+//! records encoded by the previous build.
 
 mod support;
 
@@ -182,31 +182,31 @@
 }
 
 #[test]
-fn messages_of_the_build_before_are_understood() {
+fn decodes_messages_of_the_previous_build() {
     for (name, datagram) in datagrams() {
-        let told: Datagram = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, datagram, "{name}");
+        let decoded: Datagram = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, datagram, "{name}");
     }
     for (name, request) in requests() {
-        let told: PeerRequest = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, request, "{name}");
+        let decoded: PeerRequest = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, request, "{name}");
     }
     for (name, reply) in replies() {
-        let told: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, reply, "{name}");
+        let decoded: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, reply, "{name}");
     }
     assert_eq!(packed_news::unpack(&sample("packed_news")).unwrap(), news());
 }
 
 #[test]
-fn records_of_the_build_before_are_understood() {
-    let told: Ownership = serde_json::from_slice(&sample("ownership")).unwrap();
-    assert_eq!(told, ownership());
-    let told: LeaseRecord = serde_json::from_slice(&sample("lease")).unwrap();
-    assert_eq!(told, lease());
-    let told: JobSpecification = serde_json::from_slice(&sample("specification")).unwrap();
-    assert_eq!(told, job("j1", 2));
-    let told: Segment = serde_json::from_slice(&sample("segment")).unwrap();
+fn decodes_records_of_the_previous_build() {
+    let decoded: Ownership = serde_json::from_slice(&sample("ownership")).unwrap();
+    assert_eq!(decoded, ownership());
+    let decoded: LeaseRecord = serde_json::from_slice(&sample("lease")).unwrap();
+    assert_eq!(decoded, lease());
+    let decoded: JobSpecification = serde_json::from_slice(&sample("specification")).unwrap();
+    assert_eq!(decoded, job("j1", 2));
+    let decoded: Segment = serde_json::from_slice(&sample("segment")).unwrap();
     let segment = Segment {
         item: 1,
         after: 0,
@@ -214,11 +214,11 @@
         events: vec!["a".to_owned()],
         versions: vec![3],
     };
-    assert_eq!(told, segment);
+    assert_eq!(decoded, segment);
 }
 
-/// The shapes of the build before, where fields were added since. Their order is that of the messages.
-mod before {
+/// Types of the previous build to which fields were added since, with variants in encoding order.
+mod previous {
     use super::*;
 
     #[derive(Debug, PartialEq, Decode)]
@@ -230,17 +230,17 @@
     }
 
     #[derive(Debug, PartialEq, Decode)]
-    pub enum Told {
+    pub enum PreviousHint {
         OrderTaken { holder: NodeName, server: String, model: String, version: u64 },
     }
 }
 
 #[test]
-fn the_build_before_passes_over_fields_that_were_added() {
+fn the_previous_build_ignores_added_fields() {
     let news_reply = PeerReply::News { packed: vec![1, 2, 3], age_millis: 700 };
     let bytes = musli::wire::to_vec(&news_reply).unwrap();
-    let told: before::Reply = musli::wire::from_slice(&bytes).unwrap();
-    assert_eq!(told, before::Reply::News { packed: vec![1, 2, 3] });
+    let decoded: previous::Reply = musli::wire::from_slice(&bytes).unwrap();
+    assert_eq!(decoded, previous::Reply::News { packed: vec![1, 2, 3] });
     let order = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
         server: "i-7".to_owned(),
@@ -248,23 +248,23 @@
         version: 3,
         incarnation: Incarnation(1_796_000_000_000),
     };
-    let told: before::Told =
+    let decoded: previous::PreviousHint =
         musli::wire::from_slice(&musli::wire::to_vec(&order).unwrap()).unwrap();
-    let before::Told::OrderTaken { version, .. } = told;
+    let previous::PreviousHint::OrderTaken { version, .. } = decoded;
     assert_eq!(version, 3);
 }
 
-/// A variant that a build does not know is an error of that one message.
+/// An unknown variant must fail the decoding of that message, without a panic.
 #[test]
-fn an_unknown_variant_is_an_error_and_nothing_else() {
+fn an_unknown_variant_is_a_decoding_error() {
     #[derive(Encode)]
     #[allow(dead_code, reason = "the place of the last one counts")]
     #[rustfmt::skip]
-    enum Later {
+    enum Newer {
         A, B, C, D, E, F, G, H, I, J, K, L, M, N, O, P,
-        Unheard { of: String },
+        Unknown { of: String },
     }
-    let bytes = musli::wire::to_vec(&Later::Unheard { of: "x".to_owned() }).unwrap();
+    let bytes = musli::wire::to_vec(&Newer::Unknown { of: "x".to_owned() }).unwrap();
     assert!(musli::wire::from_slice::<PeerRequest>(&bytes).is_err());
     assert!(musli::wire::from_slice::<Datagram>(&bytes).is_err());
 }
--- a/crates/heronbend-gateway/tests/day.rs
+++ b/crates/heronbend-gateway/tests/day.rs
@@ -1,4 +1,4 @@
-//! From log lines to what a fleet did over a time.
+//! Summaries of a fleet from its log lines.
 
 use heronbend_gateway::fleet_summary::cause;
 use heronbend_gateway::fleet_summary::Cause;
@@ -24,7 +24,7 @@
 a line of another program";
 
 #[test]
-fn late_steps_are_told_with_what_made_them_late() {
+fn late_steps_have_a_cause() {
     let summary = FleetSummary::from_log(LINES);
     let late: Vec<_> = summary.late(8.0).map(|(step, cause)| (step.job.as_str(), cause)).collect();
     assert_eq!(late, [("j1", Cause::Commit), ("j2", Cause::OwnerLost)]);
@@ -35,11 +35,11 @@
 }
 
 #[test]
-fn calls_connections_and_changes_of_hands_are_summed_over_all_daemons() {
+fn counts_are_summed_over_all_daemons() {
     let summary = FleetSummary::from_log(LINES);
     assert_eq!(summary.store_calls["config"], 3);
     assert_eq!(summary.store_calls["heronbend-results"], 3);
-    assert_eq!(summary.connections.get("first"), Some(&4), "what cannot be read is passed over");
+    assert_eq!(summary.connections.get("first"), Some(&4), "malformed counts are ignored");
     assert_eq!(summary.adoptions.iter().collect::<Vec<_>>(), [(&"ended".to_owned(), &1)]);
     assert_eq!((summary.false_suspicions, summary.attempts["outpaced"]), (1, 1));
     assert_eq!(summary.calls_by_time[&31], 6);
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn a_daemon_tells_what_it_counted_once() {
+fn counts_are_logged_once() {
     let metrics = Metrics::default();
     assert_eq!(metrics.take_log_line(), None);
     metrics.record_store_call("config");
     metrics.record_store_call("config");
     metrics.record_connection("first");
-    let line = metrics.take_log_line().expect("something was counted");
+    let line = metrics.take_log_line().expect("counts to log");
     assert_eq!(line, "event=counted store_calls=config:2 connections=first:1");
     assert_eq!(metrics.take_log_line(), None);
     let summary = FleetSummary::from_log(&format!(" 1.5 front-1 level=INFO {line}"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_day_is_plotted_also_where_little_is_known() {
+fn plots_full_and_empty_summaries() {
     let folder = tempfile::TempDir::new().unwrap();
     for (name, lines) in [("day.svg", LINES), ("empty.svg", "")] {
         let path = folder.path().join(name);
--- a/crates/heronbend-gateway/tests/explain.rs
+++ b/crates/heronbend-gateway/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From an identifier to the lines that explain it.
+//! Selection of the log lines that concern an identifier.
 
 use heronbend_gateway::explain::explain;
 
@@ -12,31 +12,31 @@
     "level=INFO event=results_listed job=j2 chunk=0 positions=0..1",
 ];
 
-fn numbers(subject: &str) -> Vec<usize> {
+fn selected_lines(subject: &str) -> Vec<usize> {
     let found = explain(subject, &LINES);
     found.iter().map(|line| LINES.iter().position(|known| known == line).unwrap()).collect()
 }
 
 #[test]
-fn an_item_is_explained_by_its_own_lines_and_its_jobs() {
-    assert_eq!(numbers("i1"), [1, 2, 4, 5]);
+fn an_item_selects_its_own_lines_and_those_of_its_job() {
+    assert_eq!(selected_lines("i1"), [1, 2, 4, 5]);
 }
 
 #[test]
-fn a_reward_call_leads_to_its_item_and_job() {
-    assert_eq!(numbers("w1"), [1, 2, 4, 5]);
+fn a_reward_call_selects_the_lines_of_its_item_and_job() {
+    assert_eq!(selected_lines("w1"), [1, 2, 4, 5]);
 }
 
 #[test]
-fn a_job_a_request_and_a_server_are_explained_by_the_lines_that_name_them() {
-    assert_eq!(numbers("j1"), [1, 2, 3, 4, 5]);
-    assert_eq!(numbers("r1"), [0]);
-    assert_eq!(numbers("s2"), [3]);
-    assert!(numbers("r").is_empty());
+fn jobs_requests_and_servers_select_the_lines_that_mention_them() {
+    assert_eq!(selected_lines("j1"), [1, 2, 3, 4, 5]);
+    assert_eq!(selected_lines("r1"), [0]);
+    assert_eq!(selected_lines("s2"), [3]);
+    assert!(selected_lines("r").is_empty());
 }
 
 #[test]
-fn a_fingerprint_is_explained_by_the_attempts_that_it_was_found_in() {
+fn a_fingerprint_selects_its_attempts() {
     let lines = [
         "level=INFO event=attempt_broken id=r1 request=f1 server=s1 beside=0 events=0",
         "level=INFO event=attempt_broken id=r2 request=f2 server=s1 beside=0 events=0",
--- a/crates/heronbend-gateway/tests/logging.rs
+++ b/crates/heronbend-gateway/tests/logging.rs
@@ -1,13 +1,13 @@
-//! Logs under a storm of lines: bounded, never waiting, and told of.
+//! The log buffer under overload: bounded, non-blocking, with dropped lines counted.
 
 use heronbend_gateway::logging::Buffer;
 use heronbend_gateway::metrics::Metrics;
 
-/// More lines than the buffer holds.
+/// Exceeds the capacity of the buffer.
 const LINES: usize = 20_000;
 
 #[test]
-fn a_storm_of_lines_is_bounded_and_what_is_dropped_is_counted() {
+fn overload_is_bounded_and_dropped_lines_are_counted() {
     let buffer = Buffer::default();
     let line = format!("level=INFO event=storm filler={}\n", "x".repeat(60));
     let kept = (0..LINES).filter(|_| buffer.push(&line)).count();
@@ -17,7 +17,7 @@
     assert!(bytes.len() <= 256 * 1024);
     assert_eq!(dropped, (LINES - kept) as u64);
     let page = Metrics::default().encode();
-    let told = format!("heronbend_log_lines_dropped_total {dropped}");
-    assert!(page.contains(&told), "{page}");
-    assert!(buffer.push(&line), "there is room again");
+    let metric = format!("heronbend_log_lines_dropped_total {dropped}");
+    assert!(page.contains(&metric), "{page}");
+    assert!(buffer.push(&line), "the drained buffer accepts lines");
 }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -100,7 +100,7 @@
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             executor.spawn(record::follow(gateway.clone())).detach();
-            store.delay_answers(Duration::from_millis(400));
+            store.delay_responses(Duration::from_millis(400));
             end_servers(&gateway, 3);
             wait_until("it is recorded", || record_of(&store, &gateway)).await;
             Timer::after(Duration::from_millis(900)).await;
@@ -116,7 +116,7 @@
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            store.fail_writes(&[WriteFault::Refused, WriteFault::AnswerLost]);
+            store.fail_writes(&[WriteFault::Rejected, WriteFault::ResponseLost]);
             end_servers(&gateway, 3);
             wait_until("it is refused", || gateway.metrics.requests_quarantined.get() == 1).await;
             wait_until("it is recorded", || record_of(&store, &gateway)).await;
--- a/crates/heronbend-gateway/tests/routing.rs
+++ b/crates/heronbend-gateway/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes and shares of destinations. How servers are chosen is tested beside the machine that does it.
+//! Route matching, traffic splitting and header filtering.
 
 mod support;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn every_stretch_of_requests_is_close_to_the_weights() {
+fn every_run_of_requests_matches_the_weights() {
     let mut split = route("split", "a.example", "/");
     split.destinations = vec![
         Destination { service: "many".to_owned(), weight: 90 },
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_removed() {
     let mut received = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, x-hop"),
@@ -73,7 +73,7 @@
     ] {
         received.append(name, value.parse().unwrap());
     }
-    let passed = headers::passed_on(&received);
-    assert_eq!(passed.len(), 2);
-    assert_eq!(passed.get_all("accept").iter().count(), 2);
+    let forwarded = headers::passed_on(&received);
+    assert_eq!(forwarded.len(), 2);
+    assert_eq!(forwarded.get_all("accept").iter().count(), 2);
 }
--- a/crates/heronbend-gateway/tests/settings.rs
+++ b/crates/heronbend-gateway/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files: all findings at once, each with its place.
+//! Validation of settings files.
 
 use std::time::Duration;
 
 use heronbend::quarantine::Limits;
 use heronbend_gateway::settings::Settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 node = "front-1"
 zone = "z"
 region = "r"
@@ -28,23 +28,23 @@
 "#;
 
 #[test]
-fn a_good_file_is_read() {
-    let settings = Settings::parse("node.toml", GOOD).unwrap();
+fn a_valid_file_is_parsed() {
+    let settings = Settings::parse("node.toml", VALID).unwrap();
     assert_eq!(settings.metrics, None);
     assert_eq!(settings.stop_limit.as_millis(), 8500);
-    // Peers listen on the same port everywhere.
+    // All daemons use the same peer port.
     assert_eq!(settings.addresses().seeds, ["10.0.0.2:7720".parse().unwrap()]);
 }
 
 #[test]
-fn all_findings_are_told_at_once_with_file_node_and_field() {
-    let bad = GOOD
+fn all_findings_are_reported_with_file_node_and_field() {
+    let invalid = VALID
         .replace("zone = \"z\"", "zone = 7")
         .replace("lease_pause_ms = 3000", "lease_pause_ms = -1")
         .replace("10.0.0.1:7720", "nowhere")
         .replace("[store]", "[store]\ncolour = \"red\"")
         .replace("region = \"r\"\n", "");
-    let findings = Settings::parse("node.toml", &bad).unwrap_err().to_string();
+    let findings = Settings::parse("node.toml", &invalid).unwrap_err().to_string();
     for expected in [
         "node.toml: front-1: zone: is not a text",
         "node.toml: front-1: region: is missing",
@@ -58,30 +58,31 @@
 }
 
 #[test]
-fn a_file_that_is_no_toml_is_one_finding() {
+fn invalid_toml_is_one_finding() {
     let findings = Settings::parse("node.toml", "node = ").unwrap_err();
     assert_eq!(findings.findings.len(), 1);
 }
 
 #[test]
-fn a_first_start_is_told_and_is_not_the_rule() {
-    assert!(!Settings::parse("node.toml", GOOD).unwrap().first_start);
-    let first = GOOD.replace("zone = ", "first_start = true\nzone = ");
+fn first_start_is_off_by_default() {
+    assert!(!Settings::parse("node.toml", VALID).unwrap().first_start);
+    let first = VALID.replace("zone = ", "first_start = true\nzone = ");
     assert!(Settings::parse("node.toml", &first).unwrap().first_start);
-    let bad = GOOD.replace("zone = ", "first_start = 1\nzone = ");
-    let findings = Settings::parse("node.toml", &bad).unwrap_err().to_string();
+    let invalid = VALID.replace("zone = ", "first_start = 1\nzone = ");
+    let findings = Settings::parse("node.toml", &invalid).unwrap_err().to_string();
     assert!(findings.contains("first_start: is neither true nor false"), "{findings}");
 }
 
 #[test]
-fn limits_of_the_quarantine_are_read_and_checked() {
-    let settings = Settings::parse("node.toml", GOOD).unwrap();
+fn quarantine_limits_are_validated() {
+    let settings = Settings::parse("node.toml", VALID).unwrap();
     assert_eq!(settings.quarantine, Limits::default());
-    let set = format!("{GOOD}\n[quarantine]\nendings = 2\nfirst_probe_s = 0.5\nretention_s = 60\n");
-    let limits = Settings::parse("node.toml", &set).unwrap().quarantine;
+    let custom =
+        format!("{VALID}\n[quarantine]\nendings = 2\nfirst_probe_s = 0.5\nretention_s = 60\n");
+    let limits = Settings::parse("node.toml", &custom).unwrap().quarantine;
     assert_eq!((limits.crash_threshold, limits.first_probe_delay), (2, Duration::from_millis(500)));
-    let bad = format!("{GOOD}\n[quarantine]\nendings = 1.5\nretention_s = 60\n");
-    let findings = Settings::parse("node.toml", &bad).unwrap_err().to_string();
+    let invalid = format!("{VALID}\n[quarantine]\nendings = 1.5\nretention_s = 60\n");
+    let findings = Settings::parse("node.toml", &invalid).unwrap_err().to_string();
     for expected in [
         "node.toml: front-1: quarantine.endings: is not a whole number from 2 on",
         "node.toml: front-1: quarantine.retention_s: is below 365, the time that all probes take",
--- a/crates/heronbend-gateway/tests/steps.rs
+++ b/crates/heronbend-gateway/tests/steps.rs
@@ -1,4 +1,4 @@
-//! From log lines to the time of each step by part.
+//! Durations of the phases of steps, from log lines.
 
 use heronbend_gateway::steps::parse_steps;
 
@@ -20,13 +20,13 @@
 ];
 
 #[test]
-fn a_steps_time_is_split_at_the_text_that_decided() {
+fn phases_are_split_at_the_deciding_item() {
     let found = parse_steps(LINES.into_iter());
     let [step] = found.as_slice() else {
-        panic!("one step was handed in and ended: {found:?}");
+        panic!("expected one submitted and ended step: {found:?}");
     };
     assert_eq!((step.job.as_str(), step.number.as_str()), ("j1", "4"));
-    let parts = [
+    let phases = [
         step.submitted_at,
         step.submission,
         step.generation,
@@ -34,17 +34,17 @@
         step.completion,
         step.total(),
     ];
-    for (part, expected) in parts.into_iter().zip([10.0, 0.1, 6.0, 0.1, 0.3, 6.5]) {
-        assert!((part - expected).abs() < 1e-6, "{part} instead of {expected}");
+    for (phase, expected) in phases.into_iter().zip([10.0, 0.1, 6.0, 0.1, 0.3, 6.5]) {
+        assert!((phase - expected).abs() < 1e-6, "{phase} instead of {expected}");
     }
     assert_eq!(step.deciding_item.item, "i2");
     assert_eq!(step.deciding_item.attempts, ["outpaced"]);
-    // The longest text before the end, at the pace of the fastest that ran at one server.
+    // The longest item before the end, at the speed of the fastest item that ran on one server.
     assert!((step.generation_bound - 150.0 * 0.04).abs() < 1e-6, "{}", step.generation_bound);
 }
 
 #[test]
-fn a_row_names_the_deciding_text_and_its_attempts() {
+fn a_row_shows_the_deciding_item_and_its_attempts() {
     let row = parse_steps(LINES.into_iter())[0].to_string();
     assert!(row.ends_with("i2 (150 events, 6000 ms: outpaced)"), "{row}");
 }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -82,15 +82,15 @@
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            store.fail_watches(&[WatchFault::Cut]);
-            store.mute_watches();
+            store.fail_watches(&[WatchFault::Interrupted]);
+            store.suppress_changes();
             let names = Names::default();
             follow(&executor, &gateway, KIND, &names);
             wait_until("the watch has been cut", || store.calls.get() >= 2).await;
             store.put(KIND, "missed", json!(1));
             // A watch that was begun again from where the first one stood waits by now.
             smol::Timer::after(Duration::from_millis(150)).await;
-            store.drop_history();
+            store.compact_history();
             wait_until("the change is known", || names.contains("missed")).await;
             store.put(KIND, "later", json!(2));
             wait_until("a later change is known", || names.contains("later")).await;
@@ -103,7 +103,7 @@
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            store.fail_watches(&[WatchFault::Deaf]);
+            store.fail_watches(&[WatchFault::Hanging]);
             let deaf = Names::default();
             follow(&executor, &gateway, KIND, &deaf);
             smol::Timer::after(Duration::from_millis(30)).await;
@@ -124,7 +124,7 @@
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            store.fail_watches(&[WatchFault::Deaf]);
+            store.fail_watches(&[WatchFault::Hanging]);
             let names = Names::default();
             follow(&executor, &gateway, KIND, &names);
             smol::Timer::after(Duration::from_millis(30)).await;
@@ -140,8 +140,8 @@
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            store.fail_writes(&[WriteFault::Late]);
-            store.fail_writes(&[WriteFault::Refused; 20]);
+            store.fail_writes(&[WriteFault::Delayed]);
+            store.fail_writes(&[WriteFault::Rejected; 20]);
             let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
             assert_eq!(taken, Err(HandInError::Unknown));
         })
@@ -153,7 +153,7 @@
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            store.fail_writes(&[WriteFault::Refused; 20]);
+            store.fail_writes(&[WriteFault::Rejected; 20]);
             let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
             assert_eq!(taken, Err(HandInError::NotTaken));
             assert!(store.object(SPECIFICATIONS, "j").is_none());
@@ -167,7 +167,7 @@
         Box::pin(async move {
             let first = gateway("a", &store, &executor);
             let second = gateway("b", &store, &executor);
-            store.fail_writes(&[WriteFault::AnswerLost, WriteFault::AnswerLost]);
+            store.fail_writes(&[WriteFault::ResponseLost, WriteFault::ResponseLost]);
             let patience = first.now() + Duration::from_secs(20);
             assert_eq!(hand_in::hand_in(&first, job("j", 2), patience).await, Ok(()));
             assert_eq!(hand_in::hand_in(&second, job("j", 2), patience).await, Ok(()));
@@ -201,7 +201,11 @@
             let patience = first.now() + PATIENCE;
             hand_in::hand_in(&first, job("j", 6), patience).await.unwrap();
             hand_in::hand_in(&second, job("j", 6), patience).await.unwrap();
-            store.fail_writes(&[WriteFault::AnswerLost, WriteFault::Late, WriteFault::Refused]);
+            store.fail_writes(&[
+                WriteFault::ResponseLost,
+                WriteFault::Delayed,
+                WriteFault::Rejected,
+            ]);
             for (gateway, items) in [(&first, [0, 1, 2, 3]), (&second, [2, 3, 4, 5])] {
                 let job = gateway.jobs.get("j").unwrap();
                 executor.spawn(appender::run(gateway.clone(), job.clone())).detach();
@@ -213,7 +217,7 @@
             }
             let jobs = [first.jobs.get("j").unwrap(), second.jobs.get("j").unwrap()];
             let all_written = |index: usize| {
-                store.do_late_writes();
+                store.apply_delayed_writes();
                 jobs[index].log.borrow().pending() == 0
             };
             wait_until("the owner's results are written", || all_written(0)).await;
@@ -312,8 +316,8 @@
             mine.running.set(true);
             mine.confirmed.set(Some(owner.now()));
             assert!(mine.is_authority(owner.now()));
-            store.fail_writes(&[WriteFault::AnswerLost]);
-            store.fail_writes(&[WriteFault::Refused; 40]);
+            store.fail_writes(&[WriteFault::ResponseLost]);
+            store.fail_writes(&[WriteFault::Rejected; 40]);
             add(&mine, "item-0");
             let is_written = || store.object(&results_kind("j"), &chunk_name(0)).is_some();
             wait_until("the chunk is written", is_written).await;
@@ -334,12 +338,12 @@
             let lost = gateway("a", &store, &executor);
             let new = gateway("b", &store, &executor);
             let (mine, task) = appending(&store, &lost, &executor);
-            store.fail_writes(&[WriteFault::Late]);
+            store.fail_writes(&[WriteFault::Delayed]);
             add(&mine, "item-0");
-            wait_until("a write is on its way", || store.late_writes() == 1).await;
+            wait_until("a write is on its way", || store.delayed_writes() == 1).await;
             drop(task);
             take_over(&store, &new).await;
-            store.do_late_writes();
+            store.apply_delayed_writes();
             let chunk = store.object(&results_kind("j"), &chunk_name(0)).unwrap();
             assert_eq!(chunk.content["results"], json!([]));
         })
@@ -377,7 +381,7 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             // Begun while the store was silent: it is never answered.
-            store.fail_watches(&[WatchFault::Deaf]);
+            store.fail_watches(&[WatchFault::Hanging]);
             let names = Names::default();
             follow(&executor, &gateway, KIND, &names);
             executor.spawn(mirror::probe_store(gateway.clone())).detach();
--- a/crates/heronbend-gateway/tests/support/own_dialect.rs
+++ b/crates/heronbend-gateway/tests/support/json_dialect.rs
@@ -1,4 +1,4 @@
-//! The service's own spelling: its types as they serialize.
+//! A [`Dialect`] that uses the serde representation of the gateway's own types.
 
 use bytes::Bytes;
 use heronbend::access::KeyHasher;
@@ -12,12 +12,13 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
-pub struct OwnDialect {
+/// Encodes and decodes calls and objects as JSON.
+pub struct JsonDialect {
     headers: HeaderNames,
     kinds: OperatorKinds,
 }
 
-impl Default for OwnDialect {
+impl Default for JsonDialect {
     fn default() -> Self {
         let name = HeaderName::from_static;
         Self {
@@ -47,11 +48,11 @@
     }
 }
 
-fn from_value<T: DeserializeOwned>(place: &str, content: &Value) -> Result<T, DialectError> {
-    T::deserialize(content).map_err(|error| DialectError::new(place, error))
+fn from_value<T: DeserializeOwned>(subject: &str, content: &Value) -> Result<T, DialectError> {
+    T::deserialize(content).map_err(|error| DialectError::new(subject, error))
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for JsonDialect {
     fn headers(&self) -> &HeaderNames {
         &self.headers
     }
--- a/crates/heronbend-gateway/tests/support/memory_store.rs
+++ b/crates/heronbend-gateway/tests/support/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with faults.
+//! An in-memory object store with fault injection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -12,100 +12,109 @@
 use serde_json::Value;
 use smol::Timer;
 
-/// What happens to the next writes.
+/// A fault injected into a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteFault {
-    /// Nothing is done.
-    Refused,
-    /// It is done, and the answer is lost.
-    AnswerLost,
-    /// It is not done now; [`MemoryStore::do_late_writes`] does it.
-    Late,
+    /// The write is rejected without effect.
+    Rejected,
+    /// The write takes effect, but its response is lost.
+    ResponseLost,
+    /// The response is lost, and the write takes effect only at
+    /// [`MemoryStore::apply_delayed_writes`].
+    Delayed,
 }
 
-/// What happens to the next watches.
+/// A fault injected into a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchFault {
-    /// It is cut.
-    Cut,
-    /// It waits and hears nothing, whatever changes.
-    Deaf,
+    /// The watch fails.
+    Interrupted,
+    /// The watch hangs and never returns.
+    Hanging,
 }
 
 type Key = (String, String);
-/// Kind, name, content, and the condition unless the object is to be made.
-type LateWrite = (String, String, Value, Option<Condition>);
+/// Kind, name, content and, unless it is a creation, condition.
+type DelayedWrite = (String, String, Value, Option<Condition>);
 
+/// An in-memory [`ObjectStore`] that injects the queued faults.
 #[derive(Default)]
 pub struct MemoryStore {
     objects: RefCell<BTreeMap<Key, Object>>,
     history: RefCell<Vec<(Revision, String, Change)>>,
     revision: Cell<Revision>,
-    floor: Cell<Revision>,
+    compacted_at: Cell<Revision>,
     write_faults: RefCell<VecDeque<WriteFault>>,
     watch_faults: RefCell<VecDeque<WatchFault>>,
-    late: RefCell<Vec<LateWrite>>,
+    delayed: RefCell<Vec<DelayedWrite>>,
     down: Cell<bool>,
-    muted: Cell<bool>,
-    /// Time after which it is answered that an object was made.
-    answer_delay: Cell<Duration>,
+    changes_suppressed: Cell<bool>,
+    /// Delay of the response to a creation.
+    response_delay: Cell<Duration>,
+    /// Number of calls so far.
     pub calls: Cell<u64>,
 }
 
 impl MemoryStore {
+    /// Queues faults for the next writes.
     pub fn fail_writes(&self, faults: &[WriteFault]) {
         self.write_faults.borrow_mut().extend(faults);
     }
 
+    /// Queues faults for the next watches.
     pub fn fail_watches(&self, faults: &[WatchFault]) {
         self.watch_faults.borrow_mut().extend(faults);
     }
 
-    pub fn delay_answers(&self, delay: Duration) {
-        self.answer_delay.set(delay);
+    /// Delays the response to creations.
+    pub fn delay_responses(&self, delay: Duration) {
+        self.response_delay.set(delay);
     }
 
+    /// Makes all calls fail while `down` is set.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
     }
 
-    /// Forgets the history and ends a time in which watches hear nothing. Those that wait already
-    /// are not told.
-    pub fn drop_history(&self) {
-        self.floor.set(self.revision.get());
+    /// Compacts the history up to the current revision and resumes watch notifications. Pending
+    /// watches are not woken.
+    pub fn compact_history(&self) {
+        self.compacted_at.set(self.revision.get());
         self.history.borrow_mut().clear();
-        self.muted.set(false);
+        self.changes_suppressed.set(false);
     }
 
-    /// From now on watches hear nothing.
-    pub fn mute_watches(&self) {
-        self.muted.set(true);
+    /// Stops watches from returning changes until [`Self::compact_history`].
+    pub fn suppress_changes(&self) {
+        self.changes_suppressed.set(true);
     }
 
     pub fn object(&self, kind: &str, name: &str) -> Option<Object> {
         self.objects.borrow().get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 
-    /// Writes as an operator does, past all faults.
+    /// Sets an object, bypassing injected faults.
     pub fn put(&self, kind: &str, name: &str, content: Value) {
         self.set(kind, name, content, Value::Null);
     }
 
+    /// Removes the queued write faults.
     pub fn clear_faults(&self) {
         self.write_faults.borrow_mut().clear();
     }
 
-    /// Writes that are still to be done.
-    pub fn late_writes(&self) -> usize {
-        self.late.borrow().len()
+    /// Number of delayed writes that have not been applied.
+    pub fn delayed_writes(&self) -> usize {
+        self.delayed.borrow().len()
     }
 
-    pub fn do_late_writes(&self) {
-        for (kind, name, content, condition) in self.late.take() {
-            // One whose condition does not hold any more has no effect.
+    /// Applies the delayed writes.
+    pub fn apply_delayed_writes(&self) {
+        for (kind, name, content, condition) in self.delayed.take() {
+            // A write whose condition no longer holds has no effect.
             let _ = match condition {
-                None => self.make(&kind, &name, content),
-                Some(condition) => self.change(&kind, &name, content, condition),
+                None => self.create_object(&kind, &name, content),
+                Some(condition) => self.replace_object(&kind, &name, content, condition),
             };
         }
     }
@@ -120,14 +129,14 @@
         object
     }
 
-    fn make(&self, kind: &str, name: &str, content: Value) -> Result<Object, StoreError> {
+    fn create_object(&self, kind: &str, name: &str, content: Value) -> Result<Object, StoreError> {
         match self.object(kind, name) {
             Some(object) => Err(StoreError::Conflict(Some(Box::new(object)))),
             None => Ok(self.set(kind, name, content, Value::Null)),
         }
     }
 
-    fn change(
+    fn replace_object(
         &self,
         kind: &str,
         name: &str,
@@ -144,7 +153,7 @@
         }
     }
 
-    /// Applies a write or the fault that is due.
+    /// Applies a write, subject to the next queued fault.
     fn write(
         &self,
         kind: &str,
@@ -152,29 +161,29 @@
         content: Value,
         condition: Option<Condition>,
     ) -> Result<Object, StoreError> {
-        self.reach()?;
-        let lost = || StoreError::Unknown("the answer is lost".to_owned());
+        self.check_available()?;
+        let response_lost = || StoreError::Unknown("response lost".to_owned());
         let fault = self.write_faults.borrow_mut().pop_front();
-        if fault == Some(WriteFault::Refused) {
-            return Err(StoreError::NotDone("refused".to_owned()));
+        if fault == Some(WriteFault::Rejected) {
+            return Err(StoreError::NotDone("rejected".to_owned()));
         }
-        if fault == Some(WriteFault::Late) {
-            let late = (kind.to_owned(), name.to_owned(), content, condition);
-            self.late.borrow_mut().push(late);
-            return Err(lost());
+        if fault == Some(WriteFault::Delayed) {
+            let delayed_write = (kind.to_owned(), name.to_owned(), content, condition);
+            self.delayed.borrow_mut().push(delayed_write);
+            return Err(response_lost());
         }
         let written = match condition {
-            None => self.make(kind, name, content),
-            Some(condition) => self.change(kind, name, content, condition),
+            None => self.create_object(kind, name, content),
+            Some(condition) => self.replace_object(kind, name, content, condition),
         };
-        if fault == Some(WriteFault::AnswerLost) {
-            Err(lost())
+        if fault == Some(WriteFault::ResponseLost) {
+            Err(response_lost())
         } else {
             written
         }
     }
 
-    fn reach(&self) -> Result<(), StoreError> {
+    fn check_available(&self) -> Result<(), StoreError> {
         self.calls.set(self.calls.get() + 1);
         if self.down.get() {
             return Err(StoreError::NotDone("down".to_owned()));
@@ -184,18 +193,20 @@
 
     fn changes_since(&self, kind: &str, since: Revision) -> Vec<Change> {
         let history = self.history.borrow();
-        let wanted = history.iter().filter(|(at, of, _)| *at > since && of == kind);
-        wanted.map(|(_, _, change)| change.clone()).collect()
+        let matching = history
+            .iter()
+            .filter(|(revision, changed_kind, _)| *revision > since && changed_kind == kind);
+        matching.map(|(_, _, change)| change.clone()).collect()
     }
 }
 
 #[async_trait(?Send)]
 impl ObjectStore for MemoryStore {
     async fn list(&self, kind: &str, after: Option<&str>) -> Result<Listing, StoreError> {
-        self.reach()?;
+        self.check_available()?;
         let objects = self.objects.borrow();
-        let listed = objects.iter().filter(|((of, name), _)| {
-            of == kind && after.is_none_or(|after| name.as_str() > after)
+        let listed = objects.iter().filter(|((object_kind, name), _)| {
+            object_kind == kind && after.is_none_or(|after| name.as_str() > after)
         });
         Ok(Listing {
             objects: listed.map(|(_, object)| object.clone()).collect(),
@@ -205,7 +216,7 @@
     }
 
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
-        self.reach()?;
+        self.check_available()?;
         Ok(self.object(kind, name))
     }
 
@@ -215,35 +226,35 @@
         since: Revision,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        self.reach()?;
+        self.check_available()?;
         let fault = self.watch_faults.borrow_mut().pop_front();
-        if fault == Some(WatchFault::Cut) {
-            return Err(StoreError::Unknown("cut".to_owned()));
+        if fault == Some(WatchFault::Interrupted) {
+            return Err(StoreError::Unknown("interrupted".to_owned()));
         }
-        if fault == Some(WatchFault::Deaf) {
+        if fault == Some(WatchFault::Hanging) {
             futures_lite::future::pending::<()>().await;
         }
-        if since < self.floor.get() {
+        if since < self.compacted_at.get() {
             return Err(StoreError::HistoryGone);
         }
-        let step = Duration::from_millis(5);
-        for _ in 0..wait.as_millis() / step.as_millis() {
+        let poll_interval = Duration::from_millis(5);
+        for _ in 0..wait.as_millis() / poll_interval.as_millis() {
             let changes = self.changes_since(kind, since);
-            if !changes.is_empty() && !self.muted.get() {
-                if since < self.floor.get() {
+            if !changes.is_empty() && !self.changes_suppressed.get() {
+                if since < self.compacted_at.get() {
                     return Err(StoreError::HistoryGone);
                 }
                 return Ok(Changes { changes, at: self.revision.get() });
             }
-            Timer::after(step).await;
+            Timer::after(poll_interval).await;
         }
         Ok(Changes { changes: Vec::new(), at: self.revision.get() })
     }
 
     async fn create(&self, kind: &str, name: &str, content: Value) -> Result<Object, StoreError> {
-        let made = self.write(kind, name, content, None);
-        Timer::after(self.answer_delay.get()).await;
-        made
+        let created = self.write(kind, name, content, None);
+        Timer::after(self.response_delay.get()).await;
+        created
     }
 
     async fn replace(
@@ -263,17 +274,17 @@
         status: Value,
         _condition: Condition,
     ) -> Result<Object, StoreError> {
-        self.reach()?;
+        self.check_available()?;
         let object = self.object(kind, name).ok_or(StoreError::NotFound)?;
         Ok(self.set(kind, name, object.content, status))
     }
 
     async fn probe(&self) -> Result<(), StoreError> {
-        self.reach()
+        self.check_available()
     }
 
     async fn remove(&self, kind: &str, name: &str) -> Result<(), StoreError> {
-        self.reach()?;
+        self.check_available()?;
         self.objects.borrow_mut().remove(&(kind.to_owned(), name.to_owned()));
         Ok(())
     }
--- a/crates/heronbend-gateway/tests/support/mod.rs
+++ b/crates/heronbend-gateway/tests/support/mod.rs
@@ -1,9 +1,8 @@
-//! Values for tests, and the second implementation of the ports: a store in memory and the
-//! service's own spelling.
+//! Test fixtures, and implementations of the ports: an in-memory store and a JSON dialect.
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
+pub mod json_dialect;
 pub mod memory_store;
-pub mod own_dialect;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,9 +19,10 @@
 use heronbend_gateway::ports::Ports;
 use smol::LocalExecutor;
 
+use self::json_dialect::JsonDialect;
 use self::memory_store::MemoryStore;
-use self::own_dialect::OwnDialect;
 
+/// A route to the service `app`.
 pub fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.to_owned(),
@@ -43,6 +43,7 @@
     }
 }
 
+/// A ready server on an address that is not expected to be reached.
 pub fn server(id: &str, service: &str) -> Server {
     Server {
         id: id.to_owned(),
@@ -87,6 +88,7 @@
     }
 }
 
+/// A batch item of at most 500 tokens.
 pub fn item(id: &str, expected_tokens: Option<u64>) -> Item {
     Item {
         id: id.to_owned(),
@@ -100,6 +102,7 @@
     }
 }
 
+/// A job with items named `item-0`, `item-1` and so on.
 pub fn job(id: &str, items: usize) -> JobSpecification {
     JobSpecification {
         id: id.to_owned(),
@@ -137,19 +140,19 @@
     },
 };
 
-/// A daemon's state over a store that several may share.
+/// Creates a gateway on `store`, which several gateways may share.
 pub fn gateway(
     name: &str,
     store: &Rc<MemoryStore>,
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Rc<Gateway> {
     let identity = Identity { node: node(name), zone: "z".to_owned(), region: "r".to_owned() };
-    let dialect = Rc::new(OwnDialect::default());
+    let dialect = Rc::new(JsonDialect::default());
     let ports = Ports { store: store.clone(), dialect, provider: None };
     Gateway::new(identity, ports, executor.clone(), TUNING)
 }
 
-/// The same, by a clock that jumps.
+/// Like [`gateway`], but with a given clock.
 pub fn gateway_with_clock(
     name: &str,
     store: &Rc<MemoryStore>,
@@ -157,12 +160,12 @@
     clock: Clock,
 ) -> Rc<Gateway> {
     let identity = Identity { node: node(name), zone: "z".to_owned(), region: "r".to_owned() };
-    let dialect = Rc::new(OwnDialect::default());
+    let dialect = Rc::new(JsonDialect::default());
     let ports = Ports { store: store.clone(), dialect, provider: None };
     Gateway::with_clock(identity, ports, executor.clone(), TUNING, clock)
 }
 
-/// Runs a test's future, with all tasks that it spawns.
+/// Runs a test to completion on a local executor.
 pub fn run<T>(
     test: impl FnOnce(Rc<LocalExecutor<'static>>) -> futures_lite::future::BoxedLocal<T>,
 ) -> T {
@@ -170,7 +173,11 @@
     smol::block_on(executor.run(test(executor.clone())))
 }
 
-/// Waits for a condition; a test that waits too long fails.
+/// Polls `condition` until it holds.
+///
+/// # Panics
+///
+/// Panics with `what` if the condition does not hold within 30 s.
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     for _ in 0..3000 {
         if condition() {
@@ -178,5 +185,5 @@
         }
         smol::Timer::after(Duration::from_millis(10)).await;
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/heronbend-gateway/tests/view_log.rs
+++ b/crates/heronbend-gateway/tests/view_log.rs
@@ -1,4 +1,4 @@
-//! The account of what is believed of the other daemons stays small however many change.
+//! The log of membership changes stays small under many changes.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::node;
 
 #[test]
-fn a_thousand_changes_of_one_second_are_one_short_line() {
+fn many_changes_within_a_second_are_logged_in_one_line() {
     let mut log = ViewLog::default();
     let mut lines = Vec::new();
     for number in 0..1000_u32 {
@@ -24,5 +24,5 @@
     assert!(lines[0].contains("changes=1 ") && lines[0].contains("lost=n0#1:Dead"), "{}", lines[0]);
     assert!(lines[1].contains("changes=999 to_alive=500 to_suspect=0 to_lost=499"), "{}", lines[1]);
     assert!(lines[1].ends_with("alive_now=17") && lines[1].len() < 300, "{}", lines[1]);
-    assert_eq!(log.line(Duration::from_secs(20), 17), None, "nothing has changed");
+    assert_eq!(log.line(Duration::from_secs(20), 17), None, "no changes");
 }
