--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -77,7 +77,7 @@
         head: ControlVersions { settings_revision: 11, shard_epochs: 0 },
         rumours: vec![GossipUpdate::Member(member(node("front-2"), Liveness::Suspect))],
     };
-    let order = Hint::OrderTaken {
+    let command = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
         server: "i-7".to_owned(),
         model: "m".to_owned(),
@@ -94,7 +94,7 @@
     };
     vec![
         ("gossip", Datagram::Gossip(gossip)),
-        ("order_taken", Datagram::Hint(order)),
+        ("order_taken", Datagram::Hint(command)),
         ("lease_renewed", Datagram::Hint(renewed)),
         ("job_owned", Datagram::Hint(owned)),
         ("usage_counted", Datagram::Hint(counted)),
@@ -171,7 +171,7 @@
     ]
 }
 
-fn news() -> News {
+fn update() -> News {
     News {
         is_whole: false,
         objects: vec![Rc::new(EncodedObject::from(&object()))],
@@ -195,7 +195,7 @@
         let decoded: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
         assert_eq!(decoded, reply, "{name}");
     }
-    assert_eq!(packed_news::unpack(&sample("packed_news")).unwrap(), news());
+    assert_eq!(packed_news::unpack(&sample("packed_news")).unwrap(), update());
 }
 
 #[test]
@@ -237,11 +237,11 @@
 
 #[test]
 fn the_previous_build_ignores_added_fields() {
-    let news_reply = PeerReply::News { packed: vec![1, 2, 3], age_millis: 700 };
-    let bytes = musli::wire::to_vec(&news_reply).unwrap();
+    let reply = PeerReply::News { packed: vec![1, 2, 3], age_millis: 700 };
+    let bytes = musli::wire::to_vec(&reply).unwrap();
     let decoded: previous::Reply = musli::wire::from_slice(&bytes).unwrap();
     assert_eq!(decoded, previous::Reply::News { packed: vec![1, 2, 3] });
-    let order = Hint::OrderTaken {
+    let command = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
         server: "i-7".to_owned(),
         model: "m".to_owned(),
@@ -249,7 +249,7 @@
         incarnation: Incarnation(1_796_000_000_000),
     };
     let decoded: previous::PreviousHint =
-        musli::wire::from_slice(&musli::wire::to_vec(&order).unwrap()).unwrap();
+        musli::wire::from_slice(&musli::wire::to_vec(&command).unwrap()).unwrap();
     let previous::PreviousHint::OrderTaken { version, .. } = decoded;
     assert_eq!(version, 3);
 }
@@ -262,9 +262,9 @@
     #[rustfmt::skip]
     enum Newer {
         A, B, C, D, E, F, G, H, I, J, K, L, M, N, O, P,
-        Unknown { of: String },
+        Unheard { of: String },
     }
-    let bytes = musli::wire::to_vec(&Newer::Unknown { of: "x".to_owned() }).unwrap();
+    let bytes = musli::wire::to_vec(&Newer::Unheard { of: "x".to_owned() }).unwrap();
     assert!(musli::wire::from_slice::<PeerRequest>(&bytes).is_err());
     assert!(musli::wire::from_slice::<Datagram>(&bytes).is_err());
 }
--- a/crates/heronbend-gateway/tests/directory.rs
+++ b/crates/heronbend-gateway/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The servers that are listed, and those that start again under the name that they had.
+//! The server directory: restarts of servers under the same name, and removals.
 
 mod support;
 
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn a_server_that_starts_again_is_believed_nothing_of_its_former_run() {
+fn state_of_the_previous_run_is_reset_when_a_server_restarts() {
     let mut directory = Directory::new(SEED);
     assert_eq!(directory.insert(SECOND, run(1, 7)), Run::Same);
-    let former = directory.placer.request_started(SECOND, "e").unwrap();
+    let previous_run = directory.placer.request_started(SECOND, "e").unwrap();
     directory.placer.record_load_command(SECOND, "e", "m", 8);
     for _ in 0..3 {
         directory.placer.record_outcome(SECOND, "e", AttemptOutcome::Failed);
@@ -44,18 +44,18 @@
     assert_eq!(placer.in_flight("e"), 0);
     assert!(!placer.is_in_backoff(2 * SECOND, "e"));
     assert_eq!(placer.pending_load(2 * SECOND, "e"), None);
-    // What ran at the former run ends there, and not at the one that is listed now.
-    let present = placer.request_started(2 * SECOND, "e").unwrap();
-    assert_ne!(present, former);
-    placer.request_finished(2 * SECOND, former, AttemptOutcome::Failed);
+    // Requests of the previous run do not count against the new one.
+    let current_run = placer.request_started(2 * SECOND, "e").unwrap();
+    assert_ne!(current_run, previous_run);
+    placer.request_finished(2 * SECOND, previous_run, AttemptOutcome::Failed);
     assert_eq!(placer.in_flight("e"), 1);
-    assert_eq!(directory.chosen(former), None);
-    assert_eq!(directory.chosen(present).unwrap().incarnation, Incarnation(2));
+    assert_eq!(directory.chosen(previous_run), None);
+    assert_eq!(directory.chosen(current_run).unwrap().incarnation, Incarnation(2));
     assert_eq!(version(&directory), 1);
 }
 
 #[test]
-fn an_entry_of_an_earlier_run_never_wins() {
+fn registrations_of_an_older_run_are_ignored() {
     let mut directory = Directory::new(SEED);
     directory.insert(SECOND, run(2, 1));
     assert_eq!(directory.insert(SECOND, run(1, 9)), Run::Earlier);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn servers_that_do_not_tell_their_runs_are_one_run_by_their_name() {
+fn servers_without_an_incarnation_keep_one_run() {
     let mut directory = Directory::new(SEED);
     directory.insert(SECOND, run(0, 1));
     let key = directory.placer.key("e");
@@ -73,9 +73,9 @@
     assert_eq!(directory.placer.key("e"), key);
 }
 
-/// A release of a whole service: each entry goes, and one of another name comes.
+/// Models a rolling release, in which every server is replaced by one with a new name.
 #[test]
-fn what_is_kept_of_servers_that_left_does_not_grow_with_how_many_leave() {
+fn removed_servers_are_forgotten() {
     let mut directory = Directory::new(SEED);
     for number in 0..2000_u64 {
         let now = SECOND + Duration::from_millis(number * 10);
@@ -84,12 +84,12 @@
             directory.remove(now, &format!("e{}", number - 100));
         }
     }
-    // Those that left in the last 1.2 s may serve on.
-    let left = (0..1900).filter(|number| directory.placer.key(&format!("e{number}")).is_some());
-    assert!((100..=130).contains(&left.count()));
+    // Servers removed less than 1.2 s ago are within the grace period.
+    let retained = (0..1900).filter(|number| directory.placer.key(&format!("e{number}")).is_some());
+    assert!((100..=130).contains(&retained.count()));
     let service = directory.placer.service("engines");
-    let need = Requirements { service, model: None, allowed_regions: None };
-    assert_eq!(directory.placer.eligible_servers(21 * SECOND, &need).len(), 100);
+    let requirements = Requirements { service, model: None, allowed_regions: None };
+    assert_eq!(directory.placer.eligible_servers(21 * SECOND, &requirements).len(), 100);
     directory.retain(30 * SECOND, &BTreeSet::from(["e1999".to_owned()]));
-    assert_eq!(directory.placer.eligible_servers(30 * SECOND, &need).len(), 1);
+    assert_eq!(directory.placer.eligible_servers(30 * SECOND, &requirements).len(), 1);
 }
--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! News of the store by way of peers.
+//! Dissemination of store changes through peers.
 
 mod support;
 
@@ -35,29 +35,32 @@
 }
 
 #[test]
-fn a_follower_gets_what_changed_since_it_was_told_and_nothing_else() {
+fn a_follower_gets_the_changes_since_its_revision() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let whole = replica.since(0, Unchecked).unwrap();
-    assert!(whole.is_whole);
-    assert_eq!((names(&whole.objects), whole.at), (vec!["a", "b"], 2));
+    let full = replica.since(0, Unchecked).unwrap();
+    assert!(full.is_whole);
+    assert_eq!((names(&full.objects), full.at), (vec!["a", "b"], 2));
     assert_eq!(replica.since(2, Unchecked), None);
     replica.apply(&[set("c", 4), Change::Removed("a".to_owned())], 5);
-    let news = replica.since(2, Unchecked).unwrap();
-    assert!(!news.is_whole);
-    assert_eq!((names(&news.objects), news.removed, news.at), (vec!["c"], vec!["a".to_owned()], 5));
-    // A follower that another watcher has told more gets nothing older.
+    let update = replica.since(2, Unchecked).unwrap();
+    assert!(!update.is_whole);
+    assert_eq!(
+        (names(&update.objects), update.removed, update.at),
+        (vec!["c"], vec!["a".to_owned()], 5)
+    );
+    // A follower that is ahead of this replica gets no update.
     assert_eq!(replica.since(6, Unchecked), None);
 }
 
 #[test]
-fn what_a_whole_state_takes_is_known_without_packing_it() {
+fn the_size_of_the_full_state_is_tracked() {
     let bytes = |objects: &[Rc<EncodedObject>]| objects.iter().map(|object| object.bytes()).sum();
     let mut replica = Replica::default();
     assert_eq!(replica.bytes(), 0);
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
     replica.apply(&[set("b", 1000), set("c", 1001), Change::Removed("a".to_owned())], 1002);
-    // One that is gone already, and one that is told again, change nothing.
+    // Duplicate changes have no effect.
     replica.apply(&[Change::Removed("a".to_owned()), set("c", 1001)], 1003);
     let expected: usize = bytes(&[listed("b", 1000), listed("c", 1001)]);
     assert_eq!(replica.bytes(), expected);
@@ -66,28 +69,28 @@
 }
 
 #[test]
-fn what_a_list_lacks_is_not_told_to_who_knew_it() {
+fn objects_missing_from_a_list_are_removed_from_followers() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
     replica.reset(&[listed("b", 2)], 9);
-    // All that there is: a follower drops whatever is not among it.
-    let news = replica.since(2, Unchecked).unwrap();
-    assert!(news.is_whole);
-    assert_eq!((names(&news.objects), news.at), (vec!["b"], 9));
+    // A full state, from which the follower drops all other objects.
+    let update = replica.since(2, Unchecked).unwrap();
+    assert!(update.is_whole);
+    assert_eq!((names(&update.objects), update.at), (vec!["b"], 9));
 }
 
 #[test]
-fn an_object_that_came_back_is_not_told_as_removed() {
+fn a_recreated_object_is_not_sent_as_removed() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1)], 1);
     replica.apply(&[Change::Removed("a".to_owned())], 2);
     replica.apply(&[set("a", 3)], 3);
-    let news = replica.since(1, Unchecked).unwrap();
-    assert_eq!((names(&news.objects), news.removed.len()), (vec!["a"], 0));
+    let update = replica.since(1, Unchecked).unwrap();
+    assert_eq!((names(&update.objects), update.removed.len()), (vec!["a"], 0));
 }
 
 #[test]
-fn a_follower_that_is_far_behind_gets_everything() {
+fn a_follower_that_is_far_behind_gets_the_full_state() {
     let mut replica = Replica::default();
     replica.reset(&[listed("kept", 1)], 1);
     for revision in 2..2000 {
@@ -98,98 +101,99 @@
 }
 
 #[test]
-fn a_list_that_is_older_than_what_is_known_is_not_told_to_those_who_know_more() {
+fn an_older_list_is_not_sent_to_followers_that_are_ahead() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1)], 8);
     replica.reset(&[listed("a", 1)], 4);
     assert_eq!(replica.since(8, Unchecked), None);
 }
 
-/// Those of a zone's daemons, all with the same processor, that watch the store for the others.
-fn watchers(zone: Vec<NodeId>) -> Vec<NodeId> {
+/// The tree roots among a zone's daemons, all with the same CPU limit: these watch the store.
+fn roots(zone: Vec<NodeId>) -> Vec<NodeId> {
     let candidate = |node| Candidate { node, processor_millis: 120 };
     Tree::new(zone.into_iter().map(candidate).collect()).roots().to_vec()
 }
 
 #[test]
-fn two_daemons_of_a_large_zone_watch_and_all_of_a_small_one() {
+fn a_large_zone_has_two_roots_and_a_small_zone_only_roots() {
     let mut large: Vec<NodeId> = (0..9).map(|n| node(&format!("l{n}"))).collect();
     let small: Vec<NodeId> = (0..3).map(|n| node(&format!("s{n}"))).collect();
-    assert_eq!(watchers(small).len(), 3);
-    let chosen = watchers(large.clone());
-    assert_eq!(chosen.len(), 2);
-    // All daemons agree, in whatever order they know each other.
+    assert_eq!(roots(small).len(), 3);
+    let selected = roots(large.clone());
+    assert_eq!(selected.len(), 2);
+    // The selection does not depend on the order of the candidates.
     large.reverse();
-    assert_eq!(watchers(large.clone()), chosen);
-    // One that is lost is replaced, and the other goes on.
-    large.retain(|node| *node != chosen[0]);
-    let after = watchers(large);
-    assert_eq!((after.len(), &after[0]), (2, &chosen[1]));
+    assert_eq!(roots(large.clone()), selected);
+    // A lost root is replaced, and the other one stays.
+    large.retain(|node| *node != selected[0]);
+    let remaining = roots(large);
+    assert_eq!((remaining.len(), &remaining[0]), (2, &selected[1]));
 }
 
 #[test]
-fn who_was_told_of_an_object_by_another_hears_of_its_removal_from_one_that_never_knew_it() {
-    let mut late = Replica::default();
-    // The object was made at 1 and removed at 2; this daemon lists only then.
-    late.reset(&[listed("b", 3)], 3);
-    let news = late.since(1, Unchecked).unwrap();
-    assert!(news.is_whole, "changes cannot tell of removals before the list");
-    // The same where it lists again after a gap in what it heard.
-    late.reset(&[listed("b", 3), listed("c", 9)], 9);
-    assert!(late.since(5, Unchecked).unwrap().is_whole);
-    late.apply(&[Change::Removed("c".to_owned())], 10);
-    let news = late.since(9, Unchecked).unwrap();
-    assert_eq!((news.is_whole, news.removed), (false, vec!["c".to_owned()]));
+fn removals_reach_followers_from_an_upstream_that_never_held_the_object() {
+    let mut replica = Replica::default();
+    // An object was created at 1 and removed at 2, before this replica's list.
+    replica.reset(&[listed("b", 3)], 3);
+    let update = replica.since(1, Unchecked).unwrap();
+    assert!(update.is_whole, "removals before the list are unknown");
+    // The same after another list that follows a gap in the history.
+    replica.reset(&[listed("b", 3), listed("c", 9)], 9);
+    assert!(replica.since(5, Unchecked).unwrap().is_whole);
+    replica.apply(&[Change::Removed("c".to_owned())], 10);
+    let update = replica.since(9, Unchecked).unwrap();
+    assert_eq!((update.is_whole, update.removed), (false, vec!["c".to_owned()]));
 }
 
 #[test]
-fn followers_are_shared_out_among_the_first_two_watchers_and_know_the_others() {
+fn followers_are_balanced_between_the_first_two_upstreams() {
     let upstreams = [node("w1"), node("w2"), node("w3")];
     let mut first = [0; 2];
     for number in 0..200 {
         let order = own_order(&node(&format!("front-{number}")), &upstreams);
         assert_eq!(order[2], upstreams[2]);
-        let place = upstreams.iter().position(|watcher| *watcher == order[0]).expect("one of them");
-        first[place] += 1;
+        let index =
+            upstreams.iter().position(|upstream| *upstream == order[0]).expect("one of them");
+        first[index] += 1;
     }
     assert!(first.iter().all(|followers| (70..=130).contains(followers)), "{first:?}");
-    let alone = [node("w1")];
-    assert_eq!(own_order(&node("front-1"), &alone), alone);
+    let single = [node("w1")];
+    assert_eq!(own_order(&node("front-1"), &single), single);
 }
 
 #[test]
-fn who_checks_what_it_is_told_gets_the_changes_of_a_list_and_finds_what_it_missed() {
-    let mut known = Replica::default();
-    known.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let mut follower = known.clone();
-    // The daemon that tells lists anew, as when the store has dropped its history.
-    known.reset(&[listed("b", 2), listed("c", 8)], 9);
-    let news = known.since(2, ByDigest).unwrap();
-    assert!(!news.is_whole);
-    assert_eq!((names(&news.objects), &news.removed), (vec!["c"], &vec!["a".to_owned()]));
-    assert!(follower.accepts(&news));
-    // Another daemon told of an object that came and went before the list.
+fn a_verifying_follower_gets_changes_and_detects_missed_ones() {
+    let mut upstream = Replica::default();
+    upstream.reset(&[listed("a", 1), listed("b", 2)], 2);
+    let mut follower = upstream.clone();
+    // The upstream lists again, as after the store compacted its history.
+    upstream.reset(&[listed("b", 2), listed("c", 8)], 9);
+    let update = upstream.since(2, ByDigest).unwrap();
+    assert!(!update.is_whole);
+    assert_eq!((names(&update.objects), &update.removed), (vec!["c"], &vec!["a".to_owned()]));
+    assert!(follower.accepts(&update));
+    // Another upstream sent an object that was created and removed before the list.
     follower.apply(&[set("x", 4)], 4);
-    let news = known.since(4, ByDigest).unwrap();
-    assert!(!news.is_whole && !follower.accepts(&news));
-    assert!(known.since(0, ByDigest).unwrap().is_whole);
+    let update = upstream.since(4, ByDigest).unwrap();
+    assert!(!update.is_whole && !follower.accepts(&update));
+    assert!(upstream.since(0, ByDigest).unwrap().is_whole);
 }
 
-/// Servers of a fleet of 985 machines, and of one of twice the size, of which a zone's part is replaced.
+/// Replaces a fifth of the servers, at the size of the largest fleet and twice that.
 #[test]
-fn a_release_among_thousands_of_servers_is_told_as_changes() {
+fn a_release_of_a_large_fleet_is_sent_as_changes() {
     for servers in [9_999_u64, 19_998] {
         let name = |number: u64| format!("i-{number:05}");
         let all: Vec<_> = (0..servers).map(|number| listed(&name(number), 1)).collect();
-        let mut known = Replica::default();
-        known.reset(&all, 1);
+        let mut upstream = Replica::default();
+        upstream.reset(&all, 1);
         for number in 0..servers / 5 {
-            let made = set(&name(servers + number), number + 2);
-            known.apply(&[Change::Removed(name(number)), made], number + 2);
+            let created = set(&name(servers + number), number + 2);
+            upstream.apply(&[Change::Removed(name(number)), created], number + 2);
         }
-        let news = known.since(1, ByDigest).unwrap();
-        assert!(!news.is_whole, "of {servers} servers");
-        assert_eq!(news.removed.len() as u64, servers / 5);
-        assert_eq!(news.objects.len() as u64, servers / 5);
+        let update = upstream.since(1, ByDigest).unwrap();
+        assert!(!update.is_whole, "of {servers} servers");
+        assert_eq!(update.removed.len() as u64, servers / 5);
+        assert_eq!(update.objects.len() as u64, servers / 5);
     }
 }
--- a/crates/heronbend-gateway/tests/memory_of_servers.rs
+++ b/crates/heronbend-gateway/tests/memory_of_servers.rs
@@ -1,4 +1,4 @@
-//! What a daemon holds in memory of each listed server, counted by the allocator.
+//! Memory used per registered server, as counted by the allocator.
 
 mod support;
 
@@ -24,20 +24,19 @@
 const SEED: u64 = 5;
 const NOW: Duration = Duration::from_secs(1);
 const MODELS: u64 = 8;
-/// Bytes that a daemon may take for what it does beside serving.
-const CONTROL_BYTES: usize = 128 << 20;
-/// Servers of twice the largest fleet.
-const MOST_SERVERS: usize = 20_000;
-/// The servers may take a quarter of what control may; the rest is for members, jobs and what is on its
-/// way.
-const MAX_BYTES_A_SERVER: usize = CONTROL_BYTES / 4 / MOST_SERVERS;
+/// Memory budget of the control plane state of a daemon.
+const CONTROL_PLANE_BYTES: usize = 128 << 20;
+/// Number of servers in twice the largest supported fleet.
+const MAX_SERVERS: usize = 20_000;
+/// Servers may use a quarter of the budget.
+const MAX_BYTES_PER_SERVER: usize = CONTROL_PLANE_BYTES / 4 / MAX_SERVERS;
 
 fn name(number: usize) -> String {
     format!("i-{number:08x}")
 }
 
-/// A server that follows one model of eight, at one of two versions.
-fn entry(number: usize) -> Server {
+/// A server that follows one of the models, at one of two versions.
+fn server_with_models(number: usize) -> Server {
     let follows = number as u64 % MODELS;
     let version = |model| if model == follows { 7 + (number as u64 / MODELS) % 2 } else { 1 };
     let models: BTreeMap<String, u64> =
@@ -59,35 +58,35 @@
     }
 }
 
-/// Bytes that are held of each server once so many are listed.
-fn bytes_a_server(servers: usize) -> usize {
+/// Returns the memory used per server with `servers` servers registered.
+fn bytes_per_server(servers: usize) -> usize {
     let before = ALLOCATOR.allocated();
     let mut directory = Directory::new(SEED);
     let mut replica = Replica::default();
     for number in 0..servers {
-        directory.insert(NOW, entry(number));
+        directory.insert(NOW, server_with_models(number));
     }
     let objects: Vec<Rc<EncodedObject>> =
         (0..servers).map(|number| Rc::new((&object(number)).into())).collect();
     replica.reset(&objects, 1);
     drop(objects);
-    let held = (ALLOCATOR.allocated() - before) / servers;
+    let bytes = (ALLOCATOR.allocated() - before) / servers;
     assert_eq!((directory.all().count(), replica.objects().count()), (servers, servers));
-    held
+    bytes
 }
 
-/// One test for all sizes: the allocator counts what others do at the same time as well.
+/// A single test, because the allocator also counts allocations of concurrent tests.
 #[test]
-fn what_is_held_of_a_server_is_bounded_at_the_size_of_the_largest_fleet_and_twice_that() {
-    for servers in [MOST_SERVERS / 2, MOST_SERVERS] {
-        let held = bytes_a_server(servers);
-        println!("servers={servers} bytes_a_server={held}");
-        assert!(held <= MAX_BYTES_A_SERVER, "{held} bytes a server of {servers}");
+fn memory_per_server_is_bounded() {
+    for servers in [MAX_SERVERS / 2, MAX_SERVERS] {
+        let bytes = bytes_per_server(servers);
+        println!("servers={servers} bytes_a_server={bytes}");
+        assert!(bytes <= MAX_BYTES_PER_SERVER, "{bytes} bytes a server of {servers}");
     }
-    equal_values_are_held_once_and_those_of_nobody_are_dropped();
+    equal_values_are_shared_and_unused_ones_dropped();
 }
 
-fn equal_values_are_held_once_and_those_of_nobody_are_dropped() {
+fn equal_values_are_shared_and_unused_ones_dropped() {
     let mut pool = Pool::default();
     let first = pool.share(Rc::new(0));
     assert!(Rc::ptr_eq(&first, &pool.share(Rc::new(0))));
--- a/crates/heronbend-gateway/tests/packed_news.rs
+++ b/crates/heronbend-gateway/tests/packed_news.rs
@@ -1,4 +1,4 @@
-//! News as it travels between daemons.
+//! Encoding of updates sent between daemons.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use serde_json::json;
 use serde_json::Value;
 
-fn entries(count: u32) -> News {
+fn registrations(count: u32) -> News {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut object = |number: u32| {
         EncodedObject::from(&Object {
@@ -37,49 +37,49 @@
 }
 
 #[test]
-fn news_come_out_as_they_went_in() {
-    let news = entries(40);
-    assert_eq!(unpack(&pack(&news).expect("packed")).expect("unpacked"), news);
+fn updates_round_trip() {
+    let update = registrations(40);
+    assert_eq!(unpack(&pack(&update).expect("encoded")).expect("decoded"), update);
 }
 
 #[test]
-fn entries_of_servers_take_a_small_part_of_their_bytes() {
-    let news = entries(1000);
-    let contents = news.objects.iter().map(|object| object.decode().expect("an object").content);
-    let plain: usize = contents.map(|content| content.to_string().len()).sum();
-    let packed = pack(&news).expect("packed").len();
-    println!("{plain} bytes of contents, {packed} bytes packed");
-    assert!(packed * 5 < plain);
+fn server_registrations_compress_well() {
+    let update = registrations(1000);
+    let contents = update.objects.iter().map(|object| object.decode().expect("an object").content);
+    let uncompressed: usize = contents.map(|content| content.to_string().len()).sum();
+    let encoded = pack(&update).expect("encoded").len();
+    println!("{uncompressed} bytes of contents, {encoded} bytes encoded");
+    assert!(encoded * 5 < uncompressed);
 }
 
 #[test]
-fn what_is_cut_or_spoilt_is_an_error() {
-    let packed = pack(&entries(20)).expect("packed");
-    assert!(unpack(&packed[..packed.len() / 2]).is_err());
+fn truncated_or_corrupt_input_is_an_error() {
+    let encoded = pack(&registrations(20)).expect("encoded");
+    assert!(unpack(&encoded[..encoded.len() / 2]).is_err());
     assert!(unpack(&[]).is_err());
-    let mut spoilt = packed;
-    spoilt[0] ^= 0xff;
-    assert!(unpack(&spoilt).is_err());
+    let mut corrupt = encoded;
+    corrupt[0] ^= 0xff;
+    assert!(unpack(&corrupt).is_err());
 }
 
 #[test]
-fn followers_that_ask_from_the_same_revision_share_one_text() {
-    let texts = Texts::default();
-    let made = Cell::new(0);
+fn followers_at_the_same_revision_share_one_encoding() {
+    let cache = Texts::default();
+    let encodings = Cell::new(0);
     let get = |since, at| {
         let pack = || {
-            made.set(made.get() + 1);
+            encodings.set(encodings.get() + 1);
             Ok(vec![since as u8, at as u8])
         };
         let span = Span { since, at, checking: Checking::ByDigest };
-        texts.get("servers", span, pack).expect("a text").to_vec()
+        cache.get("servers", span, pack).expect("an encoded update").to_vec()
     };
     for _ in 0..100 {
         assert_eq!(get(3, 9), [3, 9]);
     }
-    assert_eq!(made.get(), 1);
+    assert_eq!(encodings.get(), 1);
     assert_eq!(get(4, 9), [4, 9]);
     assert_eq!(get(4, 10), [4, 10]);
     assert_eq!(get(3, 9), [3, 9]);
-    assert_eq!(made.get(), 4);
+    assert_eq!(encodings.get(), 4);
 }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end their servers, as one daemon records them at the store.
+//! Quarantine of requests that crash servers, and their records in the store.
 
 mod support;
 
@@ -29,7 +29,7 @@
 use support::run;
 use support::wait_until;
 
-/// An address at which nothing listens.
+/// An address on which nothing listens.
 fn dead_address() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     listener.local_addr().unwrap()
@@ -70,138 +70,140 @@
     quarantine::admit(gateway, fingerprint).await
 }
 
-/// Servers end under a request.
-fn end_servers(gateway: &Rc<Gateway>, count: usize) {
+/// Simulates the crash of `count` servers while they run the request.
+fn crash_servers(gateway: &Rc<Gateway>, count: usize) {
     for number in 0..count {
         evidence::note_break(gateway, &server(&format!("s{number}")), &outgoing(), 0);
     }
 }
 
-/// Another daemon tells that servers ended under the request.
-fn learn_endings(gateway: &Rc<Gateway>, servers: &[&str]) {
+/// Merges a report of another daemon that `servers` crashed while they ran the request.
+fn merge_crash_reports(gateway: &Rc<Gateway>, servers: &[&str]) {
     let request = outgoing().fingerprint(gateway.dialect.headers());
-    let ending = |server: &&str| Crash { server: (*server).to_owned(), is_excused: false };
-    let endings = servers.iter().map(ending).collect();
+    let crash = |server: &&str| Crash { server: (*server).to_owned(), is_excused: false };
+    let endings = servers.iter().map(crash).collect();
     news::learn(gateway, vec![Report { request, endings }]);
 }
 
-fn record_of(store: &MemoryStore, gateway: &Gateway) -> bool {
+fn has_record(store: &MemoryStore, gateway: &Gateway) -> bool {
     let name = outgoing().fingerprint(gateway.dialect.headers()).to_string();
     store.object(record::KIND, &name).is_some()
 }
 
-/// The watch told of the record before the answer to its writing came, and the daemon took its own
-/// record for one that is no longer wanted and removed it: the log showed `request_released` half a
-/// second after `quarantine_recorded`, and the request went to servers again.
+/// Guards against the removal of a record whose watch event arrives before the response to its write.
 #[test]
-fn a_record_that_the_watch_tells_of_before_its_writing_is_answered_stays() {
+fn a_record_is_kept_if_its_watch_event_precedes_the_write_response() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             executor.spawn(record::follow(gateway.clone())).detach();
             store.delay_responses(Duration::from_millis(400));
-            end_servers(&gateway, 3);
-            wait_until("it is recorded", || record_of(&store, &gateway)).await;
+            crash_servers(&gateway, 3);
+            wait_until("the record is written", || has_record(&store, &gateway)).await;
             Timer::after(Duration::from_millis(900)).await;
-            assert!(record_of(&store, &gateway));
+            assert!(has_record(&store, &gateway));
             assert!(admit(&gateway).await.is_err());
         })
     });
 }
 
 #[test]
-fn a_record_is_written_however_often_the_store_fails() {
+fn a_failed_record_write_is_retried() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Rejected, WriteFault::ResponseLost]);
-            end_servers(&gateway, 3);
-            wait_until("it is refused", || gateway.metrics.requests_quarantined.get() == 1).await;
-            wait_until("it is recorded", || record_of(&store, &gateway)).await;
+            crash_servers(&gateway, 3);
+            wait_until("the request is quarantined", || {
+                gateway.metrics.requests_quarantined.get() == 1
+            })
+            .await;
+            wait_until("the record is written", || has_record(&store, &gateway)).await;
         })
     });
 }
 
 #[test]
-fn a_whole_answer_clears_a_request_and_removes_its_record() {
+fn a_complete_response_releases_a_request_and_removes_its_record() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             executor.spawn(record::follow(gateway.clone())).detach();
-            end_servers(&gateway, 3);
-            wait_until("it is recorded", || record_of(&store, &gateway)).await;
+            crash_servers(&gateway, 3);
+            wait_until("the record is written", || has_record(&store, &gateway)).await;
             quarantine::note_answer(&gateway, &outgoing(), StatusCode::OK);
             assert_eq!(admit(&gateway).await, Ok(Pass::Free));
-            wait_until("its record is gone", || !record_of(&store, &gateway)).await;
+            wait_until("the record is removed", || !has_record(&store, &gateway)).await;
         })
     });
 }
 
 #[test]
-fn two_endings_do_not_quarantine_a_request() {
+fn two_crashes_do_not_quarantine_a_request() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            end_servers(&gateway, 2);
-            wait_until("both are found gone", || gateway.metrics.servers_ended.get() == 2).await;
+            crash_servers(&gateway, 2);
+            wait_until("both crashes are detected", || gateway.metrics.servers_ended.get() == 2)
+                .await;
             assert_eq!(admit(&gateway).await, Ok(Pass::Alone));
         })
     });
 }
 
-/// A daemon that had seen two endings was told of two others by one that had never heard of the first:
-/// it alone knew all four, told nobody, and the request ended two more servers at the others in the 1.5 s
-/// until one of them had seen three.
+/// Guards against a quarantine that is neither recorded nor announced because its crashes were observed
+/// by different daemons.
 #[test]
-fn a_daemon_whose_own_endings_complete_those_of_another_records_the_request() {
+fn own_crashes_and_those_of_another_daemon_add_up() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            end_servers(&gateway, 2);
-            wait_until("both are found gone", || gateway.metrics.servers_ended.get() == 2).await;
-            learn_endings(&gateway, &["other"]);
+            crash_servers(&gateway, 2);
+            wait_until("both crashes are detected", || gateway.metrics.servers_ended.get() == 2)
+                .await;
+            merge_crash_reports(&gateway, &["other"]);
             assert!(admit(&gateway).await.is_err());
-            wait_until("it is recorded", || record_of(&store, &gateway)).await;
+            wait_until("the record is written", || has_record(&store, &gateway)).await;
         })
     });
 }
 
-/// Whoever saw none of the endings leaves that to those who did: a fleet would write at once.
+/// Only daemons that observed a crash write the record, so that a fleet does not write all at once.
 #[test]
-fn a_daemon_that_saw_no_ending_records_nothing() {
+fn a_daemon_that_observed_no_crash_writes_no_record() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            learn_endings(&gateway, &["s0", "s1", "s2"]);
+            merge_crash_reports(&gateway, &["s0", "s1", "s2"]);
             assert!(admit(&gateway).await.is_err());
             Timer::after(Duration::from_millis(500)).await;
-            assert!(!record_of(&store, &gateway));
+            assert!(!has_record(&store, &gateway));
         })
     });
 }
 
-/// A server that fails at all it gets, or that sheds load, answers without having run the request: such
-/// an answer to one that had ended three servers let it end three more.
+/// Guards against the release of a request by a response that a failing or overloaded server sent
+/// without running it.
 #[test]
-fn an_answer_that_does_not_show_that_the_request_was_run_clears_nothing() {
+fn responses_without_execution_do_not_release_a_request() {
     run(|executor| {
         Box::pin(async move {
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
-            end_servers(&gateway, 3);
-            wait_until("it is recorded", || record_of(&store, &gateway)).await;
+            crash_servers(&gateway, 3);
+            wait_until("the record is written", || has_record(&store, &gateway)).await;
             for status in [500, 503, 504, 429, 421, 408] {
                 let status = StatusCode::from_u16(status).unwrap();
                 quarantine::note_answer(&gateway, &outgoing(), status);
                 assert!(admit(&gateway).await.is_err(), "{status}");
             }
-            // An error of the request's own does.
+            // A client error shows that the server processed the request.
             quarantine::note_answer(&gateway, &outgoing(), StatusCode::UNPROCESSABLE_ENTITY);
             assert_eq!(admit(&gateway).await, Ok(Pass::Free));
         })
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -1,4 +1,4 @@
-//! What the service does at the store when answers are lost, late or refused.
+//! Behaviour of the gateway when store calls fail, hang, or lose their responses.
 
 mod support;
 
@@ -31,17 +31,17 @@
 use support::{gateway, job, result, run, wait_until};
 
 const KIND: &str = "things";
-const GATHERING: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_millis(700);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Runs a test over an empty store.
+/// Runs a test on an empty store.
 fn with_store<T>(
     test: impl FnOnce(Rc<MemoryStore>, Rc<LocalExecutor<'static>>) -> Pin<Box<dyn Future<Output = T>>>,
 ) -> T {
     run(|executor| test(Rc::new(MemoryStore::default()), executor))
 }
 
-/// Names of the objects that a mirror knows.
+/// Collects the names of the reflected objects.
 #[derive(Clone, Default)]
 struct Names(Rc<RefCell<Vec<String>>>);
 
@@ -53,7 +53,7 @@
 
 impl MirrorSink for Names {
     fn keep(&self, _names: &BTreeSet<String>) {
-        // All objects of the list follow as changes.
+        // The objects of the list follow as changes.
         self.0.borrow_mut().clear();
     }
 
@@ -66,29 +66,29 @@
     }
 }
 
-/// Mirrors a kind from the store.
-fn follow(
+/// Starts reflecting objects of a kind from the store into `names`.
+fn reflect(
     executor: &LocalExecutor<'static>,
     gateway: &Rc<Gateway>,
     kind: &'static str,
     names: &Names,
 ) {
-    let mirror = mirror::follow(gateway.clone(), kind, Source::Store, GATHERING, names.clone());
+    let mirror = mirror::follow(gateway.clone(), kind, Source::Store, BATCH_DELAY, names.clone());
     executor.spawn(mirror).detach();
 }
 
 #[test]
-fn a_watch_that_was_cut_misses_nothing_although_the_next_one_would_be_deaf() {
+fn an_interrupted_watch_lists_again_and_misses_no_change() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_watches(&[WatchFault::Interrupted]);
             store.suppress_changes();
             let names = Names::default();
-            follow(&executor, &gateway, KIND, &names);
-            wait_until("the watch has been cut", || store.calls.get() >= 2).await;
+            reflect(&executor, &gateway, KIND, &names);
+            wait_until("the watch is interrupted", || store.calls.get() >= 2).await;
             store.put(KIND, "missed", json!(1));
-            // A watch that was begun again from where the first one stood waits by now.
+            // Gives an incorrect restart from the old revision time to begin waiting.
             smol::Timer::after(Duration::from_millis(150)).await;
             store.compact_history();
             wait_until("the change is known", || names.contains("missed")).await;
@@ -99,34 +99,34 @@
 }
 
 #[test]
-fn a_deaf_watch_is_left_when_the_store_is_reached_again_by_another() {
+fn a_hanging_watch_is_restarted_when_another_call_reaches_the_store() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_watches(&[WatchFault::Hanging]);
-            let deaf = Names::default();
-            follow(&executor, &gateway, KIND, &deaf);
+            let hanging = Names::default();
+            reflect(&executor, &gateway, KIND, &hanging);
             smol::Timer::after(Duration::from_millis(30)).await;
             store.set_down(true);
             let other = Names::default();
-            follow(&executor, &gateway, "others", &other);
+            reflect(&executor, &gateway, "others", &other);
             let calls = store.calls.get();
             wait_until("several calls have failed", || store.calls.get() >= calls + 3).await;
             store.put(KIND, "missed", json!(1));
             store.set_down(false);
-            wait_until("the change is known", || deaf.contains("missed")).await;
+            wait_until("the change is known", || hanging.contains("missed")).await;
         })
     });
 }
 
 #[test]
-fn a_daemon_that_peers_are_ahead_of_lists_anew() {
+fn a_daemon_behind_its_peers_lists_again() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_watches(&[WatchFault::Hanging]);
             let names = Names::default();
-            follow(&executor, &gateway, KIND, &names);
+            reflect(&executor, &gateway, KIND, &names);
             smol::Timer::after(Duration::from_millis(30)).await;
             store.put(KIND, "missed", json!(1));
             gateway.watches_doubted.notify(usize::MAX);
@@ -136,41 +136,43 @@
 }
 
 #[test]
-fn a_job_whose_creation_is_in_doubt_is_never_said_not_to_run() {
+fn an_ambiguous_submission_is_not_reported_as_failed() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Delayed]);
             store.fail_writes(&[WriteFault::Rejected; 20]);
-            let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
-            assert_eq!(taken, Err(HandInError::Unknown));
+            let submitted =
+                hand_in::hand_in(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
+            assert_eq!(submitted, Err(HandInError::Unknown));
         })
     });
 }
 
 #[test]
-fn a_job_that_the_store_refused_throughout_is_said_not_to_run() {
+fn a_submission_that_the_store_rejects_is_unavailable() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Rejected; 20]);
-            let taken = hand_in::hand_in(&gateway, job("j", 2), gateway.now() + PATIENCE).await;
-            assert_eq!(taken, Err(HandInError::NotTaken));
+            let submitted =
+                hand_in::hand_in(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
+            assert_eq!(submitted, Err(HandInError::NotTaken));
             assert!(store.object(SPECIFICATIONS, "j").is_none());
         })
     });
 }
 
 #[test]
-fn a_job_is_taken_once_although_answers_were_lost() {
+fn a_retried_submission_keeps_its_owner_despite_lost_responses() {
     with_store(|store, executor| {
         Box::pin(async move {
             let first = gateway("a", &store, &executor);
             let second = gateway("b", &store, &executor);
             store.fail_writes(&[WriteFault::ResponseLost, WriteFault::ResponseLost]);
-            let patience = first.now() + Duration::from_secs(20);
-            assert_eq!(hand_in::hand_in(&first, job("j", 2), patience).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&second, job("j", 2), patience).await, Ok(()));
+            let deadline = first.now() + Duration::from_secs(20);
+            assert_eq!(hand_in::hand_in(&first, job("j", 2), deadline).await, Ok(()));
+            assert_eq!(hand_in::hand_in(&second, job("j", 2), deadline).await, Ok(()));
             let owner = second.jobs.get("j").unwrap().owner();
             assert_eq!(owner, first.identity.node);
         })
@@ -178,14 +180,14 @@
 }
 
 #[test]
-fn an_end_before_the_job_is_owned_keeps_it_from_ever_running() {
+fn a_job_ended_before_it_has_an_owner_never_runs() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
-            let patience = gateway.now() + PATIENCE;
-            assert_eq!(hand_in::end(&gateway, "j", &Caller::AuthDisabled, patience).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&gateway, job("j", 2), patience).await, Ok(()));
+            let deadline = gateway.now() + SUBMIT_TIMEOUT;
+            assert_eq!(hand_in::end(&gateway, "j", &Caller::AuthDisabled, deadline).await, Ok(()));
+            assert_eq!(hand_in::hand_in(&gateway, job("j", 2), deadline).await, Ok(()));
             assert!(gateway.jobs.get("j").unwrap().ended.get());
             assert_eq!(store.object(OWNERSHIPS, "j").unwrap().content["ended"], json!(true));
         })
@@ -193,14 +195,14 @@
 }
 
 #[test]
-fn two_daemons_that_run_one_job_never_list_an_item_twice() {
+fn concurrent_owners_commit_each_item_once() {
     with_store(|store, executor| {
         Box::pin(async move {
             let first = gateway("a", &store, &executor);
             let second = gateway("b", &store, &executor);
-            let patience = first.now() + PATIENCE;
-            hand_in::hand_in(&first, job("j", 6), patience).await.unwrap();
-            hand_in::hand_in(&second, job("j", 6), patience).await.unwrap();
+            let deadline = first.now() + SUBMIT_TIMEOUT;
+            hand_in::hand_in(&first, job("j", 6), deadline).await.unwrap();
+            hand_in::hand_in(&second, job("j", 6), deadline).await.unwrap();
             store.fail_writes(&[
                 WriteFault::ResponseLost,
                 WriteFault::Delayed,
@@ -216,31 +218,31 @@
                 }
             }
             let jobs = [first.jobs.get("j").unwrap(), second.jobs.get("j").unwrap()];
-            let all_written = |index: usize| {
+            let is_fully_written = |index: usize| {
                 store.apply_delayed_writes();
                 jobs[index].log.borrow().pending() == 0
             };
-            wait_until("the owner's results are written", || all_written(0)).await;
-            // What the second one still holds is appended once it owns the job.
+            wait_until("the owner's results are written", || is_fully_written(0)).await;
+            // The second daemon appends its pending results once it owns the job.
             ownership_duty::adopt(&second, &jobs[1], Reason::Silent).await;
-            wait_until("all is written", || all_written(1)).await;
+            wait_until("all results are written", || is_fully_written(1)).await;
             for job in &jobs {
                 appender::catch_up(&first, job).await.unwrap();
             }
-            let listed = |index: usize| -> Vec<String> {
+            let committed = |index: usize| -> Vec<String> {
                 let page = jobs[index].log.borrow().page(0);
                 page.iter().map(|result| result.item.clone()).collect()
             };
-            assert_eq!(listed(0), listed(1));
-            let distinct: std::collections::BTreeSet<_> = listed(0).into_iter().collect();
+            assert_eq!(committed(0), committed(1));
+            let distinct: std::collections::BTreeSet<_> = committed(0).into_iter().collect();
             assert_eq!(distinct.len(), 6);
-            assert_eq!(listed(0).len(), 6);
+            assert_eq!(committed(0).len(), 6);
         })
     });
 }
 
-/// A job that `owner` runs, as far as appending its results goes.
-fn appending(
+/// Creates job `j`, owned by `owner`, and starts appending its results.
+fn start_appender(
     store: &Rc<MemoryStore>,
     owner: &Rc<Gateway>,
     executor: &Rc<LocalExecutor<'static>>,
@@ -253,94 +255,98 @@
     (job, task)
 }
 
-/// Adds a result that is to be written.
-fn add(job: &Job, item: &str) {
+/// Adds a result to be appended to the log.
+fn add_result(job: &Job, item: &str) {
     job.log.borrow_mut().add(result(item));
     job.result_waits.notify(usize::MAX);
 }
 
-/// Has `gateway` take the job over, and waits until it answers readers.
+/// Makes `gateway` take the job over, and waits until it serves readers.
 async fn take_over(store: &Rc<MemoryStore>, gateway: &Rc<Gateway>) -> Rc<Job> {
     let object = store.object(OWNERSHIPS, "j").unwrap();
     let job = gateway.jobs.learn_object(&object).unwrap();
     ownership_duty::adopt(gateway, &job, Reason::Silent).await;
-    wait_until("the new owner answers", || job.is_authority(gateway.now())).await;
+    wait_until("the new owner is authoritative", || job.is_authority(gateway.now())).await;
     job
 }
 
 #[test]
-fn an_owner_that_was_replaced_shows_nothing_that_the_new_owner_does_not_know() {
+fn a_replaced_owner_exposes_only_committed_results() {
     with_store(|store, executor| {
         Box::pin(async move {
-            let former = gateway("a", &store, &executor);
+            let previous = gateway("a", &store, &executor);
             let new = gateway("b", &store, &executor);
-            let (mine, _task) = appending(&store, &former, &executor);
-            add(&mine, "item-0");
-            wait_until("a result is listed", || mine.log.borrow().len() == 1).await;
-            // The former owner does not know that it was replaced.
-            let theirs = take_over(&store, &new).await;
+            let (own_job, _task) = start_appender(&store, &previous, &executor);
+            add_result(&own_job, "item-0");
+            wait_until("a result is committed", || own_job.log.borrow().len() == 1).await;
+            // The previous owner does not know yet that it was replaced.
+            let new_job = take_over(&store, &new).await;
             for number in 1..4 {
-                add(&mine, &format!("item-{number}"));
+                add_result(&own_job, &format!("item-{number}"));
                 smol::Timer::after(Duration::from_millis(600)).await;
-                let (shown, known) = (mine.log.borrow().len(), theirs.log.borrow().len());
-                assert!(shown <= known, "{shown} shown, {known} known to the owner");
+                let (shown, known) = (own_job.log.borrow().len(), new_job.log.borrow().len());
+                assert!(shown <= known, "{shown} exposed, {known} known to the owner");
             }
-            assert_eq!(mine.owner(), new.identity.node);
+            assert_eq!(own_job.owner(), new.identity.node);
         })
     });
 }
 
 #[test]
-fn an_owner_that_has_read_anothers_chunk_appends_nothing_until_it_has_asked() {
+fn an_owner_that_reads_a_foreign_chunk_confirms_its_ownership_before_appending() {
     with_store(|store, executor| {
         Box::pin(async move {
-            let former = gateway("a", &store, &executor);
+            let previous = gateway("a", &store, &executor);
             let new = gateway("b", &store, &executor);
-            let (mine, _task) = appending(&store, &former, &executor);
-            let theirs = take_over(&store, &new).await;
-            // As for a reader of the former owner, which still believes that it owns the job.
-            appender::catch_up(&former, &mine).await.unwrap();
-            add(&mine, "item-0");
-            wait_until("the former owner knows better", || mine.owner() == new.identity.node).await;
-            assert_eq!((mine.log.borrow().len(), theirs.log.borrow().len()), (0, 0));
+            let (own_job, _task) = start_appender(&store, &previous, &executor);
+            let new_job = take_over(&store, &new).await;
+            // The previous owner, which does not know yet that it was replaced, serves a reader.
+            appender::catch_up(&previous, &own_job).await.unwrap();
+            add_result(&own_job, "item-0");
+            wait_until("the previous owner learns the new owner", || {
+                own_job.owner() == new.identity.node
+            })
+            .await;
+            assert_eq!((own_job.log.borrow().len(), new_job.log.borrow().len()), (0, 0));
         })
     });
 }
 
 #[test]
-fn an_owner_whose_write_is_in_doubt_does_not_answer_for_the_log() {
+fn an_owner_with_an_ambiguous_write_is_not_authoritative() {
     with_store(|store, executor| {
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
-            let (mine, task) = appending(&store, &owner, &executor);
-            mine.running.set(true);
-            mine.confirmed.set(Some(owner.now()));
-            assert!(mine.is_authority(owner.now()));
+            let (own_job, task) = start_appender(&store, &owner, &executor);
+            own_job.running.set(true);
+            own_job.confirmed.set(Some(owner.now()));
+            assert!(own_job.is_authority(owner.now()));
             store.fail_writes(&[WriteFault::ResponseLost]);
             store.fail_writes(&[WriteFault::Rejected; 40]);
-            add(&mine, "item-0");
+            add_result(&own_job, "item-0");
             let is_written = || store.object(&results_kind("j"), &chunk_name(0)).is_some();
             wait_until("the chunk is written", is_written).await;
-            wait_until("the owner is in doubt", || !mine.is_authority(owner.now())).await;
+            wait_until("the owner is not authoritative", || !own_job.is_authority(owner.now()))
+                .await;
             drop(task);
-            appender::catch_up(&owner, &mine).await.unwrap();
-            mine.confirmed.set(Some(owner.now()));
-            assert!(mine.is_authority(owner.now()));
-            assert_eq!(mine.log.borrow().len(), 1);
+            appender::catch_up(&owner, &own_job).await.unwrap();
+            own_job.confirmed.set(Some(owner.now()));
+            assert!(own_job.is_authority(owner.now()));
+            assert_eq!(own_job.log.borrow().len(), 1);
         })
     });
 }
 
 #[test]
-fn a_late_write_of_a_lost_owner_is_not_done_after_the_log_is_sealed() {
+fn a_delayed_write_of_a_lost_owner_has_no_effect_after_the_seal() {
     with_store(|store, executor| {
         Box::pin(async move {
             let lost = gateway("a", &store, &executor);
             let new = gateway("b", &store, &executor);
-            let (mine, task) = appending(&store, &lost, &executor);
+            let (own_job, task) = start_appender(&store, &lost, &executor);
             store.fail_writes(&[WriteFault::Delayed]);
-            add(&mine, "item-0");
-            wait_until("a write is on its way", || store.delayed_writes() == 1).await;
+            add_result(&own_job, "item-0");
+            wait_until("a write is delayed", || store.delayed_writes() == 1).await;
             drop(task);
             take_over(&store, &new).await;
             store.apply_delayed_writes();
@@ -351,13 +357,13 @@
 }
 
 #[test]
-fn a_reader_elsewhere_gets_the_results_from_the_store() {
+fn other_daemons_read_results_from_the_store() {
     with_store(|store, executor| {
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
             let reader = gateway("b", &store, &executor);
-            let patience = owner.now() + PATIENCE;
-            hand_in::hand_in(&owner, job("j", 3), patience).await.unwrap();
+            let deadline = owner.now() + SUBMIT_TIMEOUT;
+            hand_in::hand_in(&owner, job("j", 3), deadline).await.unwrap();
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
             let page = reading::results(&reader, "j", &Caller::AuthDisabled, 0, reader.now())
@@ -368,22 +374,22 @@
                 reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
             assert_eq!(missing.unwrap_err(), reading::ReadError::NotFound);
             store.set_down(true);
-            let unsure =
+            let unavailable =
                 reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
-            assert_eq!(unsure.unwrap_err(), reading::ReadError::Unavailable);
+            assert_eq!(unavailable.unwrap_err(), reading::ReadError::Unavailable);
         })
     });
 }
 
 #[test]
-fn a_daemon_that_calls_nothing_notices_an_outage_and_leaves_its_deaf_watch() {
+fn an_idle_daemon_detects_an_outage_and_restarts_its_hanging_watch() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            // Begun while the store was silent: it is never answered.
+            // This watch never returns.
             store.fail_watches(&[WatchFault::Hanging]);
             let names = Names::default();
-            follow(&executor, &gateway, KIND, &names);
+            reflect(&executor, &gateway, KIND, &names);
             executor.spawn(mirror::probe_store(gateway.clone())).detach();
             smol::Timer::after(Duration::from_millis(30)).await;
             store.set_down(true);
@@ -397,14 +403,14 @@
 }
 
 #[test]
-fn an_owner_answers_for_a_log_only_once_the_store_has_confirmed_it() {
+fn an_owner_serves_peers_only_after_its_ownership_is_confirmed() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
-            let patience = gateway.now() + PATIENCE;
-            hand_in::hand_in(&gateway, job("j", 3), patience).await.unwrap();
+            let deadline = gateway.now() + SUBMIT_TIMEOUT;
+            hand_in::hand_in(&gateway, job("j", 3), deadline).await.unwrap();
             let job = gateway.jobs.get("j").unwrap();
-            // Another daemon ran it before, and its results were read.
+            // A previous owner committed a result.
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
             job.confirmed.set(None);
@@ -417,7 +423,7 @@
             job.confirmed.set(Some(gateway.now()));
             let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert!(matches!(reply, PeerReply::Results { chunks: 1, .. }), "{reply:?}");
-            // Only what the reader asks for crosses, and how much there is.
+            // The reply contains only results from the requested position on, and the total.
             let reply = reading::answer_peer(&gateway, "j", 1, Duration::ZERO).await;
             let nothing = PeerReply::Results { results: Vec::new(), settled: 1, chunks: 1 };
             assert_eq!(reply, nothing);
@@ -426,7 +432,7 @@
 }
 
 #[test]
-fn a_restarted_daemon_goes_on_with_its_own_jobs_without_waiting_to_hear_of_others() {
+fn a_restarted_daemon_resumes_its_own_jobs_immediately() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
@@ -435,19 +441,19 @@
             let ownership = Ownership::new(&job("j", 2), earlier, None);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             store.put(OWNERSHIPS, "j", json!(ownership));
-            // Only the list is read; the sweep for lost daemons' jobs, which waits, does not run.
+            // Only lists the ownerships; the adoption of lost daemons' jobs does not run.
             executor.spawn(ownership_duty::follow(gateway.clone())).detach();
-            let is_mine = || {
+            let is_resumed = || {
                 let job = gateway.jobs.get("j");
                 job.is_some_and(|job| job.owner() == gateway.identity.node && job.running.get())
             };
-            wait_until("the job is run by this run of the daemon", is_mine).await;
+            wait_until("the job runs on the restarted daemon", is_resumed).await;
         })
     });
 }
 
 #[test]
-fn a_daemon_that_gets_a_job_back_saves_texts_under_new_names() {
+fn checkpoints_of_a_regained_job_use_unused_names() {
     with_store(|store, executor| {
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
@@ -468,14 +474,14 @@
                 wait_until("a checkpoint is written", || store.calls.get() > calls).await;
                 drop(saving);
                 let written = store.list(&checkpoint::kind("j"), None).await.unwrap();
-                assert_eq!(written.objects.len(), saved, "the first write is under a free name");
+                assert_eq!(written.objects.len(), saved, "each checkpoint has a new name");
             }
         })
     });
 }
 
 #[test]
-fn a_job_that_is_passed_on_is_not_read_from_the_store_for_a_hint_that_came_earlier() {
+fn an_earlier_hint_does_not_load_a_forwarded_job_from_the_store() {
     with_store(|store, executor| {
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
@@ -486,20 +492,24 @@
             assert_eq!(reply, PeerReply::Running);
             smol::Timer::after(Duration::from_millis(50)).await;
             assert!(owner.jobs.get("j").is_some_and(|job| job.running.get()));
-            assert!(store.object(&results_kind("j"), &chunk_name(0)).is_none(), "no seal");
+            assert!(
+                store.object(&results_kind("j"), &chunk_name(0)).is_none(),
+                "the log was not sealed"
+            );
         })
     });
 }
 
 #[test]
-fn an_owner_starts_a_job_that_is_never_passed_on() {
+fn a_hinted_owner_starts_a_job_that_is_never_forwarded() {
     with_store(|store, executor| {
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 1)));
             let ownership = Ownership::new(&job("j", 1), owner.identity.node.clone(), None);
             ownership_duty::take_hint(&owner, "j", ownership, 7, true);
-            wait_until("it is run", || owner.jobs.get("j").is_some_and(|j| j.running.get())).await;
+            wait_until("the job runs", || owner.jobs.get("j").is_some_and(|j| j.running.get()))
+                .await;
         })
     });
 }
--- a/crates/heronbend-gateway/tests/suspension.rs
+++ b/crates/heronbend-gateway/tests/suspension.rs
@@ -1,5 +1,4 @@
-//! A machine that is suspended for seconds: the steady clock stood still meanwhile, so that what a
-//! daemon had been told looked younger than it was, and waits went on for what was left of them.
+//! Suspension of the machine: its time must count towards the age of data and towards timeouts.
 
 mod support;
 
@@ -28,40 +27,40 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A clock that the test moves on.
+/// A clock that the test advances.
 #[derive(Clone, Default)]
-struct Time(Rc<Cell<Moment>>);
+struct TestClock(Rc<Cell<Moment>>);
 
-impl Time {
+impl TestClock {
     fn clock(&self) -> Clock {
         let now = self.0.clone();
         Clock::told(move || now.get())
     }
 
-    fn pass(&self, time: Duration) {
+    fn advance(&self, time: Duration) {
         self.0.set(self.0.get() + time);
     }
 }
 
 #[test]
-fn what_the_store_said_before_a_suspension_is_old_after_it() {
+fn a_suspension_counts_towards_the_age_of_store_data() {
     run(|executor| {
         Box::pin(async move {
-            let (time, store) = (Time::default(), Rc::new(MemoryStore::default()));
-            time.pass(SECOND);
+            let (time, store) = (TestClock::default(), Rc::new(MemoryStore::default()));
+            time.advance(SECOND);
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             gateway.store.list("things", None).await.unwrap();
             assert_eq!(gateway.store.silent_for(), Duration::ZERO);
-            time.pass(5 * SECOND);
+            time.advance(5 * SECOND);
             assert_eq!(gateway.store.silent_for(), 5 * SECOND);
         })
     });
 }
 
-/// A server that takes connections and answers nothing.
-fn mute_server(listener: &TcpListener) -> Server {
+/// A server that accepts connections and never responds.
+fn unresponsive_server(listener: &TcpListener) -> Server {
     Server {
-        id: "mute".to_owned(),
+        id: "unresponsive".to_owned(),
         incarnation: Incarnation::default(),
         service: "app".to_owned(),
         address: listener.local_addr().unwrap(),
@@ -77,14 +76,14 @@
 }
 
 #[test]
-fn a_request_whose_time_ran_out_in_a_suspension_ends_when_the_machine_goes_on() {
+fn a_request_that_expired_during_a_suspension_times_out_on_resume() {
     run(|executor| {
         Box::pin(async move {
-            let (time, store) = (Time::default(), Rc::new(MemoryStore::default()));
-            time.pass(SECOND);
+            let (time, store) = (TestClock::default(), Rc::new(MemoryStore::default()));
+            time.advance(SECOND);
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-            gateway.directory.borrow_mut().insert(gateway.now(), mute_server(&listener));
+            gateway.directory.borrow_mut().insert(gateway.now(), unresponsive_server(&listener));
             let outgoing = Outgoing {
                 id: "r1".to_owned(),
                 method: Method::POST,
@@ -102,18 +101,19 @@
                 target_latency: SECOND,
                 homes: None,
             };
-            let asked = gateway.clone();
-            let answer = executor.spawn(async move {
-                let waited_in_vain = async {
+            let request_gateway = gateway.clone();
+            let response = executor.spawn(async move {
+                let test_timeout = async {
                     Timer::after(20 * SECOND).await;
-                    panic!("it waits on");
+                    panic!("the request did not time out");
                 };
-                forward(&asked, "app", outgoing, allowance).or(waited_in_vain).await
+                forward(&request_gateway, "app", outgoing, allowance).or(test_timeout).await
             });
-            support::wait_until("it is sent", || gateway.metrics.attempts.get() == 1).await;
-            time.pass(601 * SECOND);
+            support::wait_until("the request is sent", || gateway.metrics.attempts.get() == 1)
+                .await;
+            time.advance(601 * SECOND);
             gateway.resumed.notify(usize::MAX);
-            assert_matches!(answer.await, Err(ForwardError::TimedOut));
+            assert_matches!(response.await, Err(ForwardError::TimedOut));
         })
     });
 }
--- a/crates/heronbend-gateway/tests/versions.rs
+++ b/crates/heronbend-gateway/tests/versions.rs
@@ -1,4 +1,4 @@
-//! The lease for orders, and the plan of loads.
+//! The command lease, and the planning of weight loads.
 
 mod support;
 
@@ -26,24 +26,24 @@
     LeaseRecord { holder: NodeName(name.to_owned()), settled, renewals: 0 }
 }
 
-/// Renews at `now`, as the store acknowledged it after `delay`.
+/// Renews the lease at `now`; the store acknowledges it after `delay`.
 fn renew(hold: &mut LeaseHold, revision: u64, now: Duration, delay: Duration) {
     let record = hold.next_record(now);
     hold.renewed(revision, record, now, now + delay);
 }
 
 #[test]
-fn the_first_holder_acts_at_once_and_only_for_the_leases_time() {
+fn the_first_holder_may_act_immediately_until_the_lease_expires() {
     let mut first = hold("a");
     renew(&mut first, 5, SECOND, Duration::from_millis(400));
     assert_eq!(first.token(SECOND + Duration::from_millis(400)), Some(5));
-    // Counted from when the renewal was sent, with a margin for the order to arrive.
+    // Counted from the sending of the renewal, with a margin for the delivery of commands.
     assert_eq!(first.token(SECOND + LEASE_DURATION), None);
     assert_eq!(first.token(SECOND + LEASE_DURATION - Duration::from_millis(200)), None);
 }
 
 #[test]
-fn a_new_holder_waits_for_the_old_ones_right_to_act_and_the_pause() {
+fn a_new_holder_waits_for_the_previous_lease_and_the_pause() {
     let mut second = hold("b");
     second.observed(5, record("a", true), SECOND);
     renew(&mut second, 6, SECOND, Duration::ZERO);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_new_holder_that_has_long_known_the_last_renewal_waits_for_what_is_left() {
+fn a_new_holder_waits_only_for_the_remaining_time() {
     let mut second = hold("b");
     second.observed(5, record("a", true), SECOND);
     let taken = SECOND * 4;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_late_answer_to_a_renewal_before_a_takeover_gives_no_right_to_act() {
+fn a_late_response_to_a_renewal_before_a_takeover_grants_no_lease() {
     let mut first = hold("a");
     let created = first.next_record(SECOND);
     first.observed(6, record("b", false), SECOND * 4);
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn each_renewal_writes_something_else() {
+fn each_renewal_writes_a_different_record() {
     let mut first = hold("a");
     renew(&mut first, 5, SECOND, Duration::ZERO);
     let (one, two) = (first.next_record(SECOND), first.next_record(SECOND * 2));
-    assert_eq!(one, two, "what is not written yet may be written again");
+    assert_eq!(one, two, "an unacknowledged record may be written again");
     renew(&mut first, 6, SECOND * 2, Duration::ZERO);
     assert_ne!(first.next_record(SECOND * 3), two);
 }
 
 #[test]
-fn a_holder_that_lost_track_does_not_skip_the_pause() {
+fn an_invalidated_holder_does_not_skip_the_pause() {
     let mut second = hold("b");
     second.observed(5, record("a", true), SECOND);
     renew(&mut second, 6, SECOND, Duration::ZERO);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_process_that_restarts_within_the_pause_waits_anew() {
+fn a_process_that_restarts_within_the_pause_waits_again() {
     let mut restarted = hold("b");
     restarted.observed(6, record("b", false), Duration::ZERO);
     renew(&mut restarted, 7, Duration::ZERO, Duration::ZERO);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_process_that_restarts_as_the_settled_holder_goes_on() {
+fn a_restarted_settled_holder_continues() {
     let mut restarted = hold("a");
     restarted.observed(6, record("a", true), Duration::ZERO);
     renew(&mut restarted, 7, SECOND, Duration::ZERO);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_holder_that_was_replaced_does_not_act_and_waits_when_it_returns() {
+fn a_replaced_holder_waits_when_it_reacquires_the_lease() {
     let mut first = hold("a");
     renew(&mut first, 5, SECOND, Duration::ZERO);
     first.observed(6, record("b", false), SECOND);
@@ -141,7 +141,7 @@
     }
 }
 
-fn hold_version(engine: &mut EngineState, model: &str, version: u64) {
+fn set_version(engine: &mut EngineState, model: &str, version: u64) {
     let server = Rc::make_mut(&mut engine.server);
     Rc::make_mut(&mut server.models).insert(model.to_owned(), version);
 }
@@ -158,7 +158,7 @@
     states.iter().map(|(name, v, d, p)| ((*name).to_owned(), state(*v, *d, *p))).collect()
 }
 
-/// Orders all that is due until nothing is, as if each load took no time.
+/// Executes due loads until none is left, as if each took no time.
 fn load_all(models: &BTreeMap<String, ModelState>, engines: &mut [EngineState]) -> Vec<Load> {
     let mut done = Vec::new();
     loop {
@@ -168,7 +168,7 @@
         }
         for load in due {
             let engine = engines.iter_mut().find(|engine| engine.server.id == load.server).unwrap();
-            hold_version(engine, &load.model, load.version);
+            set_version(engine, &load.model, load.version);
             done.push(load);
         }
     }
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn each_server_takes_every_second_version_and_none_is_ever_two_behind() {
+fn servers_load_every_second_version_and_are_at_most_one_behind() {
     let mut engines: Vec<_> = (0..8).map(|n| engine(&format!("e{n}"), &[("m", 1)])).collect();
     for version in 2..12 {
         let loads = load_all(&models(&[("m", version, 100, false)]), &mut engines);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_pressed_model_gets_every_version_on_all_hosts_once_its_step_has_begun() {
+fn a_model_with_slow_steps_loads_every_version_on_all_hosts_after_the_step_starts() {
     let urgencies = |named_for, is_cut_by_loads| {
         let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 1)])).collect();
         let mut models = models(&[("m", 2, 100, true)]);
@@ -205,20 +205,19 @@
         let loads = load_all(&models, &mut engines);
         loads.iter().map(|load| load.urgency).collect::<Vec<Urgency>>()
     };
-    // A step begins when its version is named, and needs the servers that can run it.
+    // A step starts soon after its version is published, and needs the servers that can run it.
     assert_eq!(urgencies(STEP_BEGUN - Duration::from_millis(1), false), []);
     assert_eq!(urgencies(STEP_BEGUN, false), [Urgency::Soon; 4]);
-    // Where a load spoils what runs, half of the hosts wait until they are idle. Were all to wait, none
-    // of a busy model's would be ready for the next version, which would find them all too old at the
-    // same moment.
-    let cut = [Urgency::Soon, Urgency::Soon, Urgency::WhenIdle, Urgency::WhenIdle];
-    assert_eq!(urgencies(STEP_BEGUN, true), cut);
+    // If loads interrupt generation, half of the hosts wait until they are idle. The others load
+    // immediately, so that not all hosts of a busy model become too old at the same time.
+    let expected = [Urgency::Soon, Urgency::Soon, Urgency::WhenIdle, Urgency::WhenIdle];
+    assert_eq!(urgencies(STEP_BEGUN, true), expected);
 }
 
 #[test]
-fn a_server_that_cannot_serve_a_step_loads_at_once() {
+fn a_server_that_cannot_serve_a_step_loads_immediately() {
     let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 2)])).collect();
-    hold_version(&mut engines[0], "m", 1);
+    set_version(&mut engines[0], "m", 1);
     let mut models = models(&[("m", 3, 100, true)]);
     models.get_mut("m").unwrap().named_for = Duration::ZERO;
     let loads = loads_due(&models, &engines);
@@ -227,7 +226,7 @@
 }
 
 #[test]
-fn servers_follow_the_models_in_proportion_to_demand_and_stay_with_them() {
+fn servers_are_assigned_in_proportion_to_demand_and_keep_their_model() {
     let versions = [("a", 1), ("b", 1), ("c", 1)];
     let mut engines: Vec<_> = (0..9).map(|n| engine(&format!("e{n}"), &versions)).collect();
     let mut hosts = BTreeMap::new();
@@ -244,7 +243,7 @@
 }
 
 #[test]
-fn a_model_is_pressed_while_one_of_its_last_steps_took_long() {
+fn a_model_has_slow_steps_while_a_recent_step_was_slow() {
     let board = VersionBoard::default();
     assert!(!board.is_pressed("m"));
     board.step_took("m", SECOND * 6);
@@ -257,14 +256,14 @@
 }
 
 #[test]
-fn versions_only_rise() {
+fn published_versions_only_increase() {
     let board = VersionBoard::default();
     assert!(board.name(SECOND, "m", 3));
     assert!(!board.name(SECOND * 2, "m", 2));
     assert_eq!(board.named()["m"], (3, SECOND));
 }
 
-/// Servers that all hold the first version of three models.
+/// Servers that hold the first version of three models.
 fn many_engines(count: usize) -> Vec<EngineState> {
     let name = |number| format!("e{number:02}");
     let held = [("a", 1), ("b", 1), ("c", 1)];
@@ -272,14 +271,14 @@
 }
 
 #[test]
-fn more_servers_load_at_a_time_where_there_are_more() {
+fn concurrent_loads_grow_with_the_number_of_servers() {
     assert_eq!([8, 9, 14, 35].map(loads_at_once), [2, 2, 2, 7]);
     let models = models(&[("a", 3, 100, false)]);
     assert_eq!(loads_due(&models, &many_engines(35)).len(), 7);
 }
 
 #[test]
-fn no_model_waits_until_the_others_have_loaded() {
+fn concurrent_loads_are_shared_between_models() {
     let models = models(&[("a", 3, 100, false), ("b", 3, 100, false), ("c", 3, 100, false)]);
     let due = loads_due(&models, &many_engines(35));
     for model in ["a", "b", "c"] {
@@ -291,18 +290,18 @@
 fn the_model_whose_servers_lag_most_loads_first() {
     let models = models(&[("a", 3, 100, false), ("b", 3, 100, false)]);
     let mut engines = many_engines(10);
-    // Most servers that follow the first model hold what its newest step allows.
+    // Most servers that follow model `a` already hold a version that its newest step accepts.
     for load in load_all(&models, &mut engines.clone()) {
         if load.model == "a" {
             let engine = engines.iter_mut().find(|engine| engine.server.id == load.server).unwrap();
-            hold_version(engine, "a", 2);
+            set_version(engine, "a", 2);
         }
     }
     let due = loads_due(&models, &engines);
     assert!(due.iter().all(|load| load.model == "b"), "{due:?}");
 }
 
-/// 7,777 servers of six places that hold the first version of eight models, or twice as many.
+/// Servers with six slots that hold the first version of eight models.
 fn fleet(servers: usize) -> Vec<EngineState> {
     let names: Vec<String> = (0..8).map(|number| format!("m{number}")).collect();
     let held: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 1)).collect();
@@ -313,8 +312,8 @@
     (0..servers).map(|number| slots(engine(&format!("e{number:05}"), &held))).collect()
 }
 
-/// Eight trainers whose steps have 72 to 128 texts.
-fn trainers(version: u64) -> BTreeMap<String, ModelState> {
+/// Eight models whose steps have 72 to 128 items.
+fn model_states(version: u64) -> BTreeMap<String, ModelState> {
     let texts = [72, 128, 112, 80, 112, 128, 96, 120];
     let state = |texts| ModelState {
         version,
@@ -326,27 +325,27 @@
     texts.iter().enumerate().map(|(number, texts)| (format!("m{number}"), state(*texts))).collect()
 }
 
-/// Loads of eight versions, beginning where all servers hold the first one.
-fn loads_of_a_run(servers: usize) -> Vec<usize> {
+/// Returns the number of loads for each of eight versions, on servers that hold the first one.
+fn loads_per_version(servers: usize) -> Vec<usize> {
     let mut engines = fleet(servers);
-    (2..10).map(|version| load_all(&trainers(version), &mut engines).len()).collect()
+    (2..10).map(|version| load_all(&model_states(version), &mut engines).len()).collect()
 }
 
 #[test]
-fn how_many_servers_load_a_version_follows_from_the_texts_and_not_from_the_fleet() {
-    let loads = loads_of_a_run(7777);
-    assert_eq!(loads, loads_of_a_run(2 * 7777));
-    // 848 texts, two steps of them, on servers of six places: 283 of these; twice as many follow, and
-    // one half of them loads each version.
+fn the_number_of_loads_depends_on_the_items_and_not_on_the_fleet_size() {
+    let loads = loads_per_version(7777);
+    assert_eq!(loads, loads_per_version(2 * 7777));
+    // Two steps of 848 items on servers with six slots need 283 servers. Twice as many follow the
+    // models, and half of these load each version.
     assert!(loads.iter().all(|loads| (283..=300).contains(loads)), "{loads:?}");
 }
 
 #[test]
-fn a_step_that_is_owed_has_places_although_half_of_its_servers_load() {
+fn an_outstanding_step_has_slots_while_half_of_its_servers_load() {
     let mut engines = fleet(7777);
     for version in 2..6 {
-        load_all(&trainers(version), &mut engines);
-        for (model, state) in trainers(version) {
+        load_all(&model_states(version), &mut engines);
+        for (model, state) in model_states(version) {
             let holds = |allowed| {
                 let has = |engine: &&EngineState| engine.server.models[&model] >= allowed;
                 engines.iter().filter(has).map(|engine| engine.server.slots as usize).sum::<usize>()
@@ -358,11 +357,11 @@
 }
 
 #[test]
-fn servers_stay_with_their_models_however_many_there_are() {
+fn servers_keep_their_model_in_a_large_fleet() {
     let mut engines = fleet(2000);
     let mut hosts = BTreeMap::new();
     for version in 2..10 {
-        for load in load_all(&trainers(version), &mut engines) {
+        for load in load_all(&model_states(version), &mut engines) {
             let host = hosts.entry(load.server.clone()).or_insert_with(|| load.model.clone());
             assert_eq!(*host, load.model, "{} at {version}", load.server);
         }
@@ -371,19 +370,19 @@
 }
 
 #[test]
-fn while_a_zone_is_lost_the_other_servers_take_its_models_over() {
+fn other_servers_take_over_the_models_of_a_lost_zone() {
     let mut engines = fleet(2000);
     for version in 2..5 {
-        load_all(&trainers(version), &mut engines);
+        load_all(&model_states(version), &mut engines);
     }
     let mut number = 0;
     engines.retain(|_| {
         number += 1;
         number % 5 > 0
     });
-    load_all(&trainers(5), &mut engines);
-    for (model, state) in trainers(5) {
-        let fit = engines.iter().filter(|engine| engine.server.models[&model] >= 5);
-        assert!(fit.count() * 6 >= 2 * state.texts, "{model}");
+    load_all(&model_states(5), &mut engines);
+    for (model, state) in model_states(5) {
+        let up_to_date = engines.iter().filter(|engine| engine.server.models[&model] >= 5);
+        assert!(up_to_date.count() * 6 >= 2 * state.texts, "{model}");
     }
 }
