--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 use heronbend::access::Caller;
-use heronbend_gateway::batch::adoption::Reason;
+use heronbend_gateway::batch::adoption::AdoptionReason;
 use heronbend_gateway::batch::checkpoint;
 use heronbend_gateway::batch::event_stream::EventReader;
-use heronbend_gateway::batch::hand_in::{self, HandInError};
+use heronbend_gateway::batch::job_texts::JobTexts;
 use heronbend_gateway::batch::ownership::Ownership;
-use heronbend_gateway::batch::texts::Texts;
+use heronbend_gateway::batch::submission::{self, SubmitError};
 
 use heronbend_gateway::batch::registry::{
     chunk_name, results_kind, Job, OWNERSHIPS, SPECIFICATIONS,
 };
-use heronbend_gateway::batch::{appender, ownership_duty, reading};
+use heronbend_gateway::batch::{appender, ownership_manager, results_reader};
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::mirror::{self, MirrorSink, Source};
 use heronbend_gateway::peers::PeerReply;
@@ -143,8 +143,8 @@
             store.fail_writes(&[WriteFault::Delayed]);
             store.fail_writes(&[WriteFault::Rejected; 20]);
             let submitted =
-                hand_in::hand_in(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
-            assert_eq!(submitted, Err(HandInError::Unknown));
+                submission::submit(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
+            assert_eq!(submitted, Err(SubmitError::Unknown));
         })
     });
 }
@@ -156,8 +156,8 @@
             let gateway = gateway("a", &store, &executor);
             store.fail_writes(&[WriteFault::Rejected; 20]);
             let submitted =
-                hand_in::hand_in(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
-            assert_eq!(submitted, Err(HandInError::NotTaken));
+                submission::submit(&gateway, job("j", 2), gateway.now() + SUBMIT_TIMEOUT).await;
+            assert_eq!(submitted, Err(SubmitError::Unavailable));
             assert!(store.object(SPECIFICATIONS, "j").is_none());
         })
     });
@@ -171,8 +171,8 @@
             let second = gateway("b", &store, &executor);
             store.fail_writes(&[WriteFault::ResponseLost, WriteFault::ResponseLost]);
             let deadline = first.now() + Duration::from_secs(20);
-            assert_eq!(hand_in::hand_in(&first, job("j", 2), deadline).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&second, job("j", 2), deadline).await, Ok(()));
+            assert_eq!(submission::submit(&first, job("j", 2), deadline).await, Ok(()));
+            assert_eq!(submission::submit(&second, job("j", 2), deadline).await, Ok(()));
             let owner = second.jobs.get("j").unwrap().owner();
             assert_eq!(owner, first.identity.node);
         })
@@ -186,8 +186,11 @@
             let gateway = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             let deadline = gateway.now() + SUBMIT_TIMEOUT;
-            assert_eq!(hand_in::end(&gateway, "j", &Caller::AuthDisabled, deadline).await, Ok(()));
-            assert_eq!(hand_in::hand_in(&gateway, job("j", 2), deadline).await, Ok(()));
+            assert_eq!(
+                submission::end(&gateway, "j", &Caller::AuthDisabled, deadline).await,
+                Ok(())
+            );
+            assert_eq!(submission::submit(&gateway, job("j", 2), deadline).await, Ok(()));
             assert!(gateway.jobs.get("j").unwrap().ended.get());
             assert_eq!(store.object(OWNERSHIPS, "j").unwrap().content["ended"], json!(true));
         })
@@ -201,8 +204,8 @@
             let first = gateway("a", &store, &executor);
             let second = gateway("b", &store, &executor);
             let deadline = first.now() + SUBMIT_TIMEOUT;
-            hand_in::hand_in(&first, job("j", 6), deadline).await.unwrap();
-            hand_in::hand_in(&second, job("j", 6), deadline).await.unwrap();
+            submission::submit(&first, job("j", 6), deadline).await.unwrap();
+            submission::submit(&second, job("j", 6), deadline).await.unwrap();
             store.fail_writes(&[
                 WriteFault::ResponseLost,
                 WriteFault::Delayed,
@@ -213,7 +216,7 @@
                 executor.spawn(appender::run(gateway.clone(), job.clone())).detach();
                 for number in items {
                     job.log.borrow_mut().add(result(&format!("item-{number}")));
-                    job.result_waits.notify(usize::MAX);
+                    job.result_pending.notify(usize::MAX);
                     smol::Timer::after(Duration::from_millis(60)).await;
                 }
             }
@@ -224,7 +227,7 @@
             };
             wait_until("the owner's results are written", || is_fully_written(0)).await;
             // The second daemon appends its pending results once it owns the job.
-            ownership_duty::adopt(&second, &jobs[1], Reason::Silent).await;
+            ownership_manager::adopt(&second, &jobs[1], AdoptionReason::Silent).await;
             wait_until("all results are written", || is_fully_written(1)).await;
             for job in &jobs {
                 appender::catch_up(&first, job).await.unwrap();
@@ -250,7 +253,7 @@
     let ownership = Ownership::new(&job("j", 6), owner.identity.node.clone(), None);
     store.put(SPECIFICATIONS, "j", json!(job("j", 6)));
     store.put(OWNERSHIPS, "j", json!(ownership));
-    let job = owner.jobs.learn_object(&store.object(OWNERSHIPS, "j").unwrap()).unwrap();
+    let job = owner.jobs.upsert_object(&store.object(OWNERSHIPS, "j").unwrap()).unwrap();
     let task = executor.spawn(appender::run(owner.clone(), job.clone()));
     (job, task)
 }
@@ -258,15 +261,15 @@
 /// Adds a result to be appended to the log.
 fn add_result(job: &Job, item: &str) {
     job.log.borrow_mut().add(result(item));
-    job.result_waits.notify(usize::MAX);
+    job.result_pending.notify(usize::MAX);
 }
 
 /// Makes `gateway` take the job over, and waits until it serves readers.
 async fn take_over(store: &Rc<MemoryStore>, gateway: &Rc<Gateway>) -> Rc<Job> {
     let object = store.object(OWNERSHIPS, "j").unwrap();
-    let job = gateway.jobs.learn_object(&object).unwrap();
-    ownership_duty::adopt(gateway, &job, Reason::Silent).await;
-    wait_until("the new owner is authoritative", || job.is_authority(gateway.now())).await;
+    let job = gateway.jobs.upsert_object(&object).unwrap();
+    ownership_manager::adopt(gateway, &job, AdoptionReason::Silent).await;
+    wait_until("the new owner is authoritative", || job.is_authoritative(gateway.now())).await;
     job
 }
 
@@ -319,19 +322,19 @@
             let owner = gateway("a", &store, &executor);
             let (own_job, task) = start_appender(&store, &owner, &executor);
             own_job.running.set(true);
-            own_job.confirmed.set(Some(owner.now()));
-            assert!(own_job.is_authority(owner.now()));
+            own_job.ownership_confirmed_at.set(Some(owner.now()));
+            assert!(own_job.is_authoritative(owner.now()));
             store.fail_writes(&[WriteFault::ResponseLost]);
             store.fail_writes(&[WriteFault::Rejected; 40]);
             add_result(&own_job, "item-0");
             let is_written = || store.object(&results_kind("j"), &chunk_name(0)).is_some();
             wait_until("the chunk is written", is_written).await;
-            wait_until("the owner is not authoritative", || !own_job.is_authority(owner.now()))
+            wait_until("the owner is not authoritative", || !own_job.is_authoritative(owner.now()))
                 .await;
             drop(task);
             appender::catch_up(&owner, &own_job).await.unwrap();
-            own_job.confirmed.set(Some(owner.now()));
-            assert!(own_job.is_authority(owner.now()));
+            own_job.ownership_confirmed_at.set(Some(owner.now()));
+            assert!(own_job.is_authoritative(owner.now()));
             assert_eq!(own_job.log.borrow().len(), 1);
         })
     });
@@ -363,20 +366,23 @@
             let owner = gateway("a", &store, &executor);
             let reader = gateway("b", &store, &executor);
             let deadline = owner.now() + SUBMIT_TIMEOUT;
-            hand_in::hand_in(&owner, job("j", 3), deadline).await.unwrap();
+            submission::submit(&owner, job("j", 3), deadline).await.unwrap();
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            let page = reading::results(&reader, "j", &Caller::AuthDisabled, 0, reader.now())
-                .await
-                .unwrap();
+            let page =
+                results_reader::results(&reader, "j", &Caller::AuthDisabled, 0, reader.now())
+                    .await
+                    .unwrap();
             assert_eq!((page.total, page.results.len()), (3, 1));
             let missing =
-                reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
-            assert_eq!(missing.unwrap_err(), reading::ReadError::NotFound);
+                results_reader::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now())
+                    .await;
+            assert_eq!(missing.unwrap_err(), results_reader::ReadError::NotFound);
             store.set_down(true);
             let unavailable =
-                reading::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now()).await;
-            assert_eq!(unavailable.unwrap_err(), reading::ReadError::Unavailable);
+                results_reader::results(&reader, "unknown", &Caller::AuthDisabled, 0, reader.now())
+                    .await;
+            assert_eq!(unavailable.unwrap_err(), results_reader::ReadError::Unavailable);
         })
     });
 }
@@ -408,23 +414,24 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             let deadline = gateway.now() + SUBMIT_TIMEOUT;
-            hand_in::hand_in(&gateway, job("j", 3), deadline).await.unwrap();
+            submission::submit(&gateway, job("j", 3), deadline).await.unwrap();
             let job = gateway.jobs.get("j").unwrap();
             // A previous owner committed a result.
             let chunk = json!({ "results": [result("item-1")] });
             store.put(&results_kind("j"), &chunk_name(0), chunk);
-            job.confirmed.set(None);
-            let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
+            job.ownership_confirmed_at.set(None);
+            let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert_eq!(reply, PeerReply::NotOwner);
-            let page = reading::results(&gateway, "j", &Caller::AuthDisabled, 0, gateway.now())
-                .await
-                .unwrap();
+            let page =
+                results_reader::results(&gateway, "j", &Caller::AuthDisabled, 0, gateway.now())
+                    .await
+                    .unwrap();
             assert_eq!(page.results.len(), 1);
-            job.confirmed.set(Some(gateway.now()));
-            let reply = reading::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
+            job.ownership_confirmed_at.set(Some(gateway.now()));
+            let reply = results_reader::answer_peer(&gateway, "j", 0, Duration::ZERO).await;
             assert!(matches!(reply, PeerReply::Results { chunks: 1, .. }), "{reply:?}");
             // The reply contains only results from the requested position on, and the total.
-            let reply = reading::answer_peer(&gateway, "j", 1, Duration::ZERO).await;
+            let reply = results_reader::answer_peer(&gateway, "j", 1, Duration::ZERO).await;
             let nothing = PeerReply::Results { results: Vec::new(), settled: 1, chunks: 1 };
             assert_eq!(reply, nothing);
         })
@@ -442,7 +449,7 @@
             store.put(SPECIFICATIONS, "j", json!(job("j", 2)));
             store.put(OWNERSHIPS, "j", json!(ownership));
             // Only lists the ownerships; the adoption of lost daemons' jobs does not run.
-            executor.spawn(ownership_duty::follow(gateway.clone())).detach();
+            executor.spawn(ownership_manager::refresh_ownerships(gateway.clone())).detach();
             let is_resumed = || {
                 let job = gateway.jobs.get("j");
                 job.is_some_and(|job| job.owner() == gateway.identity.node && job.running.get())
@@ -458,10 +465,10 @@
         Box::pin(async move {
             let gateway = gateway("a", &store, &executor);
             let ownership = Ownership::new(&job("j", 1), gateway.identity.node.clone(), None);
-            let job_here = gateway.jobs.learn("j", ownership, 1);
+            let job_here = gateway.jobs.upsert("j", ownership, 1);
             *job_here.specification.borrow_mut() = Some(Rc::new(job("j", 1)));
             for saved in 1..=2 {
-                *job_here.texts.borrow_mut() = Texts::new(1);
+                *job_here.texts.borrow_mut() = JobTexts::new(1);
                 let text = job_here.texts.borrow().get(0);
                 for number in 1..=20 {
                     let event = format!("id: {number}\ndata: e\n\n");
@@ -486,9 +493,9 @@
         Box::pin(async move {
             let owner = gateway("a", &store, &executor);
             let ownership = Ownership::new(&job("j", 1), owner.identity.node.clone(), None);
-            ownership_duty::take_hint(&owner, "j", ownership.clone(), 7, true);
+            ownership_manager::apply_hint(&owner, "j", ownership.clone(), 7, true);
             smol::Timer::after(Duration::from_millis(50)).await;
-            let reply = hand_in::run_here(&owner, ownership, 7, job("j", 1), false);
+            let reply = submission::run_here(&owner, ownership, 7, job("j", 1), false);
             assert_eq!(reply, PeerReply::Running);
             smol::Timer::after(Duration::from_millis(50)).await;
             assert!(owner.jobs.get("j").is_some_and(|job| job.running.get()));
@@ -507,7 +514,7 @@
             let owner = gateway("a", &store, &executor);
             store.put(SPECIFICATIONS, "j", json!(job("j", 1)));
             let ownership = Ownership::new(&job("j", 1), owner.identity.node.clone(), None);
-            ownership_duty::take_hint(&owner, "j", ownership, 7, true);
+            ownership_manager::apply_hint(&owner, "j", ownership, 7, true);
             wait_until("the job runs", || owner.jobs.get("j").is_some_and(|j| j.running.get()))
                 .await;
         })
