--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -203,7 +203,7 @@
 fn commit(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
     let age = gateway.now().saturating_sub(job.first_seen);
     for _ in &results {
-        gateway.metrics.items_listed.inc();
+        gateway.metrics.items_committed.inc();
         gateway.metrics.item_age.observe(age.as_secs_f64());
     }
     let mut log = job.log.borrow_mut();
--- a/crates/heronbend-gateway/src/exchange.rs
+++ b/crates/heronbend-gateway/src/exchange.rs
@@ -136,7 +136,7 @@
 ) -> Result<Exchange, AttemptFailure> {
     let names = gateway.dialect.headers();
     if exchange.header(&names.request_id) != Some(outgoing.id.as_str()) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("foreign answer"));
     }
     let is_refusal = exchange.status == StatusCode::MISDIRECTED_REQUEST
@@ -148,7 +148,7 @@
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
     let is_encoded = exchange.headers.contains_key(http::header::CONTENT_ENCODING);
     if exchange.status.is_success() && (is_unsigned || is_encoded) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("unsigned answer"));
     }
     Ok(exchange)
@@ -198,13 +198,13 @@
         let metrics = &self.gateway.metrics;
         let end = match failure {
             AttemptFailure::NotRun => {
-                metrics.refusals.inc();
+                metrics.rejected_attempts.inc();
                 AttemptOutcome::Rejected
             }
             AttemptFailure::NotSent => AttemptOutcome::Unreachable,
             AttemptFailure::Held => AttemptOutcome::Abandoned,
             AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
-                metrics.failures.inc();
+                metrics.failed_attempts.inc();
                 AttemptOutcome::Failed
             }
         };
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -242,7 +242,7 @@
     fn may_retry(&self) -> bool {
         let within_budget = self.spent == 0 || self.gateway.retries.borrow_mut().withdraw();
         if !within_budget {
-            self.gateway.metrics.retries_withheld.inc();
+            self.gateway.metrics.retries_suppressed.inc();
         }
         within_budget
     }
--- a/crates/heronbend-gateway/src/metrics.rs
+++ b/crates/heronbend-gateway/src/metrics.rs
@@ -82,21 +82,21 @@
 #[derive(Clone)]
 pub struct Metrics {
     /// Responses to clients, by route and status.
-    pub answers: Family<ResponseLabels, Count>,
+    pub responses: Family<ResponseLabels, Count>,
     /// Seconds from the request head to the response head.
     pub latency: Histogram,
     /// Attempts to run a request on a server.
     pub attempts: Count,
     /// Attempts that a server rejected without running the request.
-    pub refusals: Count,
+    pub rejected_attempts: Count,
     /// Attempts that were interrupted or timed out.
-    pub failures: Count,
+    pub failed_attempts: Count,
     /// Servers that crashed while they ran a request of this daemon.
-    pub servers_ended: Count,
+    pub servers_crashed: Count,
     /// Servers that restarted under the same name.
     pub servers_restarted: Count,
     /// Server registrations that could not be parsed.
-    pub server_entries_malformed: Count,
+    pub malformed_registrations: Count,
     /// Requests rejected because they are quarantined.
     pub quarantine_refusals: Count,
     /// Number of quarantined requests.
@@ -104,9 +104,9 @@
     /// Hedged attempts.
     pub hedges: Count,
     /// Retries suppressed by the retry budget.
-    pub retries_withheld: Count,
+    pub retries_suppressed: Count,
     /// Responses dropped because they did not match their request or were incomplete.
-    pub foreign_answers: Count,
+    pub invalid_responses: Count,
     /// Calls to the store, by purpose.
     pub store_calls: Family<StoreLabels, Count>,
     /// New connections to servers, by reason.
@@ -117,7 +117,7 @@
     /// Batch jobs taken over from another owner, by reason.
     pub jobs_adopted: Family<AdoptionLabels, Count>,
     /// Batch items whose result was committed.
-    pub items_listed: Count,
+    pub items_committed: Count,
     /// Batch items resumed on another server.
     pub items_resumed: Count,
     /// Client streams resumed on another server.
@@ -125,17 +125,17 @@
     /// Seconds from the submission of a batch job to the commit of a result.
     pub item_age: Histogram,
     /// Load commands sent to servers.
-    pub orders: Count,
+    pub load_commands: Count,
     /// Calls to the provider, by duty and outcome.
-    pub duty_calls: Family<ProviderCallLabels, Count>,
+    pub provider_calls: Family<ProviderCallLabels, Count>,
     /// Requests rejected because no server was available, by main exclusion reason.
     pub requests_unplaced: Family<UnplacedLabels, Count>,
     /// Seconds that batch items waited for a slot; immediate placements are not observed.
-    pub place_wait: Histogram,
+    pub slot_wait: Histogram,
     /// Cold start permits received from other daemons.
-    pub permits_borrowed: Count,
+    pub permits_received: Count,
     /// Cold start permits issued to other daemons.
-    pub permits_lent: Count,
+    pub permits_issued: Count,
     /// 1 while a zone is evacuated, else 0.
     pub zones_evacuated: Family<ZoneLabels, Gauge>,
     /// Number of cold servers, by zone.
@@ -148,34 +148,34 @@
     fn default() -> Self {
         let histogram = || Histogram::new(exponential_buckets(0.002, 2.0, 14));
         Self {
-            answers: Family::default(),
+            responses: Family::default(),
             latency: histogram(),
             attempts: Count::default(),
-            refusals: Count::default(),
-            failures: Count::default(),
-            servers_ended: Count::default(),
+            rejected_attempts: Count::default(),
+            failed_attempts: Count::default(),
+            servers_crashed: Count::default(),
             servers_restarted: Count::default(),
-            server_entries_malformed: Count::default(),
+            malformed_registrations: Count::default(),
             quarantine_refusals: Count::default(),
             requests_quarantined: Gauge::default(),
             hedges: Count::default(),
-            retries_withheld: Count::default(),
-            foreign_answers: Count::default(),
+            retries_suppressed: Count::default(),
+            invalid_responses: Count::default(),
             store_calls: Family::default(),
             connections: Family::default(),
             unlogged: Rc::default(),
             jobs_accepted: Count::default(),
             jobs_adopted: Family::default(),
-            items_listed: Count::default(),
+            items_committed: Count::default(),
             items_resumed: Count::default(),
             streams_resumed: Count::default(),
             item_age: histogram(),
-            orders: Count::default(),
-            duty_calls: Family::default(),
+            load_commands: Count::default(),
+            provider_calls: Family::default(),
             requests_unplaced: Family::default(),
-            place_wait: histogram(),
-            permits_borrowed: Count::default(),
-            permits_lent: Count::default(),
+            slot_wait: histogram(),
+            permits_received: Count::default(),
+            permits_issued: Count::default(),
             zones_evacuated: Family::default(),
             cold_servers: Family::default(),
             log_lines_dropped: Count::default(),
@@ -194,7 +194,7 @@
     /// Records a response and the time from the request head to the response head.
     pub fn record_response(&self, route: &str, status: u16, latency: Duration) {
         let labels = ResponseLabels { route: route.to_owned(), status };
-        self.answers.get_or_create(&labels).inc();
+        self.responses.get_or_create(&labels).inc();
         self.latency.observe(latency.as_secs_f64());
     }
 
@@ -250,7 +250,7 @@
     /// Records a call to the provider.
     pub fn record_provider_call(&self, duty: &'static str, succeeded: bool) {
         let outcome = if succeeded { "done" } else { "failed" };
-        self.duty_calls.get_or_create(&ProviderCallLabels { duty, outcome }).inc();
+        self.provider_calls.get_or_create(&ProviderCallLabels { duty, outcome }).inc();
     }
 
     /// Encodes all metrics in the OpenMetrics text format.
@@ -258,44 +258,48 @@
         let reported = self.log_lines_dropped.get();
         self.log_lines_dropped.inc_by(logging::dropped().saturating_sub(reported));
         let mut registry = Registry::with_prefix("heronbend");
-        registry.register("answers", "Requests answered", self.answers.clone());
+        registry.register("answers", "Requests answered", self.responses.clone());
         registry.register("latency_seconds", "Time to answer", self.latency.clone());
         registry.register("attempts", "Attempts at servers", self.attempts.clone());
-        registry.register("refusals", "Attempts refused by servers", self.refusals.clone());
-        registry.register("failures", "Attempts broken off", self.failures.clone());
-        let ended = self.servers_ended.clone();
-        registry.register("servers_ended", "Servers that ended under a request", ended);
+        registry.register(
+            "refusals",
+            "Attempts refused by servers",
+            self.rejected_attempts.clone(),
+        );
+        registry.register("failures", "Attempts broken off", self.failed_attempts.clone());
+        let crashed = self.servers_crashed.clone();
+        registry.register("servers_ended", "Servers that ended under a request", crashed);
         let restarted = self.servers_restarted.clone();
         registry.register("servers_restarted", "Servers started again by their name", restarted);
-        let malformed = self.server_entries_malformed.clone();
+        let malformed = self.malformed_registrations.clone();
         registry.register("server_entries_malformed", "Entries not understood", malformed);
-        let refused = self.quarantine_refusals.clone();
-        registry.register("quarantine_refusals", "Requests refused as they end servers", refused);
+        let rejected = self.quarantine_refusals.clone();
+        registry.register("quarantine_refusals", "Requests refused as they end servers", rejected);
         let quarantined = self.requests_quarantined.clone();
         registry.register("requests_quarantined", "Requests that are quarantined", quarantined);
         registry.register("hedges", "Second attempts beside the first", self.hedges.clone());
-        let withheld = self.retries_withheld.clone();
-        registry.register("retries_withheld", "Retries over the budget", withheld);
-        registry.register("foreign_answers", "Answers dropped", self.foreign_answers.clone());
+        let suppressed = self.retries_suppressed.clone();
+        registry.register("retries_withheld", "Retries over the budget", suppressed);
+        registry.register("foreign_answers", "Answers dropped", self.invalid_responses.clone());
         registry.register("store_calls", "Calls to the store", self.store_calls.clone());
         let connections = self.connections.clone();
         registry.register("connections", "Connections opened to servers", connections);
         registry.register("jobs_accepted", "Batch jobs accepted", self.jobs_accepted.clone());
         registry.register("jobs_adopted", "Batch jobs taken over", self.jobs_adopted.clone());
-        registry.register("items_listed", "Results listed", self.items_listed.clone());
+        registry.register("items_listed", "Results listed", self.items_committed.clone());
         registry.register("items_resumed", "Items continued elsewhere", self.items_resumed.clone());
         let resumed = self.streams_resumed.clone();
         registry.register("streams_resumed", "Streams continued elsewhere", resumed);
         registry.register("item_age_seconds", "Age of results", self.item_age.clone());
-        registry.register("orders", "Orders given to servers", self.orders.clone());
-        registry.register("duty_calls", "Calls to the provider", self.duty_calls.clone());
+        registry.register("orders", "Orders given to servers", self.load_commands.clone());
+        registry.register("duty_calls", "Calls to the provider", self.provider_calls.clone());
         let unplaced = self.requests_unplaced.clone();
         registry.register("requests_unplaced", "Requests no server could be sent", unplaced);
-        registry.register("place_wait_seconds", "Wait for a place", self.place_wait.clone());
-        let borrowed = self.permits_borrowed.clone();
-        registry.register("permits_borrowed", "Permits for cold servers borrowed", borrowed);
-        let lent = self.permits_lent.clone();
-        registry.register("permits_lent", "Permits for cold servers lent", lent);
+        registry.register("place_wait_seconds", "Wait for a place", self.slot_wait.clone());
+        let received = self.permits_received.clone();
+        registry.register("permits_borrowed", "Permits for cold servers borrowed", received);
+        let issued = self.permits_issued.clone();
+        registry.register("permits_lent", "Permits for cold servers lent", issued);
         let evacuated = self.zones_evacuated.clone();
         let cold = self.cold_servers.clone();
         registry.register("cold_servers", "Servers that are cold", cold);
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -104,7 +104,7 @@
         Some(loan) => (0, Some(loan.retry_after)),
         None => (0, Some(UNANSWERED_REST)),
     };
-    gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
+    gateway.metrics.permits_received.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
         placer.record_permit_grant(now, shortage.server, permits, until, again);
@@ -167,6 +167,6 @@
     };
     let terms = gateway.tuning().cold_margin.terms(cold);
     let loan = gateway.permits.lender.borrow_mut().issue(now, server, permits, terms);
-    gateway.metrics.permits_lent.inc_by(u64::from(loan.permits));
+    gateway.metrics.permits_issued.inc_by(u64::from(loan.permits));
     Ok(loan)
 }
--- a/crates/heronbend-gateway/src/places.rs
+++ b/crates/heronbend-gateway/src/places.rs
@@ -145,7 +145,7 @@
     (reason, behind): (Option<Exclusion>, usize),
 ) {
     let waited = gateway.now().saturating_sub(begun);
-    gateway.metrics.place_wait.observe(waited.as_secs_f64());
+    gateway.metrics.slot_wait.observe(waited.as_secs_f64());
     if waited >= LONG_WAIT {
         log::info!(
             "event=item_waited item={item} server={} waited_ms={} behind={behind} servers={}",
--- a/crates/heronbend-gateway/src/quarantine/evidence.rs
+++ b/crates/heronbend-gateway/src/quarantine/evidence.rs
@@ -88,7 +88,7 @@
     }
     let confirmed = gateway.quarantine.table.borrow_mut().note_server_gone(now, server);
     if !confirmed.is_empty() {
-        gateway.metrics.servers_ended.inc();
+        gateway.metrics.servers_crashed.inc();
         log::info!("event=server_ended server={server} requests={}", confirmed.len());
     }
     for (request, change) in confirmed {
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -374,7 +374,7 @@
     fn drop_malformed(&self, name: &str, error: &DialectError) {
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
         if self.malformed.borrow_mut().insert(name.to_owned()) {
-            self.gateway.metrics.server_entries_malformed.inc();
+            self.gateway.metrics.malformed_registrations.inc();
             log::warn!("event=server_malformed error=\"{error}\"");
         }
     }
--- a/crates/heronbend-gateway/src/versions/duty.rs
+++ b/crates/heronbend-gateway/src/versions/duty.rs
@@ -331,7 +331,7 @@
             fence,
             expected_sequence: report.sequence,
         };
-        gateway.metrics.orders.inc();
+        gateway.metrics.load_commands.inc();
         let answer = self.call(&server, gateway.dialect.order_call(&order)).await;
         let status = answer.as_ref().map(|answer| answer.status);
         log::info!(
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -148,7 +148,7 @@
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             crash_servers(&gateway, 2);
-            wait_until("both crashes are detected", || gateway.metrics.servers_ended.get() == 2)
+            wait_until("both crashes are detected", || gateway.metrics.servers_crashed.get() == 2)
                 .await;
             assert_eq!(admit(&gateway).await, Ok(Pass::Alone));
         })
@@ -164,7 +164,7 @@
             let store = Rc::new(MemoryStore::default());
             let gateway = gateway("a", &store, &executor);
             crash_servers(&gateway, 2);
-            wait_until("both crashes are detected", || gateway.metrics.servers_ended.get() == 2)
+            wait_until("both crashes are detected", || gateway.metrics.servers_crashed.get() == 2)
                 .await;
             merge_crash_reports(&gateway, &["other"]);
             assert!(admit(&gateway).await.is_err());
