--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -137,7 +137,7 @@
 ) -> Result<Exchange, AttemptFailure> {
     let names = gateway.dialect.headers();
     if exchange.header(&names.request_id) != Some(outgoing.id.as_str()) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("foreign answer"));
     }
     let is_rejected = exchange.status == StatusCode::MISDIRECTED_REQUEST
@@ -149,7 +149,7 @@
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
     let is_encoded = exchange.headers.contains_key(http::header::CONTENT_ENCODING);
     if exchange.status.is_success() && (is_unsigned || is_encoded) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("unsigned answer"));
     }
     Ok(exchange)
@@ -200,13 +200,13 @@
         let metrics = &self.gateway.metrics;
         let outcome = match failure {
             AttemptFailure::NotRun => {
-                metrics.refusals.inc();
+                metrics.rejected_attempts.inc();
                 AttemptOutcome::Rejected
             }
             AttemptFailure::NotSent => AttemptOutcome::Unreachable,
             AttemptFailure::Held => AttemptOutcome::Abandoned,
             AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
-                metrics.failures.inc();
+                metrics.failed_attempts.inc();
                 AttemptOutcome::Failed
             }
         };
--- a/crates/heronbend-gateway/src/batch/ownership_manager.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_manager.rs
@@ -282,7 +282,7 @@
     );
     match written {
         Ok(object) => {
-            gateway.metrics.job_adopted(reason.name());
+            gateway.metrics.record_adoption(reason.name());
             job.is_new.set(false);
             gateway.jobs.upsert_object(&object);
             announce(gateway, &job.id, &job.ownership.borrow().0, object.revision, false);
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -265,7 +265,7 @@
     specification: &JobSpecification,
 ) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
-    let route = configuration.route(&specification.host, &specification.path)?;
+    let route = configuration.match_route(&specification.host, &specification.path)?;
     let owner = access::job_caller(&configuration, specification.tenant.as_deref());
     region_policy::allowed_regions(&configuration, route, &owner)
 }
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -58,7 +58,7 @@
         }
     }
     let latency = gateway.now().saturating_sub(arrived);
-    gateway.metrics.answered(&name, response.status().as_u16(), latency);
+    gateway.metrics.record_response(&name, response.status().as_u16(), latency);
     response
 }
 
@@ -118,7 +118,7 @@
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
-    let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
+    let Some(route) = configuration.match_route(host, head.uri.path()).cloned() else {
         if gateway.is_configuration_behind() {
             return ("none".to_owned(), reject_outdated(gateway, id));
         }
@@ -350,7 +350,7 @@
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if !route.is_repeatable() && not_run_statuses.contains(&upstream.status) {
+    if !route.is_idempotent() && not_run_statuses.contains(&upstream.status) {
         return text_response(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
     let mut response = HttpResponse::new(ResponseBody::full(upstream.body));
@@ -392,7 +392,7 @@
 
 /// Response to a request for which no server was available.
 fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> HttpResponse {
-    gateway.metrics.unplaced(rejection.reason);
+    gateway.metrics.record_unplaced(rejection.reason);
     not_run_retry_after("no server available", rejection.retry_after)
 }
 
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -193,7 +193,7 @@
             is_revocable: order.is_revocable,
         };
         let result = self.provider.order_servers(&call, &actor).await;
-        self.gateway.metrics.duty_called("scale", result.is_ok());
+        self.gateway.metrics.record_provider_call("scale", result.is_ok());
         let zone = zones.iter().find(|zone| zone.name == order.zone);
         log::info!(
             "event=servers_ordered service={service} zone={} revocable={} count={} on_demand={} revocable_there={} slowest_step={:.2} fence={fence} outcome={}",
--- a/crates/heronbend-gateway/src/failover_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -80,7 +80,7 @@
     /// A call without a result does not count as a failure of the path while other calls are answered.
     /// Throttled calls only count after [`MAX_CONSECUTIVE_THROTTLES`] in a row.
     fn record_result<T>(&self, kind: &str, result: &Result<T, StoreError>) {
-        self.metrics.store_call(metric_label(kind));
+        self.metrics.record_store_call(metric_label(kind));
         let now = self.clock.now();
         match result {
             Err(StoreError::Throttled) => {
--- a/crates/heronbend-gateway/src/forward.rs
+++ b/crates/heronbend-gateway/src/forward.rs
@@ -94,7 +94,7 @@
             .map_or(route.timeout, |client_timeout| client_timeout.min(route.timeout));
         Self {
             deadline: arrived + timeout,
-            is_idempotent: route.is_repeatable(),
+            is_idempotent: route.is_idempotent(),
             max_attempts: route.max_attempts.max(1),
             target_latency: route.target_latency,
             allowed_regions,
@@ -251,7 +251,7 @@
     fn take_retry_token(&self) -> bool {
         let within_budget = self.attempts_used == 0 || self.gateway.retries.borrow_mut().withdraw();
         if !within_budget {
-            self.gateway.metrics.retries_withheld.inc();
+            self.gateway.metrics.retries_suppressed.inc();
         }
         within_budget
     }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -233,7 +233,7 @@
                 SERVER_CONNECT_TIMEOUT,
                 {
                     let metrics = metrics.clone();
-                    move |reason| metrics.connection_opened(reason.name())
+                    move |reason| metrics.record_connection(reason.name())
                 },
             ),
             peer_connections: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
@@ -389,7 +389,7 @@
 
     /// Whether any route or tenant restricts the regions in which its requests run.
     pub fn restricts_regions(&self) -> bool {
-        self.configuration().is_some_and(|configuration| configuration.has_homes())
+        self.configuration().is_some_and(|configuration| configuration.restricts_regions())
     }
 
     /// Sets the region of each zone.
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -22,7 +22,7 @@
 //! - [`memory`]: memory budget for request bodies.
 //! - [`service`], [`retirement`], [`settings`], [`reload`]: programs and their settings.
 //! - [`logging`], [`metrics`]: logs and metrics.
-//! - [`explain`], [`steps`], [`day`], [`day_plot`]: log analysis.
+//! - [`explain`], [`steps`], [`fleet_summary`], [`summary_plot`]: log analysis.
 
 pub mod access;
 pub mod attempt;
@@ -31,8 +31,6 @@
 pub mod clock;
 pub mod compressed_update;
 pub mod configuration;
-pub mod day;
-pub mod day_plot;
 pub mod directory;
 pub mod dissemination;
 pub mod duties;
@@ -41,6 +39,7 @@
 pub mod events;
 pub mod explain;
 pub mod failover_store;
+pub mod fleet_summary;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
@@ -65,6 +64,7 @@
 pub mod slot_queue;
 pub mod steps;
 pub mod stream;
+pub mod summary_plot;
 pub mod traffic_split;
 pub mod upstream;
 pub mod versions;
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -106,7 +106,7 @@
         Some(grant) => (0, Some(grant.retry_after)),
         None => (0, Some(RETRY_DELAY)),
     };
-    gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
+    gateway.metrics.permits_received.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
         placer.record_permit_grant(now, demand.server, permits, valid_until, retry_after);
@@ -169,6 +169,6 @@
     };
     let limit = gateway.tuning().cold_margin.rate_limit(cold_limit);
     let grant = gateway.permits.issuer.borrow_mut().issue(now, server, permits, limit);
-    gateway.metrics.permits_lent.inc_by(u64::from(grant.permits));
+    gateway.metrics.permits_issued.inc_by(u64::from(grant.permits));
     Ok(grant)
 }
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -93,7 +93,7 @@
 /// Runs a daemon until a stop signal arrives and the daemon has drained.
 pub fn run(
     ready_path: ReadyPath,
-    source: reload::Source,
+    source: reload::SettingsSource,
     ports: impl FnOnce(Rc<LocalExecutor<'static>>) -> Ports,
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
@@ -110,7 +110,10 @@
     smol::block_on(executor.run(async move {
         gateway.members.bootstrap.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
-        gateway.executor.spawn(reload::follow(gateway.clone(), source, reload_signal)).detach();
+        gateway
+            .executor
+            .spawn(reload::watch_settings(gateway.clone(), source, reload_signal))
+            .detach();
         stop.wait().await;
         drain(&gateway, &callers).await;
         Ok(())
@@ -142,7 +145,7 @@
     if let Some(address) = addresses.metrics {
         let served = gateway.clone();
         let page = move |_| {
-            let page = served.metrics.page();
+            let page = served.metrics.encode();
             async move { bytes_response(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
@@ -378,7 +381,7 @@
     fn drop_malformed(&self, name: &str, error: &DialectError) {
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
         if self.malformed.borrow_mut().insert(name.to_owned()) {
-            self.gateway.metrics.server_entries_malformed.inc();
+            self.gateway.metrics.malformed_registrations.inc();
             log::warn!("event=server_malformed error=\"{error}\"");
         }
     }
@@ -477,12 +480,12 @@
     let zones: BTreeSet<String> = directory.all().map(|server| server.zone.clone()).collect();
     for zone in zones {
         let key = directory.placer.zone(&zone);
-        gateway.metrics.servers_cold(&zone, directory.placer.count_cold_servers(now, key));
+        gateway.metrics.set_cold_servers(&zone, directory.placer.count_cold_servers(now, key));
     }
 }
 
 fn log_counters(gateway: &Gateway) {
-    if let Some(line) = gateway.metrics.line() {
+    if let Some(line) = gateway.metrics.take_log_line() {
         log::info!("{line}");
     }
 }
--- a/crates/heronbend-gateway/src/slot_queue.rs
+++ b/crates/heronbend-gateway/src/slot_queue.rs
@@ -147,7 +147,7 @@
     (reason, behind): (Option<Exclusion>, usize),
 ) {
     let waited = gateway.now().saturating_sub(started_at);
-    gateway.metrics.place_wait.observe(waited.as_secs_f64());
+    gateway.metrics.slot_wait.observe(waited.as_secs_f64());
     if waited >= LONG_WAIT_LOG_THRESHOLD {
         log::info!(
             "event=item_waited item={item} server={} waited_ms={} behind={behind} servers={}",
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -339,7 +339,7 @@
             fence,
             expected_sequence: report.sequence,
         };
-        gateway.metrics.orders.inc();
+        gateway.metrics.load_commands.inc();
         let answer = self.call(&server, gateway.dialect.command_call(&command)).await;
         let status = answer.as_ref().map(|answer| answer.status);
         log::info!(
