--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -125,14 +125,14 @@
 fn validate(specification: &JobSpecification) -> Result<(), SubmitError> {
     let mut problems = Vec::new();
     if specification.items.is_empty() {
-        problems.push("the job has no items".to_owned());
+        problems.push("there are no items".to_owned());
     }
     for item in &specification.items {
         if !is_base64(&item.body) {
             problems.push(format!("item {}: the body is not base64", item.id));
         }
         if item.path.parse::<http::Uri>().is_err() {
-            problems.push(format!("item {}: the path is not a valid URI", item.id));
+            problems.push(format!("item {}: the path is malformed", item.id));
         }
     }
     if problems.is_empty() {
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -101,7 +101,7 @@
             ("end_job".to_owned(), end_job_response(ended))
         }
         Call::Forward | Call::Malformed(_) => {
-            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, "not a batch job call"))
+            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, "not a call of a job"))
         }
     }
 }
@@ -127,7 +127,7 @@
             head.uri.path(),
             configuration.version
         );
-        return ("none".to_owned(), text_response(StatusCode::NOT_FOUND, "no matching route"));
+        return ("none".to_owned(), text_response(StatusCode::NOT_FOUND, "no such route"));
     };
     let name = route.name.clone();
     let identified = route_caller(gateway, &configuration, &route, &head);
@@ -213,7 +213,7 @@
         gateway.configuration_version(),
         gateway.newest_peer_configuration.get()
     );
-    not_run("the configuration is outdated")
+    not_run("the configuration is behind")
 }
 
 /// Rejects a caller whose key may have been revoked.
@@ -223,7 +223,7 @@
         gateway.configuration_version(),
         gateway.configuration_age().as_millis()
     );
-    not_run("API keys cannot be verified because the configuration is stale")
+    not_run("it cannot be told whether the key is still held")
 }
 
 /// Identifies the caller of a routed request.
@@ -259,7 +259,7 @@
     let AcceptedRequest { head, body, reservation, caller, arrived } = request;
     let service = gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
     let Some(service) = service else {
-        return not_run("the route has no destination");
+        return not_run("the route has no service");
     };
     let names = gateway.dialect.headers();
     let client_timeout = headers::millis(&head.headers, &names.deadline_millis);
@@ -297,7 +297,7 @@
         Ok(response) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
-        Err(error) => text_response(error.status(), "no response from a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
@@ -337,7 +337,7 @@
         Ok(StreamResponse::Complete(response)) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
-        Err(error) => text_response(error.status(), "no response from a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
@@ -363,7 +363,7 @@
 fn body_error_response(error: &BodyError) -> HttpResponse {
     match error {
         BodyError::TooLarge(_) => {
-            text_response(StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large")
+            text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
         }
         BodyError::OutOfMemory => not_run("no memory for the body"),
         BodyError::Timeout => text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
@@ -393,13 +393,13 @@
 /// Response to a request for which no server was available.
 fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> HttpResponse {
     gateway.metrics.record_unplaced(rejection.reason);
-    not_run_retry_after("no server available", rejection.retry_after)
+    not_run_retry_after("no server took it", rejection.retry_after)
 }
 
 /// Response to a quarantined request.
 fn quarantined_response(refused: Refused) -> HttpResponse {
     not_run_retry_after(
-        "the request is quarantined because similar requests crashed servers",
+        "requests like this one ended the servers that ran them",
         refused.retry_after,
     )
 }
@@ -439,8 +439,8 @@
     );
     match submitted {
         Ok(()) => text_response(StatusCode::ACCEPTED, "accepted"),
-        Err(SubmitError::Unavailable) => not_run("the job could not be stored"),
-        Err(error) => text_response(error.status(), "the job was rejected"),
+        Err(SubmitError::Unavailable) => not_run("not taken"),
+        Err(error) => text_response(error.status(), "not accepted"),
     }
 }
 
@@ -473,15 +473,15 @@
 
 fn read_error_response(error: ReadError) -> HttpResponse {
     match error {
-        ReadError::NotFound => text_response(StatusCode::NOT_FOUND, "not found"),
-        ReadError::Unavailable => not_run("temporarily unavailable"),
+        ReadError::NotFound => text_response(StatusCode::NOT_FOUND, "there is no such thing"),
+        ReadError::Unavailable => not_run("it cannot be told now"),
     }
 }
 
 fn end_job_response(ended: Result<(), EndError>) -> HttpResponse {
     match ended {
         Ok(()) => text_response(StatusCode::OK, "ended"),
-        Err(EndError::NoSuchJob) => text_response(StatusCode::NOT_FOUND, "job not found"),
-        Err(EndError::Unavailable) => not_run("the end of the job could not be stored"),
+        Err(EndError::NoSuchJob) => text_response(StatusCode::NOT_FOUND, "there is no such job"),
+        Err(EndError::Unavailable) => not_run("the end could not be recorded"),
     }
 }
--- a/crates/heronbend-gateway/src/dissemination.rs
+++ b/crates/heronbend-gateway/src/dissemination.rs
@@ -421,7 +421,7 @@
     }
     let encode = || match replica.update_since(since, verification) {
         Some(update) => compressed_update::encode(&update),
-        None => Err(std::io::Error::other("no update available")),
+        None => Err(std::io::Error::other("there is no news")),
     };
     let key = CacheKey { since, at: replica.revision(), verification };
     match gateway.compressed_updates.get(kind, key, encode) {
--- a/crates/heronbend-gateway/src/peers/membership.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -295,10 +295,10 @@
     let mut memory = gateway.memory.reserve();
     let limits = BodyLimits { max_bytes: MAX_REQUEST_BYTES, idle_timeout: REQUEST_IDLE_TIMEOUT };
     let Ok(body) = read_body(request.into_body(), limits, &mut memory).await else {
-        return text_response(StatusCode::BAD_REQUEST, "incomplete body");
+        return text_response(StatusCode::BAD_REQUEST, "cut");
     };
     let Ok(request) = musli::wire::from_slice::<PeerRequest>(&body) else {
-        return text_response(StatusCode::BAD_REQUEST, "malformed request");
+        return text_response(StatusCode::BAD_REQUEST, "malformed");
     };
     let reply = match request {
         PeerRequest::RunJob { ownership, revision, specification } => {
@@ -333,8 +333,6 @@
 fn encode(reply: &PeerReply) -> HttpResponse {
     match musli::wire::to_vec(reply) {
         Ok(bytes) => bytes_response(StatusCode::OK, "application/octet-stream", Bytes::from(bytes)),
-        Err(_) => {
-            text_response(StatusCode::INTERNAL_SERVER_ERROR, "the reply could not be encoded")
-        }
+        Err(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "not encoded"),
     }
 }
--- a/crates/heronbend-gateway/src/peers/store_relay.rs
+++ b/crates/heronbend-gateway/src/peers/store_relay.rs
@@ -11,7 +11,7 @@
 /// Makes a call for a peer, on this daemon's direct path only.
 pub async fn handle(gateway: &Gateway, call: StoreCall) -> StoreReply {
     if !gateway.store.is_reachable() {
-        return StoreReply::NotDone("the relaying peer cannot reach the store either".to_owned());
+        return StoreReply::NotDone("the store is out of reach here too".to_owned());
     }
     gateway.metrics.record_store_call("relay");
     let store = gateway.store.direct();
--- a/crates/heronbend-gateway/src/stream.rs
+++ b/crates/heronbend-gateway/src/stream.rs
@@ -191,7 +191,7 @@
         match relay.next().await {
             Ok(Some(bytes)) => Some((Ok(bytes), (None, Some(relay)))),
             Ok(None) => None,
-            Err(_) => Some((Err(io::Error::other("stream interrupted")), (None, None))),
+            Err(_) => Some((Err(io::Error::other("the stream broke off")), (None, None))),
         }
     }))
 }
