--- a/crates/heronbend-daemon/src/duties/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/mod.rs
@@ -1,4 +1,5 @@
-//! The daemon's duties: one thread each, driving the library's state machines.
+//! Background tasks of the daemon. Each runs on its own thread and drives a state machine of the
+//! library.
 
 pub mod backends;
 pub mod membership;
@@ -15,30 +16,30 @@
 
 use smol::LocalExecutor;
 
-/// The executor of a duty's thread.
+/// Single-threaded executor of a task's thread.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Whether a thread looks for I/O events itself while it has nothing to do.
+/// Whether an idle thread polls the shared reactor for I/O events.
 ///
-/// All threads share one reactor, and an event found by another thread costs a wake-up. So only the
-/// threads that serve callers look for events; the duties are woken by them.
+/// An event found by another thread costs a wake-up, so only the latency-sensitive front threads
+/// poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Polling {
-    /// Looks for events.
+    /// Polls the reactor.
     Reactor,
-    /// Sleeps until woken.
+    /// Parks until woken.
     Parked,
 }
 
-/// Starts a duty's thread, which runs until the process ends.
-pub fn spawn_duty<F, D>(name: &str, polling: Polling, duty: D) -> std::io::Result<JoinHandle<()>>
+/// Spawns a named thread that runs a task on its own executor until the process exits.
+pub fn spawn_thread<F, D>(name: &str, polling: Polling, task: D) -> std::io::Result<JoinHandle<()>>
 where
     D: FnOnce(Executor) -> F + Send + 'static,
     F: Future<Output = ()>,
 {
     Builder::new().name(name.to_owned()).spawn(move || {
         let executor: Executor = Rc::new(LocalExecutor::new());
-        let work = executor.run(duty(executor.clone()));
+        let work = executor.run(task(executor.clone()));
         match polling {
             Polling::Reactor => smol::block_on(work),
             Polling::Parked => futures_lite::future::block_on(work),
--- a/crates/heronbend-gateway/src/batch/adoption.rs
+++ b/crates/heronbend-gateway/src/batch/adoption.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::peers::Standing;
+use crate::peers::PeerStatus;
 
 /// Time that each daemon in the takeover order has before it is the next one's turn.
 const TURN_DELAY: Duration = Duration::from_millis(800);
@@ -51,15 +51,15 @@
 ///
 /// Later daemons wait in case the first does not know the job or cannot reach the store.
 pub fn reason_for_position(
-    owner: Standing,
+    owner: PeerStatus,
     lost_for: Duration,
     position: usize,
 ) -> Option<AdoptionReason> {
     let (reason, grace) = match owner {
-        Standing::Alive => return None,
-        Standing::Silent => (AdoptionReason::Silent, Duration::ZERO),
-        Standing::Ended => (AdoptionReason::Ended, Duration::ZERO),
-        Standing::Unknown => (AdoptionReason::Unknown, UNKNOWN_OWNER_GRACE),
+        PeerStatus::Alive => return None,
+        PeerStatus::Unreachable => (AdoptionReason::Silent, Duration::ZERO),
+        PeerStatus::Terminated => (AdoptionReason::Ended, Duration::ZERO),
+        PeerStatus::Unknown => (AdoptionReason::Unknown, UNKNOWN_OWNER_GRACE),
     };
     let turn_delay = TURN_DELAY.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX));
     (lost_for >= grace.saturating_add(turn_delay)).then_some(reason)
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -25,19 +25,19 @@
 use super::specification::{Item, JobSpecification};
 use super::throughput::ThroughputMeter;
 use crate::access;
+use crate::attempt::{self, AttemptFailure, OutgoingRequest};
 use crate::configuration::{Configuration, Route};
 use crate::directory::Server;
-use crate::exchange::{self, AttemptFailure, Outgoing};
 use crate::gateway::Gateway;
-use crate::homes;
 use crate::http::client::{Exchange, ExchangeError};
-use crate::places;
-use crate::places::Placed;
 use crate::quarantine;
-use crate::quarantine::evidence;
-use crate::quarantine::passage;
+use crate::quarantine::admitted_request;
+use crate::quarantine::crash_detection;
 use crate::quarantine::Isolation;
-use crate::quarantine::Pass;
+use crate::quarantine::SendMode;
+use crate::region_policy;
+use crate::slot_queue;
+use crate::slot_queue::AssignedSlot;
 
 /// Timeout for the first event, including time in the server's queue.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -146,15 +146,21 @@
             };
             let requirements = self.requirements(&configuration, &route, &service);
             let urgency = self.urgency(&configuration, &route);
-            let Some(pass) = self.admit(&route).await else {
+            let Some(mode) = self.admit(&route).await else {
                 continue;
             };
-            self.restrict_servers(pass, &route);
+            self.restrict_servers(mode, &route);
             let history = self.history.clone();
-            let placed =
-                places::text(self.gateway, &self.item.id, requirements, urgency, history).await;
+            let placed = slot_queue::acquire_slot(
+                self.gateway,
+                &self.item.id,
+                requirements,
+                urgency,
+                history,
+            )
+            .await;
             // The item may have been quarantined while it waited for a slot.
-            if pass != Pass::Probe && self.is_quarantined(&route) {
+            if mode != SendMode::Probe && self.is_quarantined(&route) {
                 continue;
             }
             let events_before = self.last_event();
@@ -195,12 +201,12 @@
 
     /// Asks the quarantine whether the item may be sent. Returns `None` after a delay if it may
     /// not; a quarantined item is retried rather than terminated.
-    async fn admit(&mut self, route: &Route) -> Option<Pass> {
+    async fn admit(&mut self, route: &Route) -> Option<SendMode> {
         let admitted = quarantine::admit(self.gateway, || self.fingerprint(route)).await;
         let refused = match admitted {
-            Ok(pass) => {
+            Ok(mode) => {
                 self.hold_logged = false;
-                return Some(pass);
+                return Some(mode);
             }
             Err(refused) => refused,
         };
@@ -217,15 +223,15 @@
         None
     }
 
-    fn restrict_servers(&mut self, pass: Pass, route: &Route) {
+    fn restrict_servers(&mut self, mode: SendMode, route: &Route) {
         let mut history = std::mem::take(&mut self.history);
-        quarantine::keep_apart(self.gateway, pass, || self.fingerprint(route), &mut history);
+        quarantine::set_isolation(self.gateway, mode, || self.fingerprint(route), &mut history);
         self.history = history;
     }
 
     /// Whether an item that was admitted earlier has been quarantined since.
     fn is_quarantined(&self, route: &Route) -> bool {
-        !quarantine::may_go_on(self.gateway, || self.fingerprint(route))
+        !quarantine::may_retry(self.gateway, || self.fingerprint(route))
     }
 
     /// Identifies repeated submissions of the same request.
@@ -284,7 +290,7 @@
             route.destinations.iter().any(|part| part.service == *service && part.weight > 0)
         };
         if !self.service.as_ref().is_some_and(is_current) {
-            let selected = self.gateway.splitter.borrow_mut().next(route).map(str::to_owned);
+            let selected = self.gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
             self.service = selected;
         }
         self.service.clone()
@@ -301,16 +307,16 @@
         route: &Route,
         service: &str,
     ) -> Requirements {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
-        let allowed_regions = homes::of(configuration, route, &owner);
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
+        let allowed_regions = region_policy::allowed_regions(configuration, route, &owner);
         let step = self.specification.step.as_ref();
         let model = step.map(|step| (step.model.as_str(), step.min_version));
-        places::need(self.gateway, service, model, allowed_regions.as_ref())
+        slot_queue::requirements(self.gateway, service, model, allowed_regions.as_ref())
     }
 
     /// Queueing priority of the item.
     fn urgency(&self, configuration: &Configuration, route: &Route) -> Urgency {
-        let owner = access::owner_of_job(configuration, self.specification.tenant.as_deref());
+        let owner = access::job_caller(configuration, self.specification.tenant.as_deref());
         let remaining =
             self.gateway.length_estimator.borrow().expected_remaining(self.item, self.last_event());
         Urgency {
@@ -326,24 +332,25 @@
 
     async fn attempt(
         &mut self,
-        placed: Placed,
+        placed: AssignedSlot,
         requirements: Requirements,
         route: &Route,
     ) -> AttemptResult {
-        let Placed { server, version_status, counted, .. } = placed;
+        let AssignedSlot { server, version_status, guard, .. } = placed;
         let server = &server;
         let Some(outgoing) = self.outgoing(version_status, route) else {
             return AttemptResult::Unsendable;
         };
         let is_isolated = self.history.is_isolated;
-        let isolated = passage::isolate(self.gateway, server, &outgoing, is_isolated).await;
+        let isolated =
+            admitted_request::isolate(self.gateway, server, &outgoing, is_isolated).await;
         let Ok(isolation) = isolated else {
-            counted.fail(&AttemptFailure::Held);
+            guard.fail(&AttemptFailure::Held);
             return AttemptResult::Retry;
         };
         let first_event = self.last_event();
         let sent_at = self.gateway.now();
-        let answer = exchange::begin(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
+        let answer = attempt::send(self.gateway, server, &outgoing, ATTEMPT_TIMEOUT);
         let answer = answer.or(async {
             Timer::after(FIRST_EVENT_TIMEOUT).await;
             Err(AttemptFailure::Unknown("no head in time"))
@@ -353,21 +360,21 @@
             Err(failure) => {
                 self.log_attempt(server, &format!("{failure:?}"), 0);
                 if matches!(failure, AttemptFailure::BrokenOff) {
-                    evidence::note_break(self.gateway, server, &outgoing, 0);
+                    crash_detection::note_broken_connection(self.gateway, server, &outgoing, 0);
                 }
-                counted.fail(&failure);
+                guard.fail(&failure);
                 return AttemptResult::Retry;
             }
         };
         if exchange.status != StatusCode::OK {
             let status = exchange.status;
-            quarantine::note_answer(self.gateway, &outgoing, status);
+            quarantine::note_response(self.gateway, &outgoing, status);
             self.log_attempt(server, status.as_str(), 0);
             // Record failures: a server that fails every request is always idle and would attract
             // more.
             let is_failure = status == StatusCode::INTERNAL_SERVER_ERROR;
             let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Abandoned };
-            counted.end(end);
+            guard.end(end);
             return match status {
                 StatusCode::UNPROCESSABLE_ENTITY => AttemptResult::Unsendable,
                 StatusCode::INTERNAL_SERVER_ERROR => AttemptResult::Failed,
@@ -382,22 +389,27 @@
         let events = self.last_event().saturating_sub(first_event);
         match outcome {
             Ok(()) => {
-                let per_event = counted.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
-                counted.end(AttemptOutcome::Succeeded(per_event));
-                quarantine::note_answer(self.gateway, &outgoing, StatusCode::OK);
+                let per_event = guard.elapsed() / u32::try_from(events.max(1)).unwrap_or(1);
+                guard.end(AttemptOutcome::Succeeded(per_event));
+                quarantine::note_response(self.gateway, &outgoing, StatusCode::OK);
                 AttemptResult::Complete
             }
             Err(reason @ (OUTPACED | EVACUATED)) => {
                 self.log_attempt(server, reason, events);
-                counted.end(AttemptOutcome::Abandoned);
+                guard.end(AttemptOutcome::Abandoned);
                 AttemptResult::Retry
             }
             Err(reason) => {
                 self.log_attempt(server, reason, events);
-                if exchange::is_break(reason) {
-                    evidence::note_break(self.gateway, server, &outgoing, events);
+                if attempt::is_connection_loss(reason) {
+                    crash_detection::note_broken_connection(
+                        self.gateway,
+                        server,
+                        &outgoing,
+                        events,
+                    );
                 }
-                counted.fail(&AttemptFailure::Unknown(reason));
+                guard.fail(&AttemptFailure::Unknown(reason));
                 AttemptResult::Retry
             }
         }
@@ -413,7 +425,7 @@
         );
     }
 
-    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<Outgoing> {
+    fn outgoing(&self, version_status: VersionStatus, route: &Route) -> Option<OutgoingRequest> {
         let names = self.gateway.dialect.headers();
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -422,8 +434,8 @@
         }
         let configuration = self.gateway.configuration()?;
         let tenant = self.specification.tenant.as_deref();
-        let owner = access::owner_of_job(&configuration, tenant);
-        access::set_tenant(&mut headers, &names.tenant, &owner);
+        let owner = access::job_caller(&configuration, tenant);
+        access::set_tenant_header(&mut headers, &names.tenant, &owner);
         let priority = access::priority(&configuration, &owner, route).min(MAX_SERVER_PRIORITY);
         headers.insert(names.priority.clone(), HeaderValue::from(u16::from(priority)));
         headers.insert(names.request_id.clone(), HeaderValue::from_str(&self.item.id).ok()?);
@@ -435,13 +447,13 @@
         if let VersionStatus::Expected(version) = version_status {
             headers.insert(names.expected_version.clone(), HeaderValue::from(version));
         }
-        Some(Outgoing {
+        Some(OutgoingRequest {
             id: self.item.id.clone(),
             method: Method::POST,
             target: self.item.path.parse().ok()?,
             headers,
             body: self.item.decoded_body(),
-            hold: None,
+            reservation: None,
             billing: None,
             fingerprint: OnceCell::new(),
         })
@@ -501,9 +513,9 @@
                 }
                 Ok(None) if self.last_event() == 0 => break Err("no events"),
                 Ok(None) if reader.is_between_events() => break Ok(()),
-                Ok(None) => break Err(exchange::CUT),
+                Ok(None) => break Err(attempt::TRUNCATED),
                 Err(ExchangeError::Timeout) => break Err("silent"),
-                Err(_) => break Err(exchange::BROKEN_OFF),
+                Err(_) => break Err(attempt::CONNECTION_BROKEN),
             }
             if !self.satisfies_versions(route) {
                 break Err("versions do not fit");
@@ -516,7 +528,7 @@
             *self.text.borrow_mut() = ItemText::default();
         }
         if outcome.is_ok() {
-            exchange.keep();
+            exchange.return_to_pool();
         }
         outcome
     }
--- a/crates/heronbend-gateway/src/batch/ownership_manager.rs
+++ b/crates/heronbend-gateway/src/batch/ownership_manager.rs
@@ -21,11 +21,11 @@
 use super::runner::start_owned_jobs;
 use crate::dissemination;
 use crate::gateway::Gateway;
-use crate::homes;
-use crate::mirror::{list_all, wait_for_store};
-use crate::news_way::Way;
-use crate::peers::{client, introduction, Hint, PeerReply, PeerRequest, Standing, INTRODUCTION};
+use crate::peers::{bootstrap, client, Hint, PeerReply, PeerRequest, PeerStatus, MEMBERSHIP_GRACE};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::{list_all, wait_for_store};
+use crate::region_policy;
+use crate::upstream::Upstream;
 use crate::wait;
 
 /// Interval between checks for jobs without a live owner.
@@ -50,11 +50,11 @@
 
 /// Loads the ownerships whenever hints may have been missed. Runs for the lifetime of the daemon.
 pub async fn refresh_ownerships(gateway: Rc<Gateway>) {
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     let mut failures = 0;
     let mut was_requested = false;
     loop {
-        let doubted = gateway.watches_doubted.listen();
+        let doubted = gateway.restart_watches.listen();
         let requested = gateway.jobs.reload_requested.listen();
         match load_ownerships(&gateway, was_requested).await {
             Ok(()) => {
@@ -85,16 +85,16 @@
 /// has no such peer or `from_store` is set.
 async fn load_ownerships(gateway: &Rc<Gateway>, from_store: bool) -> Result<(), StoreError> {
     if !from_store {
-        match dissemination::way(gateway) {
-            Way::Store => {}
-            Way::Watchers(watchers) => {
+        match dissemination::select_upstream(gateway) {
+            Upstream::Store => {}
+            Upstream::Peers(watchers) => {
                 for watcher in watchers {
-                    if introduction::learn_jobs_of(gateway, &watcher).await {
+                    if bootstrap::fetch_jobs_from(gateway, &watcher).await {
                         return Ok(());
                     }
                 }
             }
-            Way::Outage => {
+            Upstream::Unavailable => {
                 return Err(StoreError::NotDone(
                     "the watching daemons cannot reach the store".into(),
                 ))
@@ -144,7 +144,7 @@
     is_new: bool,
 ) {
     let (job, ownership) = (job.to_owned(), ownership.clone());
-    gateway.members.tell_all(Hint::JobOwned { job, ownership, revision, is_new });
+    gateway.members.broadcast(Hint::JobOwned { job, ownership, revision, is_new });
 }
 
 /// Applies an ownership announced by another daemon.
@@ -175,7 +175,7 @@
 pub async fn watch_ownership(gateway: &Rc<Gateway>, job: &Job) {
     loop {
         // If peers suspected this daemon, its jobs may have been adopted.
-        wait::at_most(OWNERSHIP_CHECK_INTERVAL, gateway.members.was_doubted.listen()).await;
+        wait::at_most(OWNERSHIP_CHECK_INTERVAL, gateway.members.suspicion_refuted.listen()).await;
         let checked_at = gateway.now();
         if let Ok(Some(object)) = gateway.store.get(OWNERSHIPS, &job.id).await {
             gateway.jobs.upsert_object(&object);
@@ -191,7 +191,7 @@
 
 /// Periodically takes over jobs whose owner is lost and for which it is this daemon's turn.
 pub async fn adopt_orphans(gateway: Rc<Gateway>) {
-    Timer::after(INTRODUCTION).await;
+    Timer::after(MEMBERSHIP_GRACE).await;
     loop {
         for job in gateway.jobs.all() {
             let Some(reason) = adoption_reason(&gateway, &job) else {
@@ -212,8 +212,8 @@
 fn adoption_reason(gateway: &Gateway, job: &Job) -> Option<AdoptionReason> {
     let (owner, this_node) = (job.owner(), &gateway.identity.node);
     let is_open = !job.ended.get() && !job.is_complete();
-    let standing = gateway.members.standing(&owner);
-    if !is_open || owner == *this_node || standing == Standing::Alive {
+    let standing = gateway.members.status_of(&owner);
+    if !is_open || owner == *this_node || standing == PeerStatus::Alive {
         job.orphaned_since.set(None);
         return None;
     }
@@ -265,7 +265,7 @@
 /// Takes over a job unless its ownership has changed concurrently.
 pub async fn adopt(gateway: &Rc<Gateway>, job: &Rc<Job>, reason: AdoptionReason) {
     let (former, revision) = job.ownership.borrow().clone();
-    if !homes::allow(former.homes.as_ref(), &gateway.identity.region) {
+    if !region_policy::allows(former.homes.as_ref(), &gateway.identity.region) {
         log::warn!("event=job_not_adopted job={} reason=outside_homes", job.id);
         return;
     }
--- a/crates/heronbend-gateway/src/batch/reward_limit.rs
+++ b/crates/heronbend-gateway/src/batch/reward_limit.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::gateway::Gateway;
-use crate::places;
+use crate::slot_queue;
 use crate::wait;
 
 /// Reward calls in flight per slot of the service's servers.
@@ -42,7 +42,7 @@
 /// Maximum number of reward calls in flight from this daemon to a service: an equal share of the
 /// total among all owners of running jobs.
 pub fn limit(gateway: &Gateway, service: &str) -> u32 {
-    let requirements = places::need(gateway, service, None, None);
+    let requirements = slot_queue::requirements(gateway, service, None, None);
     let slots = gateway.directory.borrow().placer.total_slots(gateway.now(), &requirements);
     let jobs = gateway.jobs.all();
     let open = jobs.iter().filter(|job| !job.ended.get() && !job.is_complete());
--- a/crates/heronbend-gateway/src/batch/runner.rs
+++ b/crates/heronbend-gateway/src/batch/runner.rs
@@ -11,8 +11,8 @@
 use super::specification::JobSpecification;
 use super::{appender, checkpoint, item_run, ownership_manager};
 use crate::gateway::Gateway;
-use crate::mirror::backoff;
 use crate::ports::{ObjectStore, StoreError};
+use crate::reflector::backoff;
 
 /// Starts all jobs that this daemon owns and is not running yet.
 pub fn start_owned_jobs(gateway: &Rc<Gateway>) {
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -23,10 +23,10 @@
 use super::specification::{is_base64, JobSpecification};
 use crate::access;
 use crate::gateway::Gateway;
-use crate::homes;
-use crate::mirror::backoff;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::backoff;
+use crate::region_policy;
 
 /// Bytes reserved in an object for metadata besides the specification.
 const OBJECT_OVERHEAD: usize = 4 * 1024;
@@ -229,7 +229,7 @@
     specification: JobSpecification,
     is_submitted_here: bool,
 ) -> PeerReply {
-    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reached();
+    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reachable();
     if ownership.owner != gateway.identity.node || !(accepts_jobs || is_submitted_here) {
         return PeerReply::NotOwner;
     }
@@ -266,8 +266,8 @@
 ) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
     let route = configuration.match_route(&specification.host, &specification.path)?;
-    let owner = access::owner_of_job(&configuration, specification.tenant.as_deref());
-    homes::of(&configuration, route, &owner)
+    let owner = access::job_caller(&configuration, specification.tenant.as_deref());
+    region_policy::allowed_regions(&configuration, route, &owner)
 }
 
 /// The owner of the newest job of each model.
--- a/crates/heronbend-gateway/src/clock.rs
+++ b/crates/heronbend-gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock that rights and deadlines are judged by.
+//! Clock for leases and deadlines.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,24 +8,24 @@
 use heronbend::Moment;
 use heronbend_net::boot_clock::BootClock;
 
-/// Tells the time since the daemon's start.
+/// Measures the time since the daemon started.
 #[derive(Clone)]
 pub struct Clock(Rc<dyn Fn() -> Moment>);
 
 impl Clock {
-    /// The system's clock, from now on. It counts the time for which the machine is suspended: what
-    /// others may do meanwhile does not wait.
+    /// Creates a clock that starts now. It includes the time during which the machine is suspended,
+    /// since leases expire and peers take over meanwhile.
     pub fn system() -> Self {
         let clock = BootClock::start();
         Self(Rc::new(move || clock.elapsed()))
     }
 
-    /// A clock that is told the time.
-    pub fn told(now: impl Fn() -> Moment + 'static) -> Self {
+    /// Creates a clock that reads the time from `now`.
+    pub fn from_fn(now: impl Fn() -> Moment + 'static) -> Self {
         Self(Rc::new(now))
     }
 
-    /// Time since the start.
+    /// Time since the start of the daemon.
     pub fn now(&self) -> Moment {
         (self.0)()
     }
@@ -37,37 +37,39 @@
     }
 }
 
-/// Longest difference between the two clocks that is no suspension: they are read one after the other.
-const READING_GAP: Duration = Duration::from_millis(200);
+/// Maximum difference between the two clocks that is not a suspension; they are not read at the
+/// same instant.
+const MAX_READ_GAP: Duration = Duration::from_millis(200);
 
-/// Notices suspensions: the steady clock, by which waits go, falls behind.
+/// Detects suspensions of the machine, during which the monotonic clock is paused and the boot
+/// clock is not.
 #[derive(Debug)]
-pub struct SuspensionWatch {
-    steady: Instant,
-    full: Moment,
+pub struct SuspensionDetector {
+    monotonic: Instant,
+    boot: Moment,
 }
 
-impl SuspensionWatch {
-    /// A watch that begins now.
+impl SuspensionDetector {
+    /// Creates a detector that starts now.
     pub fn new(clock: &Clock) -> Self {
-        Self { steady: steady_now(), full: clock.now() }
+        Self { monotonic: monotonic_now(), boot: clock.now() }
     }
 
-    /// How long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, clock: &Clock) -> Option<Duration> {
+    /// Returns how long the machine was suspended since the last check, if it was.
+    pub fn check(&mut self, clock: &Clock) -> Option<Duration> {
         let next = Self::new(clock);
-        let by_steady = next.steady.duration_since(self.steady);
-        let suspended = (next.full - self.full).saturating_sub(by_steady);
+        let monotonic_elapsed = next.monotonic.duration_since(self.monotonic);
+        let suspended = (next.boot - self.boot).saturating_sub(monotonic_elapsed);
         *self = next;
-        (suspended > READING_GAP).then_some(suspended)
+        (suspended > MAX_READ_GAP).then_some(suspended)
     }
 }
 
-/// The clock of the timers, which stands still while the machine is suspended.
+/// Reads the monotonic clock, which timers use and which is paused while the machine is suspended.
 #[expect(
     clippy::disallowed_methods,
     reason = "it is told apart from the clock that all else goes by"
 )]
-pub fn steady_now() -> Instant {
+pub fn monotonic_now() -> Instant {
     Instant::now()
 }
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -1,4 +1,4 @@
-//! Orders servers, at the daemon that holds the lease for duties.
+//! Scales services by ordering servers, at the daemon that holds the lease.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use heronbend::Moment;
 use smol::Timer;
 
-use super::line;
+use super::takeover;
 use crate::batch::registry::Job;
 use crate::configuration::Configuration;
 use crate::configuration::RouteKind;
 use crate::configuration::Scaling;
 use crate::directory::ServerState;
 use crate::gateway::Gateway;
-use crate::lease_keeper::LeaseKeeper;
+use crate::lease_manager::LeaseManager;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -33,20 +33,20 @@
 use crate::ports::ServerOrder;
 use crate::ports::StoreError;
 
-/// Kind of the records of what was ordered; their names are those of the services.
+/// Kind of the planner state records, which are named by service.
 const RECORD_KIND: &str = "heronbend-scaling";
-/// Time between two looks at what is to be ordered. Servers take longer to start.
-const LOOK: Duration = Duration::from_secs(1);
-/// Time after the start, or after the store answers again, in which nothing is ordered: entries of
-/// servers come back within two seconds.
-const SETTLING: Duration = Duration::from_secs(5);
-/// Steps that ended within this time are looked at.
-const RECENT: Duration = Duration::from_secs(10);
-/// How many revocable servers are ordered.
+/// Interval between plans. Shorter than the start time of a server.
+const PLANNING_PERIOD: Duration = Duration::from_secs(1);
+/// Time after a start or store outage during which nothing is ordered, so that servers can register
+/// again.
+const STABILIZATION_TIME: Duration = Duration::from_secs(5);
+/// How long completed steps are considered.
+const RECENT_STEP_WINDOW: Duration = Duration::from_secs(10);
+/// Policy for revocable servers.
 const POLICY: Policy = Policy::OnDemandOnly;
 
-/// What is known of the orders of one service.
-struct Plan {
+/// Planner of one service, and the revision of its stored state.
+struct ServicePlan {
     planner: Planner,
     revision: Option<Revision>,
 }
@@ -54,51 +54,58 @@
 struct Scaler {
     gateway: Rc<Gateway>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
-    plans: BTreeMap<String, Plan>,
-    /// When a step was last seen to be near its limit.
-    pressed: Moment,
+    lease: Rc<LeaseManager>,
+    plans: BTreeMap<String, ServicePlan>,
+    /// When a step was last seen near its deadline.
+    last_pressure: Moment,
 }
 
-/// Runs until the daemon ends.
-pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseKeeper>) {
-    gateway.members.introduction.wait().await;
+/// Runs until the daemon stops.
+pub async fn run(gateway: Rc<Gateway>, provider: Rc<dyn Provider>, lease: Rc<LeaseManager>) {
+    gateway.members.bootstrap.wait().await;
     let mut scaler =
-        Scaler { gateway, provider, lease, plans: BTreeMap::new(), pressed: Moment::ZERO };
+        Scaler { gateway, provider, lease, plans: BTreeMap::new(), last_pressure: Moment::ZERO };
     loop {
-        Timer::after(LOOK).await;
-        if scaler.is_settled() && line::is_first(&scaler.gateway) {
-            scaler.look().await;
+        Timer::after(PLANNING_PERIOD).await;
+        if scaler.is_stable() && takeover::is_first(&scaler.gateway) {
+            scaler.scale_all().await;
         } else {
-            // Whoever orders meanwhile writes what it ordered.
+            // Another daemon may order servers now; its state is read from the store later.
             scaler.plans.clear();
         }
     }
 }
 
 impl Scaler {
-    fn is_settled(&self) -> bool {
+    fn is_stable(&self) -> bool {
         let gateway = &self.gateway;
-        let since = gateway.store_reached_since.get();
-        gateway.is_ready() && gateway.store.is_reached() && gateway.now() >= since + SETTLING
+        let since = gateway.store_reachable_since.get();
+        gateway.is_ready()
+            && gateway.store.is_reachable()
+            && gateway.now() >= since + STABILIZATION_TIME
     }
 
-    async fn look(&mut self) {
+    async fn scale_all(&mut self) {
         let Some(configuration) = self.gateway.configuration() else {
             return;
         };
         for service in configuration.services.values() {
             if let Some(scaling) = &service.scaling {
-                self.look_at(&configuration, &service.name, scaling).await;
+                self.scale_service(&configuration, &service.name, scaling).await;
             }
         }
     }
 
-    async fn look_at(&mut self, configuration: &Configuration, service: &str, scaling: &Scaling) {
+    async fn scale_service(
+        &mut self,
+        configuration: &Configuration,
+        service: &str,
+        scaling: &Scaling,
+    ) {
         let zones = self.zones(service, scaling);
         let demand = self.demand(configuration, service);
         if !self.plans.contains_key(service) {
-            let Some(plan) = self.read(service).await else {
+            let Some(plan) = self.load_plan(service).await else {
                 return;
             };
             self.plans.insert(service.to_owned(), plan);
@@ -109,30 +116,30 @@
         let mut has_changed = plan.planner.record_floor(&zones);
         let now = self.gateway.now();
         for order in plan.planner.plan(now, &scaling.spec, &zones, demand) {
-            // Nothing is sent there: servers would be paid for and stand idle.
+            // No requests are sent to an evacuated zone, so new servers would be idle.
             if self.gateway.evacuated.borrow().contains(&order.zone) {
                 continue;
             }
-            if !self.lease.ensure().await {
+            if !self.lease.acquire_or_renew().await {
                 break;
             }
-            let outcome = self.give(service, &order, &zones, demand).await;
+            let outcome = self.send_order(service, &order, &zones, demand).await;
             plan.planner.record_outcome(self.gateway.now(), &order, outcome);
             has_changed |= outcome == OrderOutcome::Accepted && order.is_revocable;
         }
-        if !has_changed || self.write(service, &mut plan).await {
+        if !has_changed || self.save_plan(service, &mut plan).await {
             self.plans.insert(service.to_owned(), plan);
         }
     }
 
-    /// The servers of a service by zone, as they are listed.
+    /// The ready servers of a service by zone.
     fn zones(&self, service: &str, scaling: &Scaling) -> Vec<Zone> {
         let directory = self.gateway.directory.borrow();
-        let listed = directory
+        let ready = directory
             .all()
             .filter(|server| server.service == service && server.state == ServerState::Ready);
         let mut zones: BTreeMap<&str, Zone> = BTreeMap::new();
-        for server in listed {
+        for server in ready {
             let zone = zones.entry(&server.zone).or_insert_with(|| Zone {
                 name: server.zone.clone(),
                 price: scaling.zone_prices.get(&server.zone).copied().unwrap_or(1.0),
@@ -148,10 +155,10 @@
         zones.into_values().collect()
     }
 
-    /// How near to their limit the steps of a service are.
+    /// How close the steps of a service are to their deadline.
     fn demand(&mut self, configuration: &Configuration, service: &str) -> Demand {
         let now = self.gateway.now();
-        let due = configuration
+        let deadline = configuration
             .routes
             .iter()
             .filter(|route| route.kind == RouteKind::Rollout)
@@ -160,14 +167,15 @@
             .min();
         let jobs = self.gateway.jobs.all();
         let times = jobs.iter().filter_map(|job| step_time(job, now));
-        let slowest_step = due.zip(times.max()).map(|(due, time)| time.div_duration_f64(due));
+        let slowest_step =
+            deadline.zip(times.max()).map(|(deadline, time)| time.div_duration_f64(deadline));
         if slowest_step.is_some_and(|share| share > NEAR_DEADLINE) {
-            self.pressed = now;
+            self.last_pressure = now;
         }
-        Demand { slowest_step, calm_for: now.saturating_sub(self.pressed) }
+        Demand { slowest_step, calm_for: now.saturating_sub(self.last_pressure) }
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         service: &str,
         order: &Order,
@@ -184,39 +192,39 @@
             count: order.count,
             is_revocable: order.is_revocable,
         };
-        let given = self.provider.order_servers(&call, &actor).await;
-        self.gateway.metrics.record_provider_call("scale", given.is_ok());
-        let there = zones.iter().find(|zone| zone.name == order.zone);
+        let result = self.provider.order_servers(&call, &actor).await;
+        self.gateway.metrics.record_provider_call("scale", result.is_ok());
+        let zone = zones.iter().find(|zone| zone.name == order.zone);
         log::info!(
             "event=servers_ordered service={service} zone={} revocable={} count={} on_demand={} revocable_there={} slowest_step={:.2} fence={fence} outcome={}",
             order.zone,
             order.is_revocable,
             order.count,
-            there.map_or(0, |zone| zone.on_demand),
-            there.map_or(0, |zone| zone.revocable),
+            zone.map_or(0, |zone| zone.on_demand),
+            zone.map_or(0, |zone| zone.revocable),
             demand.slowest_step.unwrap_or_default(),
-            given.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
+            result.as_ref().map_or_else(ToString::to_string, |()| "done".to_owned())
         );
-        match given {
+        match result {
             Ok(()) => OrderOutcome::Accepted,
-            // It would be refused again: the same rest as where there are none.
-            Err(ProviderError::NoneToBeHad | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
+            // A retry would be rejected too, so back off as if there were no capacity.
+            Err(ProviderError::NoCapacity | ProviderError::Refused(_)) => OrderOutcome::NoCapacity,
             Err(ProviderError::Fenced) => {
-                self.lease.lost_track();
+                self.lease.invalidate();
                 OrderOutcome::Failed
             }
             Err(ProviderError::NotDone(_) | ProviderError::Unknown(_)) => OrderOutcome::Failed,
         }
     }
 
-    /// What was ordered before; nothing where the store does not tell.
-    async fn read(&self, service: &str) -> Option<Plan> {
+    /// Reads the stored planner state. Returns `None` if the store fails or the record is malformed.
+    async fn load_plan(&self, service: &str) -> Option<ServicePlan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
                 let planner = Planner::new(POLICY, PlannerState::default());
-                Some(Plan { planner, revision: None })
+                Some(ServicePlan { planner, revision: None })
             }
-            Ok(Some(object)) => plan_of(&object),
+            Ok(Some(object)) => parse_plan(&object),
             Err(error) => {
                 log::warn!("event=scaling_not_read service={service} error=\"{error}\"");
                 None
@@ -224,8 +232,8 @@
         }
     }
 
-    /// Writes what was ordered; false when it has to be read again.
-    async fn write(&self, service: &str, plan: &mut Plan) -> bool {
+    /// Writes the planner state. Returns false if it has to be read again.
+    async fn save_plan(&self, service: &str, plan: &mut ServicePlan) -> bool {
         let content = serde_json::json!(plan.planner.state());
         let store = &self.gateway.store;
         let written = match plan.revision {
@@ -246,11 +254,11 @@
     }
 }
 
-fn plan_of(object: &Object) -> Option<Plan> {
+fn parse_plan(object: &Object) -> Option<ServicePlan> {
     match serde_json::from_value::<PlannerState>(object.content.clone()) {
-        Ok(memory) => {
-            let planner = Planner::new(POLICY, memory);
-            Some(Plan { planner, revision: Some(object.revision) })
+        Ok(state) => {
+            let planner = Planner::new(POLICY, state);
+            Some(ServicePlan { planner, revision: Some(object.revision) })
         }
         Err(error) => {
             log::error!("event=scaling_malformed service={} error=\"{error}\"", object.name);
@@ -259,11 +267,11 @@
     }
 }
 
-/// Time that a trainer's step has taken, if it is under way or ended a moment ago.
+/// Duration of a trainer's step so far, if it is in progress or ended recently.
 fn step_time(job: &Job, now: Moment) -> Option<Duration> {
     job.ownership.borrow().0.model.as_ref()?;
     match job.ended_at.get() {
-        Some(ended) if now.saturating_sub(ended) > RECENT => None,
+        Some(ended) if now.saturating_sub(ended) > RECENT_STEP_WINDOW => None,
         Some(ended) => Some(ended.saturating_sub(job.first_seen)),
         None => Some(now.saturating_sub(job.first_seen)),
     }
--- a/crates/heronbend-gateway/src/gateway.rs
+++ b/crates/heronbend-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
-//! What the parts of one daemon share.
+//! Shared state of one gateway daemon.
 //!
-//! A daemon runs on one thread: on its machines only one thread runs at a time, and each wake-up is
-//! paid for. Nothing is locked; a part borrows what it needs and never holds it across a wait.
+//! A daemon is single-threaded: all tasks run on one local executor, so the state uses `Cell` and
+//! `RefCell` instead of locks. No borrow may be held across an `await`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,173 +29,173 @@
 use crate::batch::read_pacing::ReadPacer;
 use crate::batch::registry::JobRegistry;
 use crate::clock::Clock;
+use crate::compressed_update::UpdateCache;
 use crate::configuration::Configuration;
 use crate::directory::Directory;
-use crate::dissemination::Telling;
-use crate::duties::book::Book;
-use crate::duties::book::Terms;
-use crate::homes;
+use crate::dissemination::UpdateAge;
+use crate::duties::usage::ReportingSchedule;
+use crate::duties::usage::UsageTracker;
+use crate::failover_store::FailoverStore;
 use crate::http::client::ConnectionPool;
-use crate::lease_news::LeaseName;
-use crate::lease_news::LeaseNews;
-use crate::memory::Budget;
+use crate::lease_state::LeaseName;
+use crate::lease_state::LeaseState;
+use crate::memory::MemoryBudget;
 use crate::metrics::Metrics;
-use crate::news_way::Way;
-use crate::packed_news::Texts;
 use crate::peers::Peers;
-use crate::permits::ColdMargin;
+use crate::permits::ColdStartMargin;
 use crate::permits::Permits;
-use crate::places::Places;
 use crate::ports::{Dialect, Ports, Provider};
 use crate::quarantine::Quarantine;
-use crate::relayed_store::RelayedStore;
+use crate::region_policy;
 use crate::replica::Replica;
-use crate::split::Splitter;
-use crate::versions::board::VersionBoard;
+use crate::slot_queue::SlotQueue;
+use crate::traffic_split::TrafficSplitter;
+use crate::upstream::Upstream;
+use crate::versions::published::PublishedVersions;
 
-/// Longest wait for a connection to a server.
+/// Timeout for connecting to a server.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest wait for a connection to a peer.
+/// Timeout for connecting to a peer.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Who this daemon is.
+/// Identity of a daemon.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Name of the machine's daemon and the run of its process.
+    /// Node name and incarnation of the process.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
 }
 
-/// Time constants that the surroundings set.
+/// Deployment-specific limits and timeouts.
 #[derive(Debug, Clone, Copy)]
 pub struct Tuning {
-    /// Pause between the last order of one holder of the lease and the first of another.
+    /// Delay between the last command of one lease holder and the first command of the next.
     pub lease_pause: Duration,
-    /// How long results stay readable after a job has ended.
+    /// How long the results of a finished job stay readable.
     pub result_retention: Duration,
-    /// Most bytes of clients' bodies that are held at once.
-    pub max_held_bytes: usize,
-    /// Largest object that the store takes, in bytes.
+    /// Maximum total size of buffered client request bodies, in bytes.
+    pub max_buffered_bytes: usize,
+    /// Maximum size of an object in the store, in bytes.
     pub max_object_bytes: usize,
-    /// Longest time from the signal to stop until the process is gone.
+    /// Maximum time from the stop signal to the exit of the process.
     pub stop_limit: Duration,
-    /// Time within which a server that leaves has to be known everywhere.
+    /// Time within which all daemons must learn that a server is draining.
     pub drain_notice: Duration,
-    /// Time within which a configuration has to be in force everywhere.
+    /// Time within which all daemons must apply a new configuration.
     pub configuration_notice: Duration,
-    /// How usage is to be reported, if it is.
-    pub usage: Option<Terms>,
-    /// Time without news of the configuration after which callers with keys are refused; never
-    /// where there is none.
-    pub closes_after: Option<Duration>,
-    /// Thousandths of a core that the process may use; 0 where that is not stated.
+    /// Schedule of usage reports; `None` if usage isn't reported.
+    pub usage: Option<ReportingSchedule>,
+    /// Age of an unconfirmed configuration beyond which requests with API keys are rejected; `None`
+    /// disables the check.
+    pub max_configuration_age: Option<Duration>,
+    /// CPU limit of the process in millicores; 0 if unknown.
     pub processor_millis: u32,
-    /// Whether servers are to be ordered.
-    pub scales: bool,
-    /// Time within which nothing goes to an evacuated zone any more; nothing where zones are never
-    /// evacuated.
+    /// Whether this daemon takes part in scaling the fleet.
+    pub scaling_enabled: bool,
+    /// Time within which all daemons must stop sending requests to an evacuated zone; `None` if
+    /// zones are never evacuated.
     pub evacuation_notice: Option<Duration>,
-    /// How much more than it bears a cold server may get.
-    pub cold_margin: ColdMargin,
-    /// When requests that end their servers are refused, and tried again.
+    /// How far the request rate of a cold server may exceed its limit.
+    pub cold_margin: ColdStartMargin,
+    /// Thresholds for quarantining requests that crash servers.
     pub quarantine: Limits,
 }
 
 /// Shared state of one daemon.
 pub struct Gateway {
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub identity: Identity,
-    /// Where everything lasting is kept.
-    pub store: RelayedStore,
-    /// How the surroundings spell things.
+    /// Persistent object store, reached directly or through a peer.
+    pub store: FailoverStore,
+    /// Encoding of calls and objects.
     pub dialect: Rc<dyn Dialect>,
-    /// Who provides the machines, where this daemon has duties towards them.
+    /// Infrastructure provider, if this daemon calls it.
     pub provider: Option<Rc<dyn Provider>>,
-    /// Runs all tasks.
+    /// Executor of all tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Connections to servers.
-    pub servers: ConnectionPool,
-    /// Connections to peers.
-    pub peers: ConnectionPool,
-    /// Objects of the store that peers may follow here, by kind.
+    /// Connection pool for servers.
+    pub server_connections: ConnectionPool,
+    /// Connection pool for peers.
+    pub peer_connections: ConnectionPool,
+    /// Local copies of the store's objects that peers may read, by kind.
     pub replicas: RefCell<HashMap<&'static str, Replica>>,
-    /// News of those as it is told to peers.
-    pub news_texts: Texts,
-    /// By which way news of each kind comes; by the store where there is none.
-    pub ways: RefCell<HashMap<&'static str, Way>>,
-    /// Notified when a replica has changed.
+    /// Encoded updates of the replicas for peers.
+    pub compressed_updates: UpdateCache,
+    /// Upstream of the updates of each kind; kinds without an entry are read from the store.
+    pub upstreams: RefCell<HashMap<&'static str, Upstream>>,
+    /// Notified when a replica changes.
     pub replica_changed: Event,
-    /// Digests the keys of tenants.
+    /// Hashes the API keys of tenants.
     pub key_hasher: KeyHasher,
-    /// The newest configuration.
+    /// Active configuration.
     pub configuration: RefCell<Option<Rc<Configuration>>>,
-    /// Known servers, and what decides which of them runs what.
+    /// Registered servers and the placement state.
     pub directory: RefCell<Directory>,
-    /// Whether the list of servers has been read.
-    pub directory_known: Cell<bool>,
-    /// Division of requests among destinations.
-    pub splitter: RefCell<Splitter>,
-    /// Texts that wait for places.
-    pub places: Places,
-    /// Permits for cold servers.
+    /// Whether the servers have been listed from the store at least once.
+    pub servers_loaded: Cell<bool>,
+    /// Splits the traffic of a route among its destinations.
+    pub splitter: RefCell<TrafficSplitter>,
+    /// Batch items waiting for a free slot.
+    pub slot_queue: SlotQueue,
+    /// Permits for sending requests to cold servers.
     pub permits: Permits,
-    /// Requests that servers ended under.
+    /// Quarantine of requests that crash servers.
     pub quarantine: Quarantine,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub evacuated: RefCell<BTreeSet<String>>,
-    /// Whether this daemon is stopping.
+    /// Whether this daemon is draining before it exits.
     pub draining: Cell<bool>,
-    /// The other daemons.
+    /// Other daemons of the fleet.
     pub members: Peers,
-    /// How long texts become.
+    /// Estimates the output length of batch items.
     pub length_estimator: RefCell<LengthEstimator>,
-    /// What it costs to move a text.
+    /// Cost of migrating a batch item to another server.
     pub migration_cost: RefCell<MigrationCost>,
-    /// Texts of items that are read here.
+    /// Paces the reads of batch item streams.
     pub read_pacer: ReadPacer,
-    /// Reward calls under way.
+    /// Reward calls in flight.
     pub reward_calls: InFlightCalls,
     /// Batch jobs.
     pub jobs: JobRegistry,
-    /// What tenants use, where that is to be reported.
-    pub usage: Option<Rc<Book>>,
-    /// The lease for duties towards the provider.
-    pub duty_lease: LeaseNews,
-    /// Named versions and orders under way.
-    pub versions: VersionBoard,
-    /// Peer addresses of some other daemons, for as long as nobody is known.
+    /// Usage counters per tenant, if usage is reported.
+    pub usage: Option<Rc<UsageTracker>>,
+    /// Lease for calls to the provider.
+    pub duty_lease: LeaseState,
+    /// Published model versions and commands in progress.
+    pub versions: PublishedVersions,
+    /// Peer addresses to contact while no other member is known.
     pub seeds: RefCell<Vec<SocketAddr>>,
     tuning: Cell<Tuning>,
-    /// The tree of this daemon's zone, with the version of the members that it is of.
+    /// Overlay tree of this daemon's zone, with the membership version it was built from.
     tree: RefCell<Option<(u64, Rc<Tree>)>>,
-    /// What other daemons told last of each kind.
-    pub told: RefCell<HashMap<&'static str, Telling>>,
-    /// When another daemon last told anything.
-    pub told_last: Cell<Moment>,
+    /// When a peer last confirmed each kind as current, and the age of its state.
+    pub update_ages: RefCell<HashMap<&'static str, UpdateAge>>,
+    /// When a peer last sent an update of any kind.
+    pub last_update_at: Cell<Moment>,
     /// Since when the store has answered without a failure.
-    pub store_reached_since: Cell<Moment>,
-    /// When a daemon that watches the store last told whether the configuration has changed.
-    pub configuration_told: Cell<Moment>,
-    /// Newest version of the configuration that a peer has told of.
-    pub behind: Cell<u64>,
-    /// Notified when watches may hear nothing and lists are to be read.
-    pub watches_doubted: Event,
-    /// What clients' bodies take of the memory.
-    pub memory: Rc<Budget>,
-    /// Retries that failures may still cause.
+    pub store_reachable_since: Cell<Moment>,
+    /// When the active configuration was last confirmed to be current.
+    pub configuration_confirmed_at: Cell<Moment>,
+    /// Newest configuration version announced by a peer.
+    pub newest_peer_configuration: Cell<u64>,
+    /// Notified when watches may have missed updates and all kinds have to be listed again.
+    pub restart_watches: Event,
+    /// Memory budget for client request bodies.
+    pub memory: Rc<MemoryBudget>,
+    /// Retry budget shared by all requests.
     pub retries: RefCell<RetryBudget>,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Notified when the machine goes on after it was suspended: waits are looked at anew.
+    /// Notified when the machine resumes from suspension, so that deadlines are checked again.
     pub resumed: Event,
     clock: Clock,
 }
 
 impl Gateway {
-    /// The state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that uses the system clock.
     pub fn new(
         identity: Identity,
         ports: Ports,
@@ -205,7 +205,7 @@
         Self::with_clock(identity, ports, executor, tuning, Clock::system())
     }
 
-    /// The same, with a clock of its own.
+    /// Creates the state of a daemon that uses `clock`.
     pub fn with_clock(
         identity: Identity,
         ports: Ports,
@@ -220,29 +220,34 @@
         directory.placer.set_region(&identity.zone, &identity.region);
         directory.placer.set_local_zone(&identity.zone);
         let usage = tuning.usage.filter(|_| provider.is_some());
-        let usage =
-            usage.map(|terms| Rc::new(Book::new(identity.node.clone(), terms, Moment::ZERO)));
+        let usage = usage.map(|schedule| {
+            Rc::new(UsageTracker::new(identity.node.clone(), schedule, Moment::ZERO))
+        });
         let gateway = Rc::new(Self {
             identity,
-            store: RelayedStore::new(store, metrics.clone(), clock.clone()),
+            store: FailoverStore::new(store, metrics.clone(), clock.clone()),
             dialect,
             provider,
-            servers: ConnectionPool::told(executor.clone(), SERVER_CONNECT_TIMEOUT, {
-                let metrics = metrics.clone();
-                move |reason| metrics.record_connection(reason.name())
-            }),
-            peers: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
+            server_connections: ConnectionPool::with_open_observer(
+                executor.clone(),
+                SERVER_CONNECT_TIMEOUT,
+                {
+                    let metrics = metrics.clone();
+                    move |reason| metrics.record_connection(reason.name())
+                },
+            ),
+            peer_connections: ConnectionPool::new(executor.clone(), PEER_CONNECT_TIMEOUT),
             executor,
             replicas: RefCell::default(),
-            news_texts: Texts::default(),
-            ways: RefCell::default(),
+            compressed_updates: UpdateCache::default(),
+            upstreams: RefCell::default(),
             replica_changed: Event::new(),
             key_hasher: KeyHasher::random(),
             configuration: RefCell::default(),
             directory: RefCell::new(directory),
-            directory_known: Cell::new(false),
-            splitter: RefCell::new(Splitter::new(rand::rng().random())),
-            places: Places::default(),
+            servers_loaded: Cell::new(false),
+            splitter: RefCell::new(TrafficSplitter::new(rand::rng().random())),
+            slot_queue: SlotQueue::default(),
             permits,
             quarantine: Quarantine::new(tuning.quarantine),
             evacuated: RefCell::default(),
@@ -257,24 +262,24 @@
                 move || clock.now()
             }),
             usage,
-            duty_lease: LeaseNews::default(),
-            versions: VersionBoard::default(),
+            duty_lease: LeaseState::default(),
+            versions: PublishedVersions::default(),
             seeds: RefCell::default(),
             tuning: Cell::new(tuning),
             tree: RefCell::default(),
-            told: RefCell::default(),
-            told_last: Cell::new(Moment::ZERO),
-            store_reached_since: Cell::new(Moment::ZERO),
-            configuration_told: Cell::new(Moment::ZERO),
-            behind: Cell::new(0),
-            watches_doubted: Event::new(),
-            memory: Budget::new(tuning.max_held_bytes),
+            update_ages: RefCell::default(),
+            last_update_at: Cell::new(Moment::ZERO),
+            store_reachable_since: Cell::new(Moment::ZERO),
+            configuration_confirmed_at: Cell::new(Moment::ZERO),
+            newest_peer_configuration: Cell::new(0),
+            restart_watches: Event::new(),
+            memory: MemoryBudget::new(tuning.max_buffered_bytes),
             retries: RefCell::default(),
             metrics,
             resumed: Event::new(),
             clock,
         });
-        gateway.store.relay_through(&gateway);
+        gateway.store.set_relay(&gateway);
         gateway
     }
 
@@ -283,66 +288,67 @@
         self.clock.now()
     }
 
-    /// The clock that it goes by.
+    /// Clock of this daemon.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Time constants.
+    /// Current limits and timeouts.
     pub fn tuning(&self) -> Tuning {
         self.tuning.get()
     }
 
-    /// Changes the time constants.
+    /// Replaces the limits and timeouts.
     pub fn set_tuning(&self, tuning: Tuning) {
         self.quarantine.set_limits(tuning.quarantine);
         self.tuning.set(tuning);
     }
 
-    /// The configuration in force, if one is known.
+    /// Active configuration, if one has been loaded.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 when none is known.
+    /// Version of the active configuration; 0 if none has been loaded.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.borrow().as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Whether a peer has told of a newer configuration than the one in force here.
+    /// Whether a peer has announced a newer configuration than the active one.
     pub fn is_configuration_behind(&self) -> bool {
-        self.behind.get() > self.configuration_version()
+        self.newest_peer_configuration.get() > self.configuration_version()
     }
 
-    /// Time for which the configuration in force here may have been replaced unheard.
+    /// Time since the active configuration was last confirmed to be current.
     pub fn configuration_age(&self) -> Duration {
-        let told = self.now().saturating_sub(self.configuration_told.get());
-        told.min(self.store.silent_for())
+        let told = self.now().saturating_sub(self.configuration_confirmed_at.get());
+        told.min(self.store.since_last_response())
     }
 
-    /// Whether a key may have been taken away unheard for longer than callers with keys are served.
-    pub fn is_closed(&self) -> bool {
-        let limit = self.tuning().closes_after;
+    /// Whether the active configuration is too old to accept API keys, which may have been revoked
+    /// meanwhile.
+    pub fn rejects_keys(&self) -> bool {
+        let limit = self.tuning().max_configuration_age;
         limit.is_some_and(|limit| self.configuration_age() > limit)
     }
 
-    /// Whether requests can be served.
+    /// Whether this daemon can serve requests.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
-            && self.directory_known.get()
+            && self.servers_loaded.get()
             && self.directory.borrow().placer.evacuations_loaded()
             && self.configuration.borrow().is_some()
     }
 
-    /// What is told of a lease.
-    pub fn lease_news(&self, lease: LeaseName) -> &LeaseNews {
+    /// Known state of a lease.
+    pub fn lease_state(&self, lease: LeaseName) -> &LeaseState {
         match lease {
             LeaseName::Orders => &self.versions.lease,
             LeaseName::Duties => &self.duty_lease,
         }
     }
 
-    /// The tree by which news of the store reaches this daemon's zone.
+    /// Overlay tree of this daemon's zone, through which store updates are relayed.
     pub fn tree(&self) -> Rc<Tree> {
         let version = self.members.version();
         let mut known = self.tree.borrow_mut();
@@ -356,7 +362,7 @@
         tree
     }
 
-    /// The tree of another zone.
+    /// Overlay tree of another zone.
     pub fn tree_of(&self, zone: &str) -> Tree {
         Tree::new(self.members.overlay_candidates(zone))
     }
@@ -366,35 +372,37 @@
         Candidate { node: self.identity.node.clone(), processor_millis }
     }
 
-    /// The daemons that may run jobs with these homes now, this one among them unless it stops.
-    pub fn job_candidates(&self, homes: Option<&BTreeSet<String>>) -> Vec<Candidate> {
-        let mut candidates = self.members.alive_candidates(homes);
-        if !self.draining.get() && homes::allow(homes, &self.identity.region) {
+    /// Live daemons that may run jobs restricted to `allowed_regions`; includes this daemon unless
+    /// it is draining.
+    pub fn job_candidates(&self, allowed_regions: Option<&BTreeSet<String>>) -> Vec<Candidate> {
+        let mut candidates = self.members.alive_candidates(allowed_regions);
+        if !self.draining.get() && region_policy::allows(allowed_regions, &self.identity.region) {
             candidates.push(self.own_candidate());
         }
         candidates
     }
 
-    /// Whether this daemon knows of no other although there are some.
-    pub fn is_alone_of_several(&self) -> bool {
-        self.members.count_alive() == 0 && !self.seeds.borrow().is_empty()
+    /// Whether this daemon has seeds configured but sees no live peer.
+    pub fn has_lost_all_peers(&self) -> bool {
+        self.members.alive_count() == 0 && !self.seeds.borrow().is_empty()
     }
 
-    /// Whether requests of some route or tenant may be in some regions only.
-    pub fn has_homes(&self) -> bool {
+    /// Whether any route or tenant restricts the regions in which its requests run.
+    pub fn restricts_regions(&self) -> bool {
         self.configuration().is_some_and(|configuration| configuration.restricts_regions())
     }
 
-    /// Notes the region of each zone.
-    pub fn know_zones(&self, zones: &BTreeMap<String, String>) {
+    /// Sets the region of each zone.
+    pub fn set_zone_regions(&self, zones: &BTreeMap<String, String>) {
         let placer = &mut self.directory.borrow_mut().placer;
         zones.iter().for_each(|(zone, region)| placer.set_region(zone, region));
     }
 
-    /// Brings the limits of services up to date: all daemons that are alive share what a server takes.
-    pub fn share_servers(&self) {
+    /// Updates the connection limits of all services: the live daemons share the connections that
+    /// each server accepts.
+    pub fn update_service_limits(&self) {
         let own = self.tuning().processor_millis;
-        let mut processors = self.members.alive_processors();
+        let mut processors = self.members.alive_cpu_millis();
         processors.push(own);
         let daemons = share::Daemons::count(&processors);
         let Some(configuration) = self.configuration() else {
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -1,32 +1,35 @@
-//! The rollout service over ports: it passes calls on to servers, keeps and runs batch jobs, and
-//! brings servers to the versions of weights that trainers name.
+//! Gateway daemon of the rollout service: forwards requests to servers, stores and runs batch jobs,
+//! and updates servers to the model versions that trainers publish.
 //!
-//! It stands between callers and servers on every machine alike. Whatever must last is in an object
-//! store, reached through [`ports::ObjectStore`]; how calls and objects are spelled is behind
-//! [`ports::Dialect`]. An adapter implements both and starts [`service::run`].
+//! An identical daemon runs on every machine, between callers and servers. Persistent data is kept
+//! in an object store behind [`ports::ObjectStore`]; the encoding of calls and objects is behind
+//! [`ports::Dialect`]. An adapter implements both ports and calls [`service::run`].
 //!
-//! - [`duties`], [`lease_keeper`], [`lease_news`]: what one daemon at a time does for all.
-//! - [`access`]: on whose behalf a call is made.
-//! - [`calls`], [`forward`], [`stream`], [`exchange`], [`split`]: requests passed on.
-//! - [`directory`], [`places`], [`permits`], [`evacuations`], [`homes`]: what decides where they go.
-//! - [`events`]: the events of a server's stream.
-//! - [`quarantine`]: requests that end the servers that run them.
-//! - [`clock`]: the time that rights and deadlines are judged by.
-//! - [`memory`]: the bound on what clients make a daemon hold.
+//! - [`gateway`]: shared state of a daemon.
+//! - [`calls`], [`forward`], [`stream`], [`attempt`], [`traffic_split`]: request forwarding.
+//! - [`directory`], [`slot_queue`], [`permits`], [`evacuations`], [`region_policy`]: placement of
+//!   requests on servers.
+//! - [`access`]: authentication of callers.
+//! - [`events`]: parser for event streams.
+//! - [`quarantine`]: quarantine of requests that crash servers.
 //! - [`batch`]: batch jobs.
-//! - [`versions`]: versions of weights.
-//! - [`peers`]: the daemons among themselves.
-//! - [`relayed_store`], [`mirror`], [`replica`], [`packed_news`],
-//!   [`news_way`], [`dissemination`], [`configuration`]:
-//!   the store and what it says.
-//! - [`service`], [`keeper`], [`settings`], [`reload`]: the programs and their settings.
-//! - [`logging`], [`metrics`]: what they tell.
-//! - [`explain`], [`steps`], [`fleet_summary`], [`summary_plot`]: what their logs tell afterwards.
+//! - [`versions`]: rollout of model versions.
+//! - [`duties`], [`lease_manager`], [`lease_state`]: tasks that one lease holder runs for the fleet.
+//! - [`peers`]: membership and messages between daemons.
+//! - [`failover_store`], [`reflector`], [`replica`], [`compressed_update`], [`upstream`], [`dissemination`],
+//!   [`configuration`]: access to the store and distribution of its updates.
+//! - [`clock`], [`wait`]: time and timeouts.
+//! - [`memory`]: memory budget for request bodies.
+//! - [`service`], [`retirement`], [`settings`], [`reload`]: programs and their settings.
+//! - [`logging`], [`metrics`]: logs and metrics.
+//! - [`explain`], [`steps`], [`fleet_summary`], [`summary_plot`]: log analysis.
 
 pub mod access;
+pub mod attempt;
 pub mod batch;
 pub mod calls;
 pub mod clock;
+pub mod compressed_update;
 pub mod configuration;
 pub mod directory;
 pub mod dissemination;
@@ -34,37 +37,35 @@
 pub mod encoded_object;
 pub mod evacuations;
 pub mod events;
-pub mod exchange;
 pub mod explain;
+pub mod failover_store;
 pub mod fleet_summary;
 pub mod forward;
 pub mod gateway;
 pub mod headers;
-pub mod homes;
 pub mod http;
-pub mod keeper;
-pub mod lease_keeper;
-pub mod lease_news;
+pub mod interner;
+pub mod lease_manager;
+pub mod lease_state;
 pub mod logging;
 pub mod memory;
 pub mod metrics;
-pub mod mirror;
-pub mod news_way;
-pub mod packed_news;
 pub mod peers;
 pub mod permits;
-pub mod places;
-pub mod pool;
 pub mod ports;
 pub mod quarantine;
-pub mod relayed_store;
+pub mod reflector;
+pub mod region_policy;
 pub mod reload;
 pub mod replica;
+pub mod retirement;
 pub mod service;
 pub mod settings;
-pub mod split;
+pub mod slot_queue;
 pub mod steps;
 pub mod stream;
 pub mod summary_plot;
+pub mod traffic_split;
+pub mod upstream;
 pub mod versions;
 pub mod wait;
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -1,10 +1,12 @@
-//! Suspect requests are kept apart from others, so that the end of a server is plain evidence.
+//! Isolates suspect requests on a server, so that a crash can be attributed to one request.
 //!
-//! Each daemon keeps them apart from what it sends itself. Where one more ending quarantines a request,
-//! all daemons together send at most one such request to a server at a time: after a crash all suspects
-//! wait for the first server that is back, and would be blamed together. One daemon keeps the servers of
-//! which this is asked, by rendezvous. It carries no safety: where it cannot be reached, or daemons
-//! differ in who it is, a request that is blamed wrongly comes back by a probe.
+//! Each daemon isolates suspects from the other requests it sends itself. For requests that are one
+//! crash from quarantine, isolation applies across daemons: a coordinator, chosen by rendezvous
+//! hashing, reserves each server for one such request at a time. Otherwise all suspects that wait
+//! for a restarted server would run there together and be blamed together.
+//!
+//! Reservations are best effort. If the coordinator is unreachable, or daemons disagree about who it
+//! is, a wrongly blamed request is released by a probe.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,61 +23,62 @@
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
 
-/// How long a server is kept for one suspect unless it is given back before: a request that ends its
-/// server as it begins has done so by then.
-const HELD: Duration = Duration::from_secs(2);
-/// Rest of a suspect that found its server kept for another one: longer than most runs.
-const BUSY_REST: Duration = Duration::from_millis(50);
+/// How long a reservation lasts if it is not released. Requests that crash servers on start do so
+/// within this time.
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before another attempt when the server is reserved. Longer than most runs.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Servers that are kept for one suspect each, where this daemon is asked.
+/// Servers reserved for one suspect request each, at their coordinator.
 #[derive(Default)]
-pub struct Keeper {
+pub struct Reservations {
     until: RefCell<HashMap<String, Moment>>,
 }
 
-impl Keeper {
-    /// Keeps a server; false while it is kept for another one.
-    fn take(&self, now: Moment, server: &str) -> bool {
+impl Reservations {
+    /// Reserves a server. Returns false if it is already reserved.
+    fn try_reserve(&self, now: Moment, server: &str) -> bool {
         let mut until = self.until.borrow_mut();
         until.retain(|_, until| now < *until);
         if until.contains_key(server) {
             return false;
         }
-        until.insert(server.to_owned(), now + HELD);
+        until.insert(server.to_owned(), now + RESERVATION_TIMEOUT);
         true
     }
 
-    fn give_back(&self, server: &str) {
+    fn release(&self, server: &str) {
         self.until.borrow_mut().remove(server);
     }
 }
 
-/// The server is kept for another suspect.
+/// The server is reserved for another suspect request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Busy;
 
-/// A suspect at a server, until this is dropped.
+/// Isolation of a suspect request on a server, released on drop.
 pub struct Isolation {
     gateway: Rc<Gateway>,
     server: String,
-    is_kept: bool,
+    is_reserved: bool,
 }
 
 impl Isolation {
-    /// Keeps others from a server, where a request that is sent there is suspect.
-    pub async fn begin(
+    /// Isolates a suspect request on a server. Fails after a short delay if the server is reserved.
+    pub async fn acquire(
         gateway: &Rc<Gateway>,
         server: &str,
         request: Fingerprint,
     ) -> Result<Self, Busy> {
         gateway.directory.borrow_mut().placer.add_suspect(server);
         let mut isolation =
-            Self { gateway: gateway.clone(), server: server.to_owned(), is_kept: false };
-        let is_last_run = gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
-        if is_last_run {
-            isolation.is_kept = keep(gateway, server).await;
-            if !isolation.is_kept {
-                Timer::after(BUSY_REST).await;
+            Self { gateway: gateway.clone(), server: server.to_owned(), is_reserved: false };
+        let needs_reservation =
+            gateway.quarantine.table.borrow().is_one_crash_from_quarantine(request);
+        if needs_reservation {
+            isolation.is_reserved = reserve(gateway, server).await;
+            if !isolation.is_reserved {
+                Timer::after(BUSY_RETRY_DELAY).await;
                 return Err(Busy);
             }
         }
@@ -86,55 +89,55 @@
 impl Drop for Isolation {
     fn drop(&mut self) {
         self.gateway.directory.borrow_mut().placer.remove_suspect(&self.server);
-        if self.is_kept {
+        if self.is_reserved {
             let (gateway, server) = (self.gateway.clone(), std::mem::take(&mut self.server));
-            let giving_back = async move { give_back(&gateway, &server).await };
-            self.gateway.executor.spawn(giving_back).detach();
+            let releasing = async move { release(&gateway, &server).await };
+            self.gateway.executor.spawn(releasing).detach();
         }
     }
 }
 
-/// The other daemon that keeps a server; nothing where it is this one.
-fn keeper(gateway: &Gateway, server: &str) -> Option<NodeId> {
-    let name = gateway.permits.lender(server);
+/// The daemon that coordinates reservations of a server, or `None` if it is the local one.
+fn remote_coordinator(gateway: &Gateway, server: &str) -> Option<NodeId> {
+    let name = gateway.permits.issuer(server);
     if name == gateway.identity.node.name {
         return None;
     }
-    gateway.members.named(&name)
+    gateway.members.find_by_name(&name)
 }
 
-async fn keep(gateway: &Gateway, server: &str) -> bool {
-    let Some(keeper) = keeper(gateway, server) else {
-        return gateway.quarantine.keeper.take(gateway.now(), server);
+async fn reserve(gateway: &Gateway, server: &str) -> bool {
+    let Some(coordinator) = remote_coordinator(gateway, server) else {
+        return gateway.quarantine.reservations.try_reserve(gateway.now(), server);
     };
     let request = PeerRequest::Isolate { server: server.to_owned(), is_over: false };
-    match client::call(gateway, &keeper, &request, Duration::ZERO).await {
+    match client::call(gateway, &coordinator, &request, Duration::ZERO).await {
         Some(PeerReply::Isolated { is_granted }) => is_granted,
         reply => {
             log::info!(
-                "event=isolation_unanswered server={server} keeper={keeper} reply={reply:?}"
+                "event=isolation_unanswered server={server} keeper={coordinator} reply={reply:?}"
             );
             true
         }
     }
 }
 
-async fn give_back(gateway: &Gateway, server: &str) {
-    let Some(keeper) = keeper(gateway, server) else {
-        gateway.quarantine.keeper.give_back(server);
+async fn release(gateway: &Gateway, server: &str) {
+    let Some(coordinator) = remote_coordinator(gateway, server) else {
+        gateway.quarantine.reservations.release(server);
         return;
     };
     let request = PeerRequest::Isolate { server: server.to_owned(), is_over: true };
-    // What is not given back is free again after a while.
-    let _ = client::call(gateway, &keeper, &request, Duration::ZERO).await;
+    // On failure the reservation expires.
+    let _ = client::call(gateway, &coordinator, &request, Duration::ZERO).await;
 }
 
-/// Answers a daemon that wants a server kept, or gives it back.
-pub fn answer(gateway: &Gateway, server: &str, is_over: bool) -> PeerReply {
-    let keeper = &gateway.quarantine.keeper;
+/// Handles a peer's request to reserve a server, or to release it if `is_over`.
+pub fn handle(gateway: &Gateway, server: &str, is_over: bool) -> PeerReply {
+    let reservations = &gateway.quarantine.reservations;
     if is_over {
-        keeper.give_back(server);
+        reservations.release(server);
         return PeerReply::Isolated { is_granted: false };
     }
-    PeerReply::Isolated { is_granted: keeper.take(gateway.now(), server) }
+    PeerReply::Isolated { is_granted: reservations.try_reserve(gateway.now(), server) }
 }
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -1,19 +1,19 @@
-//! Requests that end the servers that run them: what this daemon does about them.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! [`heronbend::quarantine`] decides. What is learnt here is told to all daemons at once, and what is
-//! quarantined is recorded in the store as well: so daemons that were cut off or start anew know it,
-//! and all of them together make no more probes than they may.
+//! The decisions are in [`heronbend::quarantine`]; this module does the I/O. Observations are sent
+//! to all daemons immediately. Quarantined requests are also recorded in the store, which restarted
+//! or partitioned daemons read and which limits the probes of all daemons together.
 //!
-//! - [`evidence`]: what an attempt that broke off says of its server.
-//! - [`isolation`]: suspects kept apart from other requests.
-//! - [`news`]: what daemons tell each other.
-//! - [`passage`]: a call or a stream on its way to servers.
-//! - [`record`]: what the store holds.
-
-pub mod evidence;
+//! - [`crash_detection`]: detects crashes from broken connections.
+//! - [`isolation`]: runs suspect requests isolated from others.
+//! - [`gossip`]: exchanges reports between daemons.
+//! - [`admitted_request`]: the quarantine state of a call or stream across its attempts.
+//! - [`record`]: the records of quarantined requests in the store.
+
+pub mod admitted_request;
+pub mod crash_detection;
+pub mod gossip;
 pub mod isolation;
-pub mod news;
-pub mod passage;
 pub mod record;
 
 use std::cell::RefCell;
@@ -30,46 +30,46 @@
 use http::StatusCode;
 use smol::Timer;
 
-use self::isolation::Keeper;
-use crate::exchange::Outgoing;
+use self::isolation::Reservations;
+use crate::attempt::OutgoingRequest;
 use crate::gateway::Gateway;
 
+pub use self::admitted_request::AdmittedRequest;
 pub use self::isolation::Isolation;
-pub use self::passage::Passage;
 
-/// Time between two looks for what is to be forgotten, or not recorded yet.
-const UPKEEP: Duration = Duration::from_secs(5);
+/// Interval at which expired requests are removed and missing records are written.
+const MAINTENANCE_PERIOD: Duration = Duration::from_secs(5);
 
-/// What this daemon knows of requests that servers ended under.
+/// Suspect and quarantined requests known to this daemon.
 pub struct Quarantine {
     table: RefCell<Table>,
-    /// Servers whose addresses are being looked at.
-    looking: RefCell<BTreeSet<String>>,
-    /// Requests of which the others are told in a moment.
-    untold: RefCell<BTreeSet<Fingerprint>>,
+    /// Servers being probed.
+    probing: RefCell<BTreeSet<String>>,
+    /// Requests with reports that wait to be sent.
+    unsent: RefCell<BTreeSet<Fingerprint>>,
     /// Requests whose records are being written.
-    recording: RefCell<BTreeSet<Fingerprint>>,
-    keeper: Keeper,
+    writing: RefCell<BTreeSet<Fingerprint>>,
+    reservations: Reservations,
 }
 
 impl Quarantine {
-    /// A daemon that has just started.
+    /// Creates an empty quarantine.
     pub fn new(limits: Limits) -> Self {
         Self {
             table: RefCell::new(Table::new(limits)),
-            looking: RefCell::default(),
-            untold: RefCell::default(),
-            recording: RefCell::default(),
-            keeper: Keeper::default(),
+            probing: RefCell::default(),
+            unsent: RefCell::default(),
+            writing: RefCell::default(),
+            reservations: Reservations::default(),
         }
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no request is suspect, so that lookups may be skipped.
     fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
 
-    /// Changes the limits; what is known is kept.
+    /// Changes the limits and keeps all requests.
     pub fn set_limits(&self, limits: Limits) {
         self.table.borrow_mut().set_limits(limits);
     }
@@ -77,32 +77,33 @@
 
 /// How a request may be sent to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pass {
-    /// Like any other.
-    Free,
-    /// To one server at a time, with nothing else there if that can be.
-    Alone,
-    /// The same, and only once.
+pub enum SendMode {
+    /// Without restrictions.
+    Normal,
+    /// To one server at a time, isolated from other requests if possible.
+    Isolated,
+    /// Isolated, in a single attempt.
     Probe,
 }
 
 /// A request that may not be sent to servers now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refused {
-    /// Time after which it may.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// Whether a request may be sent to servers. A probe is granted by the store before this returns.
+/// Decides whether and how a request may be sent to servers. For a probe, waits until the store
+/// grants it.
 pub async fn admit(
     gateway: &Rc<Gateway>,
     request: impl Fn() -> Fingerprint,
-) -> Result<Pass, Refused> {
+) -> Result<SendMode, Refused> {
     let refused = match admission(gateway, &request) {
-        Admission::Allowed => return Ok(Pass::Free),
-        Admission::Isolated => return Ok(Pass::Alone),
+        Admission::Allowed => return Ok(SendMode::Normal),
+        Admission::Isolated => return Ok(SendMode::Isolated),
         Admission::Probe => match record::grant_probe(gateway, request()).await {
-            Ok(()) => return Ok(Pass::Probe),
+            Ok(()) => return Ok(SendMode::Probe),
             Err(refused) => refused,
         },
         Admission::Refused { retry_after } => Refused { retry_after },
@@ -111,25 +112,26 @@
     Err(refused)
 }
 
-/// Whether a request that was admitted may be sent to one more server.
-pub fn may_go_on(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
+/// Whether an admitted request may be sent to another server.
+pub fn may_retry(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> bool {
     matches!(admission(gateway, request), Admission::Allowed | Admission::Isolated)
 }
 
-/// How a request is kept apart from others, and from the last server, for what is known of it.
-pub fn keep_apart(
+/// Sets in `history` whether a request must run isolated, and whether it must spare the last healthy
+/// server.
+pub fn set_isolation(
     gateway: &Gateway,
-    pass: Pass,
+    mode: SendMode,
     request: impl Fn() -> Fingerprint,
     history: &mut AttemptHistory,
 ) {
     let is_suspect = admission(gateway, &request) != Admission::Allowed;
-    history.is_isolated = pass != Pass::Free || is_suspect;
+    history.is_isolated = mode != SendMode::Normal || is_suspect;
     let table = gateway.quarantine.table.borrow();
     history.spares_last_healthy = is_suspect && table.is_one_crash_from_quarantine(request());
 }
 
-/// What may become of a request. Most of the time nothing is known of any, and none is looked at.
+/// Decides whether a request may run. Skips computing the fingerprint if no request is suspect.
 fn admission(gateway: &Gateway, request: impl FnOnce() -> Fingerprint) -> Admission {
     if gateway.quarantine.is_empty() {
         return Admission::Allowed;
@@ -137,68 +139,71 @@
     gateway.quarantine.table.borrow().admission(gateway.now(), request())
 }
 
-/// Whether an answer shows that a server ran the request. One that fails at all it gets, or sheds load,
-/// answers without.
-fn shows_run(status: StatusCode) -> bool {
-    let promises_not_run = [
+/// Whether a response status shows that a server executed the request. Overloaded servers, and those
+/// that fail every request, respond without executing it.
+fn proves_execution(status: StatusCode) -> bool {
+    let not_executed = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    !status.is_server_error() && !promises_not_run.contains(&status)
+    !status.is_server_error() && !not_executed.contains(&status)
 }
 
-/// Notes a whole answer to a request: whatever ended servers under it, it was not this.
-pub fn note_answer(gateway: &Rc<Gateway>, outgoing: &Outgoing, status: StatusCode) {
-    if gateway.quarantine.is_empty() || !shows_run(status) {
+/// Records a complete response, which shows that the request did not cause the crashes.
+pub fn note_response(gateway: &Rc<Gateway>, outgoing: &OutgoingRequest, status: StatusCode) {
+    if gateway.quarantine.is_empty() || !proves_execution(status) {
         return;
     }
     let request = outgoing.fingerprint(gateway.dialect.headers());
-    let was_recorded = gateway.quarantine.table.borrow().record(request).is_some();
+    let has_record = gateway.quarantine.table.borrow().record(request).is_some();
     if !gateway.quarantine.table.borrow_mut().clear(request) {
         return;
     }
-    note(gateway, request, Change::Cleared, By::Here);
-    if was_recorded {
+    on_change(gateway, request, Change::Cleared, Origin::Here);
+    if has_record {
         record::remove(gateway, request);
     }
 }
 
-/// Who has learnt something of a request.
+/// Where a change was learned from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum By {
+enum Origin {
     /// This daemon.
     Here,
-    /// Another one.
+    /// Another daemon.
     Peer,
-    /// The store tells it.
+    /// The store.
     Store,
 }
 
-/// Logs what has changed for a request, and tells others of what was learnt here.
-fn note(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, by: By) {
+/// Logs a change of a request's status and announces it if it was observed locally.
+fn on_change(gateway: &Rc<Gateway>, request: Fingerprint, change: Change, origin: Origin) {
     match change {
         Change::None => return,
-        Change::Suspected(endings) => {
-            log::info!("event=request_suspected request={request} endings={endings} by={by:?}");
+        Change::Suspected(crashes) => {
+            log::info!("event=request_suspected request={request} endings={crashes} by={origin:?}");
         }
-        Change::Quarantined(endings) => {
-            log::warn!("event=request_quarantined request={request} endings={endings} by={by:?}");
+        Change::Quarantined(crashes) => {
+            log::warn!(
+                "event=request_quarantined request={request} endings={crashes} by={origin:?}"
+            );
         }
-        Change::Cleared => log::info!("event=request_cleared request={request} by={by:?}"),
+        Change::Cleared => log::info!("event=request_cleared request={request} by={origin:?}"),
     }
     count_quarantined(gateway);
     let is_quarantined = matches!(change, Change::Quarantined(_));
-    // News may have been lost on its way to whoever told the rest: only those who know both parts know
-    // that it is quarantined, and the few who saw one of the endings make that known.
-    let completes = by == By::Peer
+    // A report may have been lost on its way to the daemon that sent the other one. Only daemons
+    // that received both know that the request is quarantined; those that observed one of the
+    // crashes announce it.
+    let must_announce = origin == Origin::Peer
         && is_quarantined
         && gateway.quarantine.table.borrow().is_observed_locally(request);
-    if by == By::Here || completes {
+    if origin == Origin::Here || must_announce {
         if is_quarantined {
-            record::ensure(gateway, request);
+            record::ensure_recorded(gateway, request);
         }
-        news::tell(gateway, request);
+        gossip::announce(gateway, request);
     }
 }
 
@@ -207,33 +212,33 @@
     gateway.metrics.requests_quarantined.set(i64::try_from(quarantined).unwrap_or(i64::MAX));
 }
 
-/// Forgets what is old, and records what is not recorded yet, until the daemon ends. Each daemon does
-/// its part of what one of them has to do.
-pub async fn keep_up(gateway: Rc<Gateway>) {
+/// Runs periodic maintenance: removes expired requests and writes missing records. Work that any
+/// daemon could do is spread at random over all of them.
+pub async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
-        Timer::after(UPKEEP).await;
+        Timer::after(MAINTENANCE_PERIOD).await;
         if gateway.quarantine.is_empty() {
             continue;
         }
         let expired = gateway.quarantine.table.borrow_mut().expire(gateway.now());
-        let (quarantined, in_vain): (Vec<Fingerprint>, Vec<Fingerprint>) = {
+        let (quarantined, stale): (Vec<Fingerprint>, Vec<Fingerprint>) = {
             let table = gateway.quarantine.table.borrow();
             (table.quarantined().collect(), table.stale_records().collect())
         };
-        for request in in_vain {
-            if record::falls_here(&gateway) {
+        for request in stale {
+            if record::is_randomly_chosen(&gateway) {
                 log::info!("event=request_explained request={request}");
                 record::remove(&gateway, request);
             }
         }
         for request in quarantined {
-            if !record::falls_here(&gateway) {
+            if !record::is_randomly_chosen(&gateway) {
                 continue;
             }
             if expired.contains(&request) {
                 record::remove(&gateway, request);
             } else if gateway.quarantine.table.borrow().record(request).is_none() {
-                record::ensure(&gateway, request);
+                record::ensure_recorded(&gateway, request);
             }
         }
         count_quarantined(&gateway);
--- a/crates/heronbend-gateway/src/reload.rs
+++ b/crates/heronbend-gateway/src/reload.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::Tuning;
-use crate::keeper::SignalWait;
+use crate::retirement::SignalListener;
 use crate::settings::Settings;
 
 /// Interval at which the file's modification time is checked.
@@ -38,7 +38,11 @@
 }
 
 /// Watches the settings file and applies its changes. Never returns.
-pub async fn watch_settings(gateway: Rc<Gateway>, mut source: SettingsSource, signal: SignalWait) {
+pub async fn watch_settings(
+    gateway: Rc<Gateway>,
+    mut source: SettingsSource,
+    signal: SignalListener,
+) {
     let mut last_modified = modification_time(&source.path);
     loop {
         let signalled = async {
@@ -139,11 +143,11 @@
         max_object_bytes: settings.max_object_bytes,
         result_retention: settings.result_retention,
         stop_limit: settings.stop_limit,
-        closes_after: settings.tuning().closes_after,
+        max_configuration_age: settings.tuning().max_configuration_age,
         cold_margin: settings.cold_margin,
         ..gateway.tuning()
     };
     gateway.set_tuning(tuning);
-    gateway.know_zones(&settings.zones);
+    gateway.set_zone_regions(&settings.zones);
     *gateway.seeds.borrow_mut() = settings.addresses().seeds;
 }
--- a/crates/heronbend-gateway/src/settings.rs
+++ b/crates/heronbend-gateway/src/settings.rs
@@ -10,9 +10,9 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-use crate::duties::book::Terms;
+use crate::duties::usage::ReportingSchedule;
 use crate::gateway::{Identity, Tuning};
-use crate::permits::ColdMargin;
+use crate::permits::ColdStartMargin;
 use crate::service::Addresses;
 
 /// Default for `memory_limit_mb`.
@@ -99,7 +99,7 @@
     /// Duties towards the provider that this daemon may perform.
     pub duties: Vec<Duty>,
     /// Usage reporting schedule; `None` disables reporting.
-    pub usage: Option<Terms>,
+    pub usage: Option<ReportingSchedule>,
     /// Whether API keys are rejected while revocations cannot be checked.
     pub fail_closed: bool,
     /// Time within which a revoked key must be rejected by all daemons.
@@ -109,7 +109,7 @@
     /// Time within which traffic to an evacuated zone must stop; `None` disables evacuation.
     pub evacuation_notice: Option<Duration>,
     /// Tolerance above the rate limit of cold servers.
-    pub cold_margin: ColdMargin,
+    pub cold_margin: ColdStartMargin,
     /// Limits for quarantining requests that crash servers.
     pub quarantine: Limits,
 }
@@ -287,8 +287,8 @@
     }
 
     /// Reads the tolerance above the rate limit of cold servers.
-    fn cold_margin(&mut self) -> ColdMargin {
-        let margin = ColdMargin {
+    fn cold_margin(&mut self) -> ColdStartMargin {
+        let margin = ColdStartMargin {
             overshoot: self.number_or("cold.overshoot", 1.0),
             slack: self.number_or("cold.slack", 0.0),
         };
@@ -344,17 +344,20 @@
     }
 
     /// Reads the usage reporting schedule, if usage reporting is one of the duties.
-    fn usage(&mut self, duties: &[Duty]) -> Option<Terms> {
+    fn usage(&mut self, duties: &[Duty]) -> Option<ReportingSchedule> {
         let (window_field, due_field) = ("provider.usage_window_s", "provider.usage_due_s");
         self.known_fields.extend([window_field.to_owned(), due_field.to_owned()]);
         if !duties.contains(&Duty::Usage) {
             return None;
         }
-        let terms = Terms { window: self.seconds(window_field), due: self.seconds(due_field) };
-        if terms.window.is_zero() && self.optional(window_field).is_some() {
+        let schedule = ReportingSchedule {
+            window: self.seconds(window_field),
+            deadline: self.seconds(due_field),
+        };
+        if schedule.window.is_zero() && self.optional(window_field).is_some() {
             self.report(window_field, "is zero");
         }
-        Some(terms)
+        Some(schedule)
     }
 
     /// Reports fields that are not settings.
@@ -457,7 +460,7 @@
     /// Limits and time constants for the gateway.
     pub fn tuning(&self) -> Tuning {
         Tuning {
-            max_held_bytes: self.memory_limit_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
+            max_buffered_bytes: self.memory_limit_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
             lease_pause: self.lease_pause,
             result_retention: self.result_retention,
             max_object_bytes: self.max_object_bytes,
@@ -466,8 +469,8 @@
             configuration_notice: self.configuration_notice,
             usage: self.usage,
             processor_millis: (self.processor_share * 1e3).round() as u32,
-            scales: self.duties.contains(&Duty::Scale),
-            closes_after: self.revocation_notice.filter(|_| self.fail_closed),
+            scaling_enabled: self.duties.contains(&Duty::Scale),
+            max_configuration_age: self.revocation_notice.filter(|_| self.fail_closed),
             evacuation_notice: self.evacuation_notice,
             cold_margin: self.cold_margin,
             quarantine: self.quarantine,
--- a/crates/heronbend-gateway/tests/adoption.rs
+++ b/crates/heronbend-gateway/tests/adoption.rs
@@ -10,7 +10,7 @@
 use heronbend_gateway::batch::adoption::{self, AdoptionReason};
 use heronbend_gateway::batch::ownership::{takeover_position, Ownership};
 use heronbend_gateway::batch::ownership_manager;
-use heronbend_gateway::peers::{PeerReply, Peers, Standing};
+use heronbend_gateway::peers::{PeerReply, PeerStatus, Peers};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::memory_store::MemoryStore;
@@ -20,17 +20,17 @@
 
 #[test]
 fn unknown_owner_is_lost_only_after_a_grace_period() {
-    assert_eq!(adoption::reason_for_position(Standing::Unknown, SECOND, 0), None);
+    assert_eq!(adoption::reason_for_position(PeerStatus::Unknown, SECOND, 0), None);
     assert_eq!(
-        adoption::reason_for_position(Standing::Unknown, 5 * SECOND, 0),
+        adoption::reason_for_position(PeerStatus::Unknown, 5 * SECOND, 0),
         Some(AdoptionReason::Unknown)
     );
     assert_eq!(
-        adoption::reason_for_position(Standing::Ended, Duration::ZERO, 0),
+        adoption::reason_for_position(PeerStatus::Terminated, Duration::ZERO, 0),
         Some(AdoptionReason::Ended)
     );
-    assert_eq!(adoption::reason_for_position(Standing::Silent, Duration::ZERO, 1), None);
-    assert_eq!(adoption::reason_for_position(Standing::Alive, 99 * SECOND, 0), None);
+    assert_eq!(adoption::reason_for_position(PeerStatus::Unreachable, Duration::ZERO, 1), None);
+    assert_eq!(adoption::reason_for_position(PeerStatus::Alive, 99 * SECOND, 0), None);
 }
 
 #[test]
@@ -43,16 +43,16 @@
         member(run("b", 5), Liveness::Dead),
         member(run("c", 5), Liveness::Left),
     ]);
-    assert_eq!(peers.standing(&run("a", 5)), Standing::Alive);
-    assert_eq!(peers.standing(&run("a", 4)), Standing::Ended);
+    assert_eq!(peers.status_of(&run("a", 5)), PeerStatus::Alive);
+    assert_eq!(peers.status_of(&run("a", 4)), PeerStatus::Terminated);
     assert_eq!(
-        peers.standing(&run("a", 6)),
-        Standing::Alive,
+        peers.status_of(&run("a", 6)),
+        PeerStatus::Alive,
         "a newer incarnation than the known one"
     );
-    assert_eq!(peers.standing(&run("b", 5)), Standing::Silent);
-    assert_eq!(peers.standing(&run("c", 5)), Standing::Ended);
-    assert_eq!(peers.standing(&run("d", 5)), Standing::Unknown);
+    assert_eq!(peers.status_of(&run("b", 5)), PeerStatus::Unreachable);
+    assert_eq!(peers.status_of(&run("c", 5)), PeerStatus::Terminated);
+    assert_eq!(peers.status_of(&run("d", 5)), PeerStatus::Unknown);
 }
 
 #[test]
@@ -112,15 +112,15 @@
     }
 
     /// A daemon's view of another one, which varies by daemon and changes every second.
-    fn standing(&self, viewer: usize, subject: usize) -> Standing {
+    fn standing(&self, viewer: usize, subject: usize) -> PeerStatus {
         if self.dead[subject] {
-            return Standing::Silent;
+            return PeerStatus::Unreachable;
         }
         let hash = (viewer * 31 + subject * 17) as u64 + self.now.as_secs() * 7;
         match hash * 2_654_435_761 % 100 {
-            wrong if wrong < WRONG_PERCENT / 2 => Standing::Silent,
-            wrong if wrong < WRONG_PERCENT => Standing::Unknown,
-            _ => Standing::Alive,
+            wrong if wrong < WRONG_PERCENT / 2 => PeerStatus::Unreachable,
+            wrong if wrong < WRONG_PERCENT => PeerStatus::Unknown,
+            _ => PeerStatus::Alive,
         }
     }
 
@@ -140,14 +140,14 @@
     fn check_owner(&mut self, viewer: usize) {
         let (owner, lost_since) = self.known[viewer];
         let standing = self.standing(viewer, owner);
-        if viewer == owner || standing == Standing::Alive {
+        if viewer == owner || standing == PeerStatus::Alive {
             self.known[viewer].1 = None;
             return;
         }
         let since = lost_since.unwrap_or(self.now);
         self.known[viewer].1 = Some(since);
         let alive: Vec<NodeId> = (0..MEMBERS)
-            .filter(|other| *other == viewer || self.standing(viewer, *other) == Standing::Alive)
+            .filter(|other| *other == viewer || self.standing(viewer, *other) == PeerStatus::Alive)
             .map(|other| self.nodes[other].clone())
             .collect();
         let position = takeover_position("job", &self.nodes[viewer], &alive);
--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -7,14 +7,14 @@
 use heronbend::identity::NodeId;
 use heronbend::membership::Candidate;
 use heronbend::overlay::Tree;
-use heronbend_gateway::dissemination::own_order;
+use heronbend_gateway::dissemination::failover_order;
 use heronbend_gateway::encoded_object::EncodedObject;
 use heronbend_gateway::ports::Change;
 use heronbend_gateway::ports::Object;
 use heronbend_gateway::ports::Revision;
-use heronbend_gateway::replica::Checking::ByDigest;
-use heronbend_gateway::replica::Checking::Unchecked;
 use heronbend_gateway::replica::Replica;
+use heronbend_gateway::replica::Verification::Digest;
+use heronbend_gateway::replica::Verification::Unverified;
 use serde_json::Value;
 use support::node;
 
@@ -38,19 +38,19 @@
 fn a_follower_gets_the_changes_since_its_revision() {
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let full = replica.since(0, Unchecked).unwrap();
-    assert!(full.is_whole);
+    let full = replica.update_since(0, Unverified).unwrap();
+    assert!(full.is_snapshot);
     assert_eq!((names(&full.objects), full.at), (vec!["a", "b"], 2));
-    assert_eq!(replica.since(2, Unchecked), None);
+    assert_eq!(replica.update_since(2, Unverified), None);
     replica.apply(&[set("c", 4), Change::Removed("a".to_owned())], 5);
-    let update = replica.since(2, Unchecked).unwrap();
-    assert!(!update.is_whole);
+    let update = replica.update_since(2, Unverified).unwrap();
+    assert!(!update.is_snapshot);
     assert_eq!(
         (names(&update.objects), update.removed, update.at),
         (vec!["c"], vec!["a".to_owned()], 5)
     );
     // A follower that is ahead of this replica gets no update.
-    assert_eq!(replica.since(6, Unchecked), None);
+    assert_eq!(replica.update_since(6, Unverified), None);
 }
 
 #[test]
@@ -74,8 +74,8 @@
     replica.reset(&[listed("a", 1), listed("b", 2)], 2);
     replica.reset(&[listed("b", 2)], 9);
     // A full state, from which the follower drops all other objects.
-    let update = replica.since(2, Unchecked).unwrap();
-    assert!(update.is_whole);
+    let update = replica.update_since(2, Unverified).unwrap();
+    assert!(update.is_snapshot);
     assert_eq!((names(&update.objects), update.at), (vec!["b"], 9));
 }
 
@@ -85,7 +85,7 @@
     replica.reset(&[listed("a", 1)], 1);
     replica.apply(&[Change::Removed("a".to_owned())], 2);
     replica.apply(&[set("a", 3)], 3);
-    let update = replica.since(1, Unchecked).unwrap();
+    let update = replica.update_since(1, Unverified).unwrap();
     assert_eq!((names(&update.objects), update.removed.len()), (vec!["a"], 0));
 }
 
@@ -96,8 +96,8 @@
     for revision in 2..2000 {
         replica.apply(&[Change::Removed(format!("gone-{revision}"))], revision);
     }
-    assert!(replica.since(5, Unchecked).unwrap().is_whole);
-    assert!(!replica.since(1990, Unchecked).unwrap().is_whole);
+    assert!(replica.update_since(5, Unverified).unwrap().is_snapshot);
+    assert!(!replica.update_since(1990, Unverified).unwrap().is_snapshot);
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut replica = Replica::default();
     replica.reset(&[listed("a", 1)], 8);
     replica.reset(&[listed("a", 1)], 4);
-    assert_eq!(replica.since(8, Unchecked), None);
+    assert_eq!(replica.update_since(8, Unverified), None);
 }
 
 /// The tree roots among a zone's daemons, all with the same CPU limit: these watch the store.
@@ -135,14 +135,14 @@
     let mut replica = Replica::default();
     // An object was created at 1 and removed at 2, before this replica's list.
     replica.reset(&[listed("b", 3)], 3);
-    let update = replica.since(1, Unchecked).unwrap();
-    assert!(update.is_whole, "removals before the list are unknown");
+    let update = replica.update_since(1, Unverified).unwrap();
+    assert!(update.is_snapshot, "removals before the list are unknown");
     // The same after another list that follows a gap in the history.
     replica.reset(&[listed("b", 3), listed("c", 9)], 9);
-    assert!(replica.since(5, Unchecked).unwrap().is_whole);
+    assert!(replica.update_since(5, Unverified).unwrap().is_snapshot);
     replica.apply(&[Change::Removed("c".to_owned())], 10);
-    let update = replica.since(9, Unchecked).unwrap();
-    assert_eq!((update.is_whole, update.removed), (false, vec!["c".to_owned()]));
+    let update = replica.update_since(9, Unverified).unwrap();
+    assert_eq!((update.is_snapshot, update.removed), (false, vec!["c".to_owned()]));
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let upstreams = [node("w1"), node("w2"), node("w3")];
     let mut first = [0; 2];
     for number in 0..200 {
-        let order = own_order(&node(&format!("front-{number}")), &upstreams);
+        let order = failover_order(&node(&format!("front-{number}")), &upstreams);
         assert_eq!(order[2], upstreams[2]);
         let index =
             upstreams.iter().position(|upstream| *upstream == order[0]).expect("one of them");
@@ -158,7 +158,7 @@
     }
     assert!(first.iter().all(|followers| (70..=130).contains(followers)), "{first:?}");
     let single = [node("w1")];
-    assert_eq!(own_order(&node("front-1"), &single), single);
+    assert_eq!(failover_order(&node("front-1"), &single), single);
 }
 
 #[test]
@@ -168,15 +168,15 @@
     let mut follower = upstream.clone();
     // The upstream lists again, as after the store compacted its history.
     upstream.reset(&[listed("b", 2), listed("c", 8)], 9);
-    let update = upstream.since(2, ByDigest).unwrap();
-    assert!(!update.is_whole);
+    let update = upstream.update_since(2, Digest).unwrap();
+    assert!(!update.is_snapshot);
     assert_eq!((names(&update.objects), &update.removed), (vec!["c"], &vec!["a".to_owned()]));
     assert!(follower.accepts(&update));
     // Another upstream sent an object that was created and removed before the list.
     follower.apply(&[set("x", 4)], 4);
-    let update = upstream.since(4, ByDigest).unwrap();
-    assert!(!update.is_whole && !follower.accepts(&update));
-    assert!(upstream.since(0, ByDigest).unwrap().is_whole);
+    let update = upstream.update_since(4, Digest).unwrap();
+    assert!(!update.is_snapshot && !follower.accepts(&update));
+    assert!(upstream.update_since(0, Digest).unwrap().is_snapshot);
 }
 
 /// Replaces a fifth of the servers, at the size of the largest fleet and twice that.
@@ -191,8 +191,8 @@
             let created = set(&name(servers + number), number + 2);
             upstream.apply(&[Change::Removed(name(number)), created], number + 2);
         }
-        let update = upstream.since(1, ByDigest).unwrap();
-        assert!(!update.is_whole, "of {servers} servers");
+        let update = upstream.update_since(1, Digest).unwrap();
+        assert!(!update.is_snapshot, "of {servers} servers");
         assert_eq!(update.removed.len() as u64, servers / 5);
         assert_eq!(update.objects.len() as u64, servers / 5);
     }
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -10,16 +10,16 @@
 use heronbend::identity::Incarnation;
 use heronbend::quarantine::Crash;
 use heronbend::quarantine::Report;
+use heronbend_gateway::attempt::OutgoingRequest;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
-use heronbend_gateway::exchange::Outgoing;
 use heronbend_gateway::gateway::Gateway;
 use heronbend_gateway::quarantine;
-use heronbend_gateway::quarantine::evidence;
-use heronbend_gateway::quarantine::news;
+use heronbend_gateway::quarantine::crash_detection;
+use heronbend_gateway::quarantine::gossip;
 use heronbend_gateway::quarantine::record;
-use heronbend_gateway::quarantine::Pass;
 use heronbend_gateway::quarantine::Refused;
+use heronbend_gateway::quarantine::SendMode;
 use http::Method;
 use http::StatusCode;
 use smol::Timer;
@@ -52,20 +52,20 @@
     })
 }
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> OutgoingRequest {
+    OutgoingRequest {
         id: "r1".to_owned(),
         method: Method::POST,
         target: "/x".parse().unwrap(),
         headers: Default::default(),
         body: Default::default(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: Default::default(),
     }
 }
 
-async fn admit(gateway: &Rc<Gateway>) -> Result<Pass, Refused> {
+async fn admit(gateway: &Rc<Gateway>) -> Result<SendMode, Refused> {
     let fingerprint = || outgoing().fingerprint(gateway.dialect.headers());
     quarantine::admit(gateway, fingerprint).await
 }
@@ -73,7 +73,12 @@
 /// Simulates the crash of `count` servers while they run the request.
 fn crash_servers(gateway: &Rc<Gateway>, count: usize) {
     for number in 0..count {
-        evidence::note_break(gateway, &server(&format!("s{number}")), &outgoing(), 0);
+        crash_detection::note_broken_connection(
+            gateway,
+            &server(&format!("s{number}")),
+            &outgoing(),
+            0,
+        );
     }
 }
 
@@ -82,7 +87,7 @@
     let request = outgoing().fingerprint(gateway.dialect.headers());
     let crash = |server: &&str| Crash { server: (*server).to_owned(), is_excused: false };
     let endings = servers.iter().map(crash).collect();
-    news::learn(gateway, vec![Report { request, endings }]);
+    gossip::merge_reports(gateway, vec![Report { request, endings }]);
 }
 
 fn has_record(store: &MemoryStore, gateway: &Gateway) -> bool {
@@ -134,8 +139,8 @@
             executor.spawn(record::follow(gateway.clone())).detach();
             crash_servers(&gateway, 3);
             wait_until("the record is written", || has_record(&store, &gateway)).await;
-            quarantine::note_answer(&gateway, &outgoing(), StatusCode::OK);
-            assert_eq!(admit(&gateway).await, Ok(Pass::Free));
+            quarantine::note_response(&gateway, &outgoing(), StatusCode::OK);
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Normal));
             wait_until("the record is removed", || !has_record(&store, &gateway)).await;
         })
     });
@@ -150,7 +155,7 @@
             crash_servers(&gateway, 2);
             wait_until("both crashes are detected", || gateway.metrics.servers_crashed.get() == 2)
                 .await;
-            assert_eq!(admit(&gateway).await, Ok(Pass::Alone));
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Isolated));
         })
     });
 }
@@ -200,12 +205,12 @@
             wait_until("the record is written", || has_record(&store, &gateway)).await;
             for status in [500, 503, 504, 429, 421, 408] {
                 let status = StatusCode::from_u16(status).unwrap();
-                quarantine::note_answer(&gateway, &outgoing(), status);
+                quarantine::note_response(&gateway, &outgoing(), status);
                 assert!(admit(&gateway).await.is_err(), "{status}");
             }
             // A client error shows that the server processed the request.
-            quarantine::note_answer(&gateway, &outgoing(), StatusCode::UNPROCESSABLE_ENTITY);
-            assert_eq!(admit(&gateway).await, Ok(Pass::Free));
+            quarantine::note_response(&gateway, &outgoing(), StatusCode::UNPROCESSABLE_ENTITY);
+            assert_eq!(admit(&gateway).await, Ok(SendMode::Normal));
         })
     });
 }
--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -22,9 +22,9 @@
 };
 use heronbend_gateway::batch::{appender, ownership_manager, results_reader};
 use heronbend_gateway::gateway::Gateway;
-use heronbend_gateway::mirror::{self, MirrorSink, Source};
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::ports::{Object, ObjectStore};
+use heronbend_gateway::reflector::{self, ObjectHandler, Source};
 use serde_json::json;
 use smol::LocalExecutor;
 use support::memory_store::{MemoryStore, WatchFault, WriteFault};
@@ -51,13 +51,13 @@
     }
 }
 
-impl MirrorSink for Names {
-    fn keep(&self, _names: &BTreeSet<String>) {
+impl ObjectHandler for Names {
+    fn retain(&self, _names: &BTreeSet<String>) {
         // The objects of the list follow as changes.
         self.0.borrow_mut().clear();
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.0.borrow_mut().push(object.name.clone());
     }
 
@@ -73,8 +73,9 @@
     kind: &'static str,
     names: &Names,
 ) {
-    let mirror = mirror::follow(gateway.clone(), kind, Source::Store, BATCH_DELAY, names.clone());
-    executor.spawn(mirror).detach();
+    let reflector =
+        reflector::run(gateway.clone(), kind, Source::Store, BATCH_DELAY, names.clone());
+    executor.spawn(reflector).detach();
 }
 
 #[test]
@@ -129,7 +130,7 @@
             reflect(&executor, &gateway, KIND, &names);
             smol::Timer::after(Duration::from_millis(30)).await;
             store.put(KIND, "missed", json!(1));
-            gateway.watches_doubted.notify(usize::MAX);
+            gateway.restart_watches.notify(usize::MAX);
             wait_until("the change is known", || names.contains("missed")).await;
         })
     });
@@ -396,7 +397,7 @@
             store.fail_watches(&[WatchFault::Hanging]);
             let names = Names::default();
             reflect(&executor, &gateway, KIND, &names);
-            executor.spawn(mirror::probe_store(gateway.clone())).detach();
+            executor.spawn(reflector::probe_store(gateway.clone())).detach();
             smol::Timer::after(Duration::from_millis(30)).await;
             store.set_down(true);
             let calls = store.calls.get();
--- a/crates/heronbend-gateway/tests/suspension.rs
+++ b/crates/heronbend-gateway/tests/suspension.rs
@@ -11,13 +11,13 @@
 use futures_lite::FutureExt;
 use heronbend::identity::Incarnation;
 use heronbend::Moment;
+use heronbend_gateway::attempt::OutgoingRequest;
 use heronbend_gateway::clock::Clock;
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::directory::ServerState;
-use heronbend_gateway::exchange::Outgoing;
 use heronbend_gateway::forward::forward;
-use heronbend_gateway::forward::Allowance;
 use heronbend_gateway::forward::ForwardError;
+use heronbend_gateway::forward::RequestLimits;
 use heronbend_gateway::ports::ObjectStore;
 use http::Method;
 use smol::Timer;
@@ -34,7 +34,7 @@
 impl TestClock {
     fn clock(&self) -> Clock {
         let now = self.0.clone();
-        Clock::told(move || now.get())
+        Clock::from_fn(move || now.get())
     }
 
     fn advance(&self, time: Duration) {
@@ -50,9 +50,9 @@
             time.advance(SECOND);
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             gateway.store.list("things", None).await.unwrap();
-            assert_eq!(gateway.store.silent_for(), Duration::ZERO);
+            assert_eq!(gateway.store.since_last_response(), Duration::ZERO);
             time.advance(5 * SECOND);
-            assert_eq!(gateway.store.silent_for(), 5 * SECOND);
+            assert_eq!(gateway.store.since_last_response(), 5 * SECOND);
         })
     });
 }
@@ -84,22 +84,22 @@
             let gateway = gateway_with_clock("a", &store, &executor, time.clock());
             let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
             gateway.directory.borrow_mut().insert(gateway.now(), unresponsive_server(&listener));
-            let outgoing = Outgoing {
+            let outgoing = OutgoingRequest {
                 id: "r1".to_owned(),
                 method: Method::POST,
                 target: "/x".parse().unwrap(),
                 headers: Default::default(),
                 body: Default::default(),
-                hold: None,
+                reservation: None,
                 billing: None,
                 fingerprint: Default::default(),
             };
-            let allowance = Allowance {
+            let limits = RequestLimits {
                 deadline: gateway.now() + 600 * SECOND,
-                is_repeatable: false,
+                is_idempotent: false,
                 max_attempts: 1,
                 target_latency: SECOND,
-                homes: None,
+                allowed_regions: None,
             };
             let request_gateway = gateway.clone();
             let response = executor.spawn(async move {
@@ -107,7 +107,7 @@
                     Timer::after(20 * SECOND).await;
                     panic!("the request did not time out");
                 };
-                forward(&request_gateway, "app", outgoing, allowance).or(test_timeout).await
+                forward(&request_gateway, "app", outgoing, limits).or(test_timeout).await
             });
             support::wait_until("the request is sent", || gateway.metrics.attempts.get() == 1)
                 .await;
--- a/crates/heronbend-gateway/tests/versions.rs
+++ b/crates/heronbend-gateway/tests/versions.rs
@@ -8,11 +8,11 @@
 
 use heronbend::identity::NodeName;
 use heronbend_gateway::directory::Server;
-use heronbend_gateway::versions::board::VersionBoard;
 use heronbend_gateway::versions::lease::{LeaseHold, LeaseRecord, LEASE_DURATION};
 use heronbend_gateway::versions::plan::{
-    loads_at_once, loads_due, EngineState, Load, ModelState, Urgency, STEP_BEGUN,
+    loads_due, max_concurrent_loads, EngineState, Load, ModelState, Urgency, STEP_START_DELAY,
 };
+use heronbend_gateway::versions::published::PublishedVersions;
 use support::server;
 
 const PAUSE: Duration = Duration::from_secs(3);
@@ -94,7 +94,7 @@
     let mut second = hold("b");
     second.observed(5, record("a", true), SECOND);
     renew(&mut second, 6, SECOND, Duration::ZERO);
-    second.lost_track();
+    second.invalidate();
     second.observed(7, record("b", false), SECOND * 2);
     renew(&mut second, 8, SECOND * 2, Duration::ZERO);
     assert_eq!(second.token(SECOND * 2), None);
@@ -136,7 +136,7 @@
         server: Rc::new(Server { models: models.into(), ..server(id, "engines") }),
         is_loading: false,
         loading: None,
-        is_under_way: false,
+        is_transferring: false,
         in_flight: 0,
     }
 }
@@ -147,13 +147,13 @@
 }
 
 fn models(states: &[(&str, u64, u64, bool)]) -> BTreeMap<String, ModelState> {
-    let state = |version, demand, is_pressed| ModelState {
+    let state = |version, demand, has_slow_steps| ModelState {
         version,
         demand,
-        texts: 0,
-        is_pressed,
-        named_for: STEP_BEGUN,
-        is_cut_by_loads: false,
+        step_items: 0,
+        has_slow_steps,
+        published_for: STEP_START_DELAY,
+        requires_single_version: false,
     };
     states.iter().map(|(name, v, d, p)| ((*name).to_owned(), state(*v, *d, *p))).collect()
 }
@@ -181,7 +181,7 @@
     assert_eq!(loads_due(&models, &engines).len(), 2);
     engines[0].is_loading = true;
     engines[0].loading = Some(("m".to_owned(), 2));
-    engines[0].is_under_way = true;
+    engines[0].is_transferring = true;
     assert_eq!(loads_due(&models, &engines).len(), 1);
 }
 
@@ -197,21 +197,22 @@
 
 #[test]
 fn a_model_with_slow_steps_loads_every_version_on_all_hosts_after_the_step_starts() {
-    let urgencies = |named_for, is_cut_by_loads| {
+    let urgencies = |published_for, requires_single_version| {
         let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 1)])).collect();
         let mut models = models(&[("m", 2, 100, true)]);
         let state = models.get_mut("m").unwrap();
-        (state.named_for, state.is_cut_by_loads) = (named_for, is_cut_by_loads);
+        (state.published_for, state.requires_single_version) =
+            (published_for, requires_single_version);
         let loads = load_all(&models, &mut engines);
         loads.iter().map(|load| load.urgency).collect::<Vec<Urgency>>()
     };
     // A step starts soon after its version is published, and needs the servers that can run it.
-    assert_eq!(urgencies(STEP_BEGUN - Duration::from_millis(1), false), []);
-    assert_eq!(urgencies(STEP_BEGUN, false), [Urgency::Soon; 4]);
+    assert_eq!(urgencies(STEP_START_DELAY - Duration::from_millis(1), false), []);
+    assert_eq!(urgencies(STEP_START_DELAY, false), [Urgency::Soon; 4]);
     // If loads interrupt generation, half of the hosts wait until they are idle. The others load
     // immediately, so that not all hosts of a busy model become too old at the same time.
     let expected = [Urgency::Soon, Urgency::Soon, Urgency::WhenIdle, Urgency::WhenIdle];
-    assert_eq!(urgencies(STEP_BEGUN, true), expected);
+    assert_eq!(urgencies(STEP_START_DELAY, true), expected);
 }
 
 #[test]
@@ -219,7 +220,7 @@
     let mut engines: Vec<_> = (0..4).map(|n| engine(&format!("e{n}"), &[("m", 2)])).collect();
     set_version(&mut engines[0], "m", 1);
     let mut models = models(&[("m", 3, 100, true)]);
-    models.get_mut("m").unwrap().named_for = Duration::ZERO;
+    models.get_mut("m").unwrap().published_for = Duration::ZERO;
     let loads = loads_due(&models, &engines);
     assert_eq!(loads.len(), 1);
     assert_eq!((loads[0].server.as_str(), loads[0].urgency), ("e0", Urgency::Now));
@@ -244,23 +245,23 @@
 
 #[test]
 fn a_model_has_slow_steps_while_a_recent_step_was_slow() {
-    let board = VersionBoard::default();
-    assert!(!board.is_pressed("m"));
-    board.step_took("m", SECOND * 6);
-    assert!(board.is_pressed("m"));
-    board.step_took("m", SECOND * 3);
-    assert!(board.is_pressed("m"));
-    board.step_took("m", SECOND * 3);
-    assert!(!board.is_pressed("m"));
-    assert!(!board.is_pressed("other"));
+    let published = PublishedVersions::default();
+    assert!(!published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 6);
+    assert!(published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 3);
+    assert!(published.has_slow_steps("m"));
+    published.record_step_time("m", SECOND * 3);
+    assert!(!published.has_slow_steps("m"));
+    assert!(!published.has_slow_steps("other"));
 }
 
 #[test]
 fn published_versions_only_increase() {
-    let board = VersionBoard::default();
-    assert!(board.name(SECOND, "m", 3));
-    assert!(!board.name(SECOND * 2, "m", 2));
-    assert_eq!(board.named()["m"], (3, SECOND));
+    let published = PublishedVersions::default();
+    assert!(published.observe(SECOND, "m", 3));
+    assert!(!published.observe(SECOND * 2, "m", 2));
+    assert_eq!(published.newest()["m"], (3, SECOND));
 }
 
 /// Servers that hold the first version of three models.
@@ -272,7 +273,7 @@
 
 #[test]
 fn concurrent_loads_grow_with_the_number_of_servers() {
-    assert_eq!([8, 9, 14, 35].map(loads_at_once), [2, 2, 2, 7]);
+    assert_eq!([8, 9, 14, 35].map(max_concurrent_loads), [2, 2, 2, 7]);
     let models = models(&[("a", 3, 100, false)]);
     assert_eq!(loads_due(&models, &many_engines(35)).len(), 7);
 }
@@ -314,15 +315,19 @@
 
 /// Eight models whose steps have 72 to 128 items.
 fn model_states(version: u64) -> BTreeMap<String, ModelState> {
-    let texts = [72, 128, 112, 80, 112, 128, 96, 120];
-    let state = |texts| ModelState {
+    let step_items = [72, 128, 112, 80, 112, 128, 96, 120];
+    let state = |step_items| ModelState {
         version,
         demand: 100,
-        texts,
-        named_for: STEP_BEGUN,
+        step_items,
+        published_for: STEP_START_DELAY,
         ..ModelState::default()
     };
-    texts.iter().enumerate().map(|(number, texts)| (format!("m{number}"), state(*texts))).collect()
+    step_items
+        .iter()
+        .enumerate()
+        .map(|(number, step_items)| (format!("m{number}"), state(*step_items)))
+        .collect()
 }
 
 /// Returns the number of loads for each of eight versions, on servers that hold the first one.
@@ -350,8 +355,8 @@
                 let has = |engine: &&EngineState| engine.server.models[&model] >= allowed;
                 engines.iter().filter(has).map(|engine| engine.server.slots as usize).sum::<usize>()
             };
-            assert!(holds(version) >= 2 * state.texts, "{model} at {version}");
-            assert!(holds(version - 1) >= 4 * state.texts, "{model} at {version}");
+            assert!(holds(version) >= 2 * state.step_items, "{model} at {version}");
+            assert!(holds(version - 1) >= 4 * state.step_items, "{model} at {version}");
         }
     }
 }
@@ -383,6 +388,6 @@
     load_all(&model_states(5), &mut engines);
     for (model, state) in model_states(5) {
         let up_to_date = engines.iter().filter(|engine| engine.server.models[&model] >= 5);
-        assert!(up_to_date.count() * 6 >= 2 * state.texts, "{model}");
+        assert!(up_to_date.count() * 6 >= 2 * state.step_items, "{model}");
     }
 }
