--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -132,7 +132,8 @@
 
 #[test]
 fn removals_reach_followers_from_an_upstream_that_never_held_the_object() {
-    let mut replica = Replica::default(); // An object was created at 1 and removed at 2, before this replica's list.
+    let mut replica = Replica::default();
+    // An object was created at 1 and removed at 2, before this replica's list.
     replica.reset(&[listed("b", 3)], 3);
     let update = replica.update_since(1, Unverified).unwrap();
     assert!(update.is_snapshot, "removals before the list are unknown");
@@ -164,7 +165,8 @@
 fn a_verifying_follower_gets_changes_and_detects_missed_ones() {
     let mut upstream = Replica::default();
     upstream.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let mut follower = upstream.clone(); // The upstream lists again, as after the store compacted its history.
+    let mut follower = upstream.clone();
+    // The upstream lists again, as after the store compacted its history.
     upstream.reset(&[listed("b", 2), listed("c", 8)], 9);
     let update = upstream.update_since(2, Digest).unwrap();
     assert!(!update.is_snapshot);
--- a/crates/heronbend-gateway/tests/packed_news.rs
+++ b/crates/heronbend-gateway/tests/packed_news.rs
@@ -71,8 +71,8 @@
             encodings.set(encodings.get() + 1);
             Ok(vec![since as u8, at as u8])
         };
-        let span = CacheKey { since, at, verification: Verification::Digest };
-        cache.get("servers", span, pack).expect("an encoded update").to_vec()
+        let key = CacheKey { since, at, verification: Verification::Digest };
+        cache.get("servers", key, pack).expect("an encoded update").to_vec()
     };
     for _ in 0..100 {
         assert_eq!(get(3, 9), [3, 9]);
