--- a/crates/heronbend-gateway/tests/store_port.rs
+++ b/crates/heronbend-gateway/tests/store_port.rs
@@ -54,7 +54,6 @@
 impl ObjectHandler for Names {
     fn retain(&self, _names: &BTreeSet<String>) {
         // The objects of the list follow as changes.
-
         self.0.borrow_mut().clear();
     }
 
