--- a/crates/heronbend-http/src/client.rs
+++ b/crates/heronbend-http/src/client.rs
@@ -14,7 +14,7 @@
 use smol::Timer;
 use thiserror::Error;
 
-use crate::guard::{GuardedStream, HeadError};
+use crate::message_stream::{GuardedStream, HeadError};
 
 /// How long an unused connection is kept; shorter than any server's own limit.
 const MAX_IDLE: Duration = Duration::from_secs(15);
--- a/crates/heronbend-http/src/lib.rs
+++ b/crates/heronbend-http/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `async-h1` encodes and decodes messages, but it accepts a body that was cut short as whole, lets
 //! the last of several `Content-Length` headers win, and closes a connection on a malformed head
-//! without an answer. This crate closes those gaps in one place, [`guard::GuardedStream`], which
+//! without an answer. This crate closes those gaps in one place, [`message_stream::GuardedStream`], which
 //! stands between the socket and the codec: it reads a whole head within limits, validates it with
 //! `httparse`, and then hands the codec exactly the bytes of one message. A message that ends early
 //! is an I/O error, in both directions.
@@ -14,13 +14,13 @@
 
 pub mod client;
 pub mod error;
-pub mod guard;
+pub mod message_stream;
 pub mod server;
 pub mod stream_body;
 
 pub use client::{Client, ClientError, Reply};
 pub use error::{error_response, json_response, ErrorBody, Outcome, OUTCOME_HEADER};
-pub use guard::{GuardedStream, HeadError};
 pub use http_types;
+pub use message_stream::{GuardedStream, HeadError};
 pub use server::{read_body, BodyError, Connections, ServerLimits};
 pub use stream_body::{stream_body, BodySender};
--- a/crates/heronbend-http/src/server.rs
+++ b/crates/heronbend-http/src/server.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 
 use crate::error::{error_response, Outcome};
-use crate::guard::{BodyFraming, GuardedStream, Head, HeadError};
+use crate::message_stream::{BodyFraming, GuardedStream, Head, HeadError};
 
 /// Limits of one listener.
 #[derive(Debug, Clone, Copy)]
