--- a/crates/heronbend-daemon/src/dispatch.rs
+++ b/crates/heronbend-daemon/src/dispatch.rs
@@ -17,7 +17,9 @@
 use heronbend::routing::{Query, RequestOutcome, RouteError, Router};
 use heronbend::settings::policy::PoolPolicy;
 use heronbend_http::http_types::{Method, Request, StatusCode, Url};
-use heronbend_http::{Client, ClientError, ErrorBody, HeadError, Outcome, Reply, OUTCOME_HEADER};
+use heronbend_http::{
+    Client, ClientError, ClientResponse, ErrorBody, HeadError, Outcome, OUTCOME_HEADER,
+};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use smol::Timer;
@@ -296,7 +298,7 @@
         mut request: Request,
         caller_request: &str,
         timeout: Duration,
-    ) -> Result<(Reply, String), AttemptFailure> {
+    ) -> Result<(ClientResponse, String), AttemptFailure> {
         let shared = &self.inner.shared;
         shared.metrics.attempts.inc();
         let attempt = format!("{:016x}", shared.unique_number());
@@ -394,8 +396,10 @@
                 self.attempt(backend, outgoing, &request.caller_request, timeout).await?;
             let status = reply.status();
             let content_type = reply.header("content-type").unwrap_or_default().to_owned();
-            let body =
-                reply.read_all(MAX_RESPONSE_BYTES).await.map_err(|error| classify_error(&error))?;
+            let body = reply
+                .read_full(MAX_RESPONSE_BYTES)
+                .await
+                .map_err(|error| classify_error(&error))?;
             Ok(ApplicationResponse { status, content_type, body })
         };
         futures_lite::FutureExt::or(read, async {
@@ -406,8 +410,8 @@
     }
 
     /// Converts a reply with the outcome `not run` to a failure.
-    async fn rejection(&self, backend: &Backend, reply: Reply) -> AttemptFailure {
-        let body = reply.read_all(MAX_RESPONSE_BYTES).await.unwrap_or_default();
+    async fn rejection(&self, backend: &Backend, reply: ClientResponse) -> AttemptFailure {
+        let body = reply.read_full(MAX_RESPONSE_BYTES).await.unwrap_or_default();
         let code = serde_json::from_slice::<ErrorBody>(&body).map(|body| body.error.code);
         let code = code.unwrap_or_else(|_| "refused".to_owned());
         if code == CODE_LEAVING {
--- a/crates/heronbend-daemon/src/front/mod.rs
+++ b/crates/heronbend-daemon/src/front/mod.rs
@@ -84,11 +84,11 @@
 async fn publish_counts(shared: Arc<Shared>, connections: Connections) {
     let (mut in_flight, mut open, mut refused) = (0, 0, 0);
     loop {
-        publish_change(&shared.in_flight, &mut in_flight, connections.exchanges());
+        publish_change(&shared.in_flight, &mut in_flight, connections.in_flight());
         publish_change(&shared.connections, &mut open, connections.open());
-        let refused_heads = connections.refused_heads();
-        shared.metrics.refused_heads.inc_by(refused_heads - refused);
-        refused = refused_heads;
+        let rejected_heads = connections.rejected_heads();
+        shared.metrics.refused_heads.inc_by(rejected_heads - refused);
+        refused = rejected_heads;
         if shared.is_draining() {
             connections.start_draining();
         }
--- a/crates/heronbend-daemon/src/generation.rs
+++ b/crates/heronbend-daemon/src/generation.rs
@@ -18,7 +18,7 @@
 use heronbend::routing::RequestOutcome;
 use heronbend::settings::policy::PoolPolicy;
 use heronbend_http::http_types::{Method, Request, Url};
-use heronbend_http::Reply;
+use heronbend_http::ClientResponse;
 use smol::Timer;
 use thiserror::Error;
 
@@ -244,7 +244,7 @@
 /// Reads an engine's stream until it ends, fails or sends an invalid chunk.
 async fn read_stream(
     dispatcher: &Dispatcher,
-    mut reply: Reply,
+    mut reply: ClientResponse,
     attempt: &str,
     deadline: Instant,
     output: &mut PartialOutput,
@@ -300,7 +300,7 @@
     }
     match finished {
         Some(reason) => {
-            reply.finish();
+            reply.return_to_pool();
             Ok(StreamOutcome::Finished(reason))
         }
         None => Ok(StreamOutcome::Interrupted("the engine's stream ended early".to_owned())),
--- a/crates/heronbend-emulator/src/engine/batch.rs
+++ b/crates/heronbend-emulator/src/engine/batch.rs
@@ -5,7 +5,7 @@
 };
 use heronbend::identity::Incarnation;
 use heronbend::rollout::FinishReason;
-use heronbend_http::stream_body::{BodySender, SendState};
+use heronbend_http::stream_body::{BodySender, TrySendResult};
 
 use super::prefix_cache::PrefixCache;
 use crate::ledger::Run;
@@ -157,7 +157,7 @@
         let mut work = 0;
         while self.running.len() < self.max_running && !self.waiting.is_empty() {
             let sequence = self.waiting.remove(0);
-            if sequence.sender.is_client_gone() {
+            if sequence.sender.is_client_disconnected() {
                 runs.push(sequence.note(false));
                 continue;
             }
@@ -176,7 +176,7 @@
     engine: &str,
     incarnation: Incarnation,
 ) -> Advance {
-    if sequence.sender.is_client_gone() {
+    if sequence.sender.is_client_disconnected() {
         return Advance::Cancelled;
     }
     let has_token = sequence.position < sequence.end;
@@ -204,7 +204,7 @@
         event.extend(STREAM_END);
     }
     match sequence.sender.try_send(event) {
-        SendState::Sent => {
+        TrySendResult::Sent => {
             sequence.position += u32::from(has_token);
             if is_last {
                 Advance::Finished
@@ -212,7 +212,7 @@
                 Advance::Continue
             }
         }
-        SendState::Full => Advance::Continue,
-        SendState::ClientGone => Advance::Cancelled,
+        TrySendResult::Full => Advance::Continue,
+        TrySendResult::ClientDisconnected => Advance::Cancelled,
     }
 }
--- a/crates/heronbend-emulator/src/load/generation.rs
+++ b/crates/heronbend-emulator/src/load/generation.rs
@@ -6,7 +6,7 @@
 use heronbend::rollout::sample::append_segment;
 use heronbend::rollout::{FinishReason, Sample, Segment, SlotIndex};
 use heronbend_http::http_types::{Method, Request, StatusCode};
-use heronbend_http::{ClientError, ErrorBody, Reply};
+use heronbend_http::{ClientError, ClientResponse, ErrorBody};
 use serde::Deserialize;
 use smol::Timer;
 
@@ -120,7 +120,7 @@
         daemon: SocketAddr,
         request: &Request,
         body: &str,
-    ) -> Result<Reply, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let mut result = Err(ClientError::Timeout);
         for address in std::iter::once(&daemon).chain(&self.daemons) {
             let copy = copy_of(request, *address, body);
@@ -141,7 +141,7 @@
         let mut reply = self.begin(daemon, request, body).await?;
         if !reply.status().is_success() {
             let status = reply.status();
-            return Ok(Streamed::Refused(status, reply.read_all(1 << 22).await?));
+            return Ok(Streamed::Refused(status, reply.read_full(1 << 22).await?));
         }
         let reading = async {
             let mut sample = empty_sample();
@@ -175,7 +175,7 @@
                 Err(ClientError::Timeout)
             })
             .await?;
-        reply.finish();
+        reply.return_to_pool();
         Ok(streamed)
     }
 }
--- a/crates/heronbend-http/src/client.rs
+++ b/crates/heronbend-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Sending requests over pooled connections.
+//! HTTP client with a connection pool.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,71 +14,71 @@
 use smol::Timer;
 use thiserror::Error;
 
-use crate::message_stream::{GuardedStream, HeadError};
+use crate::framing::{FramedStream, HeadError};
 
-/// How long an unused connection is kept; shorter than any server's own limit.
+/// Idle connections older than this are closed; shorter than the idle timeout of any server.
 const MAX_IDLE: Duration = Duration::from_secs(15);
-/// Unused connections kept for one address.
+/// Idle connections kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an exchange failed.
+/// Error of a request.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection was made: nothing was sent, and a retry is safe.
+    /// The connection could not be established: nothing was sent, so a retry is safe.
     #[error("no connection: {0}")]
     Connect(io::Error),
-    /// The exchange failed after some of the request may have been sent.
+    /// Sending the request or reading the response failed; the server may have received the request.
     #[error("the exchange failed: {0}")]
     Exchange(io::Error),
-    /// The answer's head is not acceptable.
+    /// The head of the response is invalid.
     #[error("the answer is not acceptable: {0}")]
     Head(HeadError),
-    /// No whole answer within the time given.
+    /// The response was not received within the timeout.
     #[error("no whole answer in time")]
     Timeout,
-    /// The answer is larger than the reader's limit in bytes.
+    /// The response body exceeds this limit in bytes.
     #[error("the answer is larger than {0} bytes")]
     TooLarge(usize),
 }
 
 impl ClientError {
-    /// Whether the request certainly never reached the other side.
+    /// Whether it is certain that no part of the request was sent.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
 }
 
 struct IdleConnection {
-    stream: GuardedStream,
-    since: Instant,
+    stream: FramedStream,
+    idle_since: Instant,
 }
 
 type Pool = Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// An HTTP client for one thread; clones share its pool.
+/// Single-threaded HTTP client; clones share one connection pool.
 #[derive(Clone, Default)]
 pub struct Client {
     pool: Pool,
 }
 
 impl Client {
-    /// A client with an empty pool.
+    /// Creates a client with an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sends a request and waits up to `timeout` for the head of its answer.
+    /// Sends a request and waits up to `timeout` for the response head.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request,
         timeout: Duration,
-    ) -> Result<Reply, ClientError> {
-        within(timeout, self.exchange(address, request)).await
+    ) -> Result<ClientResponse, ClientError> {
+        with_timeout(timeout, self.send_request(address, request)).await
     }
 
-    /// Sends a request and reads its whole answer within `timeout` and `max_bytes`.
+    /// Sends a request and reads the full response body, of at most `max_bytes`, within `timeout`.
     pub async fn fetch(
         &self,
         address: SocketAddr,
@@ -86,15 +86,19 @@
         timeout: Duration,
         max_bytes: usize,
     ) -> Result<(StatusCode, Vec<u8>), ClientError> {
-        within(timeout, async {
-            let reply = self.exchange(address, request).await?;
-            let status = reply.status();
-            Ok((status, reply.read_all(max_bytes).await?))
+        with_timeout(timeout, async {
+            let response = self.send_request(address, request).await?;
+            let status = response.status();
+            Ok((status, response.read_full(max_bytes).await?))
         })
         .await
     }
 
-    async fn exchange(&self, address: SocketAddr, request: Request) -> Result<Reply, ClientError> {
+    async fn send_request(
+        &self,
+        address: SocketAddr,
+        request: Request,
+    ) -> Result<ClientResponse, ClientError> {
         let mut stream = match self.take_idle(address) {
             Some(stream) => stream,
             None => connect(address).await?,
@@ -106,14 +110,18 @@
             .await
             .map_err(|error| ClientError::Exchange(io::Error::other(error)))?;
         let body = response.take_body();
-        Ok(Reply { response, body, home: Home { pool: self.pool.clone(), address, stream } })
+        Ok(ClientResponse {
+            response,
+            body,
+            origin: PooledStream { pool: self.pool.clone(), address, stream },
+        })
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<GuardedStream> {
+    fn take_idle(&self, address: SocketAddr) -> Option<FramedStream> {
         let mut pool = self.pool.borrow_mut();
         let idle = pool.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
-            if connection.since.elapsed() < MAX_IDLE && is_quiet(&connection.stream) {
+            if connection.idle_since.elapsed() < MAX_IDLE && is_reusable(&connection.stream) {
                 return Some(connection.stream);
             }
         }
@@ -121,17 +129,17 @@
     }
 }
 
-/// Whether the peer has neither closed an idle connection nor sent bytes nobody asked for.
-fn is_quiet(stream: &GuardedStream) -> bool {
+/// Whether an idle connection can be reused: the peer has neither closed it nor sent unexpected bytes.
+fn is_reusable(stream: &FramedStream) -> bool {
     let mut byte = [0];
-    let peeked = futures_lite::future::block_on(futures_lite::future::poll_once(
+    let peek = futures_lite::future::block_on(futures_lite::future::poll_once(
         stream.socket().peek(&mut byte),
     ));
-    peeked.is_none()
+    peek.is_none()
 }
 
-/// Whether the server has said that it closes the connection after this answer.
-fn closes_connection(response: &Response) -> bool {
+/// Whether the response carries `Connection: close`.
+fn has_connection_close(response: &Response) -> bool {
     let Some(values) = response.header("connection") else {
         return false;
     };
@@ -139,83 +147,86 @@
     options.any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-async fn connect(address: SocketAddr) -> Result<GuardedStream, ClientError> {
+async fn connect(address: SocketAddr) -> Result<FramedStream, ClientError> {
     let connecting = TcpStream::connect(address).or(async {
         Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     });
     let socket = connecting.await.map_err(ClientError::Connect)?;
     let _ = socket.set_nodelay(true);
-    Ok(GuardedStream::new(socket))
+    Ok(FramedStream::new(socket))
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     timeout: Duration,
-    work: impl Future<Output = Result<T, ClientError>>,
+    operation: impl Future<Output = Result<T, ClientError>>,
 ) -> Result<T, ClientError> {
-    work.or(async {
-        Timer::after(timeout).await;
-        Err(ClientError::Timeout)
-    })
-    .await
+    operation
+        .or(async {
+            Timer::after(timeout).await;
+            Err(ClientError::Timeout)
+        })
+        .await
 }
 
-struct Home {
+/// A connection and the pool that it returns to.
+struct PooledStream {
     pool: Pool,
     address: SocketAddr,
-    stream: GuardedStream,
+    stream: FramedStream,
 }
 
-/// An answer whose body is still to be read.
-pub struct Reply {
+/// A response whose body has not been read yet.
+pub struct ClientResponse {
     response: Response,
     body: Body,
-    home: Home,
+    origin: PooledStream,
 }
 
-impl Reply {
-    /// The status of the answer.
+impl ClientResponse {
+    /// Status code of the response.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// The first value of a header.
+    /// Returns the first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.header(name).map(|values| values.as_str())
     }
 
-    /// The body, to be read piecewise. Call [`Reply::finish`] once it has ended properly.
+    /// Returns the body for incremental reading. Call [`ClientResponse::return_to_pool`] once it has
+    /// been read to its end.
     pub fn body_mut(&mut self) -> &mut Body {
         &mut self.body
     }
 
-    /// Returns the connection to the pool. Only for a body that was read to its proper end: on any
-    /// doubt drop the reply, which closes the connection.
+    /// Returns the connection to the pool, provided that the body was read to its end. Dropping the
+    /// response instead closes the connection.
     ///
-    /// A server that has said that it closes the connection may be slow to do so. A request that is sent
-    /// meanwhile is reset, and nobody can tell whether it was run.
-    pub fn finish(self) {
-        let is_closing = closes_connection(&self.response);
-        let Home { pool, address, stream } = self.home;
+    /// A connection with `Connection: close` is never reused: the server may close it with a delay, and
+    /// a request sent in between would fail without telling whether it was run.
+    pub fn return_to_pool(self) {
+        let is_closing = has_connection_close(&self.response);
+        let PooledStream { pool, address, stream } = self.origin;
         if is_closing || !stream.is_drained() {
             return;
         }
         let mut pool = pool.borrow_mut();
         let idle = pool.entry(address).or_default();
         if idle.len() < MAX_IDLE_PER_ADDRESS {
-            idle.push(IdleConnection { stream, since: Instant::now() });
+            idle.push(IdleConnection { stream, idle_since: Instant::now() });
         }
     }
 
-    /// Reads the whole body; a body that ends early is an error.
-    pub async fn read_all(mut self, max_bytes: usize) -> Result<Vec<u8>, ClientError> {
+    /// Reads the full body; a truncated body is an error.
+    pub async fn read_full(mut self, max_bytes: usize) -> Result<Vec<u8>, ClientError> {
         let mut bytes = Vec::new();
         let mut limited = (&mut self.body).take(max_bytes as u64 + 1);
         limited.read_to_end(&mut bytes).await.map_err(ClientError::Exchange)?;
         if bytes.len() > max_bytes {
             return Err(ClientError::TooLarge(max_bytes));
         }
-        self.finish();
+        self.return_to_pool();
         Ok(bytes)
     }
 }
--- a/crates/heronbend-http/src/error.rs
+++ b/crates/heronbend-http/src/error.rs
@@ -1,25 +1,25 @@
-//! The JSON error body, and the outcome that every error states.
+//! JSON error responses, which state whether the request was run.
 
 use http_types::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// Response header that states whether the request was run, see [`Outcome`].
+/// Response header that carries an [`Outcome`].
 pub const OUTCOME_HEADER: &str = "heronbend-outcome";
 
-/// What is known of whether a back end ran a request.
+/// Whether a backend ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// No back end started the request: sending it again is safe.
+    /// No backend started the request, so a retry is safe.
     NotRun,
-    /// A back end ran the request.
+    /// A backend ran the request.
     Ran,
-    /// A back end may have run the request: only a repeatable request may be sent again.
+    /// A backend may have run the request, so only idempotent requests may be retried.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of [`OUTCOME_HEADER`].
+    /// Returns the value for [`OUTCOME_HEADER`].
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads a value of [`OUTCOME_HEADER`].
+    /// Parses a value of [`OUTCOME_HEADER`]; `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         [Self::NotRun, Self::Ran, Self::Unknown]
             .into_iter()
@@ -36,25 +36,25 @@
     }
 }
 
-/// Body of every error answer: `{"error":{"code":..,"message":..,"outcome":..}}`.
+/// Body of every error response: `{"error":{"code":..,"message":..,"outcome":..}}`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error itself.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// The content of an [`ErrorBody`].
+/// Details of an error in an [`ErrorBody`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorDetail {
     /// Stable machine-readable code, such as `unknown_model`.
     pub code: String,
-    /// Explanation for people.
+    /// Human-readable description.
     pub message: String,
     /// Whether the request was run.
     pub outcome: Outcome,
 }
 
-/// Builds an error answer with its JSON body and outcome header.
+/// Builds an error response with a JSON body and an outcome header.
 pub fn error_response(
     status: StatusCode,
     code: &str,
@@ -69,7 +69,7 @@
     response
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_response(status: StatusCode, body: &impl Serialize) -> Response {
     let bytes = serde_json::to_vec(body).expect("serialising a plain data type cannot fail");
     let mut response = Response::new(status);
--- a/crates/heronbend-http/src/message_stream.rs
+++ b/crates/heronbend-http/src/framing.rs
@@ -1,4 +1,4 @@
-//! A stream that hands the codec exactly one validated message at a time.
+//! A TCP stream that validates message heads and limits reads to one message at a time.
 
 use std::io;
 use std::pin::Pin;
@@ -9,117 +9,117 @@
 use smol::net::TcpStream;
 use thiserror::Error;
 
-/// Largest head, in bytes, that is read; `async-h1` refuses 8 KiB and more.
+/// Largest accepted head in bytes; `async-h1` rejects heads of 8 KiB or more.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
-/// Largest number of headers that is read.
+/// Largest accepted number of headers.
 pub const MAX_HEADERS: usize = 100;
-const HEAD_END: &[u8] = b"\r\n\r\n";
+const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
 const READ_CHUNK_BYTES: usize = 4096;
-/// Most bytes of a body that are copied to go out with their head.
-const MAX_JOINED_BYTES: usize = 16 * 1024;
-/// Replaces the name `expect` in place, so that the codec does not act on a header handled here.
+/// Largest part of a body that is copied to be sent in one write with the head.
+const MAX_COALESCED_BYTES: usize = 16 * 1024;
+/// Overwrites the header name `expect` in place: `Expect` is handled by the server, not by the codec.
 const EXPECT_PLACEHOLDER: &[u8; 6] = b"x-seen";
 
-/// Why a head was not accepted.
+/// Error of reading a message head.
 #[derive(Debug, Error)]
 pub enum HeadError {
     /// The peer closed the connection between messages.
     #[error("connection closed")]
     Closed,
-    /// The connection ended or failed inside a head.
+    /// The connection ended or failed in the middle of a head.
     #[error("connection failed inside a head: {0}")]
     Io(#[from] io::Error),
-    /// The rest of a head did not arrive in time.
+    /// The head was not received within the timeout.
     #[error("the head did not arrive in time")]
-    Slow,
-    /// The head is larger than [`MAX_HEAD_BYTES`] or has more than [`MAX_HEADERS`] headers.
+    Timeout,
+    /// The head exceeds [`MAX_HEAD_BYTES`] or [`MAX_HEADERS`].
     #[error("the head is larger than {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     TooLarge,
-    /// The head is not valid HTTP/1.1.
+    /// The head is not valid HTTP/1.1, for this reason.
     #[error("{0}")]
     Malformed(&'static str),
-    /// The HTTP version is not 1.1.
+    /// The HTTP version is not supported.
     #[error("only HTTP/1.1 is spoken")]
     Version,
-    /// The method is unknown.
+    /// The request method is not supported.
     #[error("the method is not known")]
     Method,
 }
 
-/// How the end of a body is found.
+/// How the length of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// The body has this many bytes.
+    /// The body has this many bytes left to read.
     Length(u64),
-    /// The body is chunked; the codec finds its end.
+    /// Chunked transfer encoding; the codec detects the end of the body.
     Chunked,
 }
 
-/// What the guard learnt from a head.
+/// The validated head of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Head {
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: BodyFraming,
-    /// The sender waits for `100 Continue`.
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
 #[derive(Debug)]
-struct ReadState {
-    /// Bytes read from the socket and not yet handed to the codec.
+struct StreamState {
+    /// Bytes read from the socket; those from `position` on have not been passed to the codec.
     buffered: Vec<u8>,
     position: usize,
-    /// Head bytes still to be handed over.
+    /// Head bytes not yet passed to the codec.
     head_left: usize,
     framing: BodyFraming,
-    /// At least one byte was written since the last head.
-    wrote: bool,
-    /// A written head that waits for the first bytes of its body, to go out in one write with them.
-    held: Vec<u8>,
+    /// Whether anything was written since the last head was read.
+    has_written: bool,
+    /// A head that is buffered to be sent in one write with the start of its body.
+    pending_head: Vec<u8>,
 }
 
-/// A TCP stream whose reads are confined to one message.
+/// A TCP stream whose reads end at the end of the current message.
 ///
-/// Clones share one state; the codec needs a reading and a writing half.
+/// Clones share the socket and the state, since the codec uses separate read and write halves.
 #[derive(Debug, Clone)]
-pub struct GuardedStream {
+pub struct FramedStream {
     socket: TcpStream,
-    state: Arc<Mutex<ReadState>>,
+    state: Arc<Mutex<StreamState>>,
 }
 
-impl GuardedStream {
+impl FramedStream {
     /// Wraps a connected socket.
     pub fn new(socket: TcpStream) -> Self {
         Self {
             socket,
-            state: Arc::new(Mutex::new(ReadState {
+            state: Arc::new(Mutex::new(StreamState {
                 buffered: Vec::new(),
                 position: 0,
                 head_left: 0,
                 framing: BodyFraming::Length(0),
-                wrote: false,
-                held: Vec::new(),
+                has_written: false,
+                pending_head: Vec::new(),
             })),
         }
     }
 
-    /// The wrapped socket.
+    /// Returns the underlying socket.
     pub fn socket(&self) -> &TcpStream {
         &self.socket
     }
 
     /// Whether anything was written since the last head was read.
-    pub fn wrote(&self) -> bool {
-        self.lock().wrote
+    pub fn has_written(&self) -> bool {
+        self.lock().has_written
     }
 
-    /// Whether some bytes of a head were read, but not yet all of it.
+    /// Whether part of a head was received.
     pub fn has_partial_head(&self) -> bool {
         let state = self.lock();
         state.position < state.buffered.len()
     }
 
-    /// Whether the whole message was handed to the codec and no byte of another is held.
+    /// Whether the message was fully passed to the codec and nothing else is buffered.
     pub fn is_drained(&self) -> bool {
         let state = self.lock();
         let body_read = state.framing != BodyFraming::Chunked || state.head_left == 0;
@@ -129,43 +129,43 @@
 
     /// Reads and validates the head of a request.
     pub async fn read_request_head(&mut self) -> Result<Head, HeadError> {
-        let length = self.fill_head().await?;
+        let length = self.read_head_bytes().await?;
         self.accept_head(length, parse_request_head)
     }
 
     /// Reads and validates the head of a response.
     pub async fn read_response_head(&mut self) -> Result<Head, HeadError> {
-        let length = self.fill_head().await?;
+        let length = self.read_head_bytes().await?;
         self.accept_head(length, parse_response_head)
     }
 
-    fn lock(&self) -> MutexGuard<'_, ReadState> {
+    fn lock(&self) -> MutexGuard<'_, StreamState> {
         self.state.lock().expect("no panic while the lock is held")
     }
 
-    /// Reads until a whole head is buffered, and returns its length.
-    async fn fill_head(&mut self) -> Result<usize, HeadError> {
-        let mut searched = 0;
+    /// Reads until a complete head is buffered and returns its length in bytes.
+    async fn read_head_bytes(&mut self) -> Result<usize, HeadError> {
+        let mut searched_len = 0;
         loop {
-            let found = {
+            let head_len = {
                 let mut state = self.lock();
                 state.compact();
-                find_head_end(&state.buffered, searched)
+                find_head_end(&state.buffered, searched_len)
             };
-            if let Some(length) = found {
+            if let Some(length) = head_len {
                 return if length <= MAX_HEAD_BYTES {
                     Ok(length)
                 } else {
                     Err(HeadError::TooLarge)
                 };
             }
-            searched = self.lock().buffered.len();
-            if searched > MAX_HEAD_BYTES {
+            searched_len = self.lock().buffered.len();
+            if searched_len > MAX_HEAD_BYTES {
                 return Err(HeadError::TooLarge);
             }
             let mut chunk = [0; READ_CHUNK_BYTES];
             let count = self.socket.read(&mut chunk).await?;
-            if count == 0 && searched == 0 {
+            if count == 0 && searched_len == 0 {
                 return Err(HeadError::Closed);
             }
             if count == 0 {
@@ -184,19 +184,19 @@
         let head = parse(&mut state.buffered[..length])?;
         state.head_left = length;
         state.framing = head.framing;
-        state.wrote = false;
+        state.has_written = false;
         Ok(head)
     }
 }
 
-impl ReadState {
+impl StreamState {
     fn compact(&mut self) {
         self.buffered.drain(..self.position);
         self.position = 0;
     }
 
-    /// How many bytes the codec may be given next; `None` where only the codec knows.
-    fn allowance(&self) -> Option<u64> {
+    /// Returns how many bytes the codec may read next; `None` for a chunked body.
+    fn read_limit(&self) -> Option<u64> {
         match self.framing {
             _ if self.head_left > 0 => Some(self.head_left as u64),
             BodyFraming::Length(left) => Some(left),
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Copies buffered bytes into `target`; 0 when none are buffered.
-    fn take_buffered(&mut self, target: &mut [u8]) -> usize {
+    /// Copies buffered bytes into `target` and returns their number.
+    fn read_buffered(&mut self, target: &mut [u8]) -> usize {
         let available = &self.buffered[self.position..];
         let count = available.len().min(target.len());
         target[..count].copy_from_slice(&available[..count]);
@@ -223,7 +223,7 @@
     }
 }
 
-impl AsyncRead for GuardedStream {
+impl AsyncRead for FramedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -231,14 +231,14 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let mut state = this.state.lock().expect("no panic while the lock is held");
-        let limit = match state.allowance() {
+        let limit = match state.read_limit() {
             Some(allowed) => target.len().min(usize::try_from(allowed).unwrap_or(usize::MAX)),
             None => target.len(),
         };
         if limit == 0 {
             return Poll::Ready(Ok(0));
         }
-        let buffered = state.take_buffered(&mut target[..limit]);
+        let buffered = state.read_buffered(&mut target[..limit]);
         if buffered > 0 {
             return Poll::Ready(Ok(buffered));
         }
@@ -253,49 +253,50 @@
     }
 }
 
-impl GuardedStream {
-    /// Writes out what is held; ready when nothing is held any more.
-    fn poll_write_held(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+impl FramedStream {
+    /// Writes the buffered head to the socket.
+    fn poll_write_pending_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut state = self.state.lock().expect("no panic while the lock is held");
-        while !state.held.is_empty() {
-            match Pin::new(&mut self.socket).poll_write(context, &state.held) {
+        while !state.pending_head.is_empty() {
+            match Pin::new(&mut self.socket).poll_write(context, &state.pending_head) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Ready(Ok(0)) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
-                Poll::Ready(Ok(count)) => drop(state.held.drain(..count)),
+                Poll::Ready(Ok(count)) => drop(state.pending_head.drain(..count)),
             }
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for GuardedStream {
+impl AsyncWrite for FramedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let holds_head = {
+        let is_buffered = {
             let mut state = self.lock();
-            state.wrote = true;
-            let is_head_with_body = state.held.is_empty() && precedes_a_body(bytes);
-            let fits = !state.held.is_empty() && bytes.len() <= MAX_JOINED_BYTES;
-            if is_head_with_body || fits {
-                state.held.extend_from_slice(bytes);
+            state.has_written = true;
+            let starts_message = state.pending_head.is_empty() && is_head_with_body_length(bytes);
+            let completes_head =
+                !state.pending_head.is_empty() && bytes.len() <= MAX_COALESCED_BYTES;
+            if starts_message || completes_head {
+                state.pending_head.extend_from_slice(bytes);
             }
-            if is_head_with_body {
+            if starts_message {
                 return Poll::Ready(Ok(bytes.len()));
             }
-            fits
+            completes_head
         };
-        if holds_head {
-            // Taken over as a whole; what the socket does not take now goes with the next write.
-            return match self.poll_write_held(context) {
+        if is_buffered {
+            // All bytes are buffered; what the socket does not accept now is sent by the next write.
+            return match self.poll_write_pending_head(context) {
                 Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
                 Poll::Ready(Ok(())) | Poll::Pending => Poll::Ready(Ok(bytes.len())),
             };
         }
-        match self.poll_write_held(context) {
+        match self.poll_write_pending_head(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Ready(Ok(())) => Pin::new(&mut self.socket).poll_write(context, bytes),
@@ -303,24 +304,24 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match self.poll_write_held(context) {
+        match self.poll_write_pending_head(context) {
             Poll::Ready(Ok(())) => Pin::new(&mut self.socket).poll_flush(context),
             other => other,
         }
     }
 
     fn poll_close(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match self.poll_write_held(context) {
+        match self.poll_write_pending_head(context) {
             Poll::Ready(Ok(())) => Pin::new(&mut self.socket).poll_close(context),
             other => other,
         }
     }
 }
 
-/// Whether these bytes, which the codec wrote at once, are a head whose body has a stated length and
-/// follows. A chunked body may be long in coming, so its head is not held.
-fn precedes_a_body(bytes: &[u8]) -> bool {
-    if !bytes.ends_with(HEAD_END) || bytes.len() > MAX_HEAD_BYTES {
+/// Whether these bytes are a head followed by a body of known length. The head of a chunked body is
+/// sent at once, since the first chunk may take long.
+fn is_head_with_body_length(bytes: &[u8]) -> bool {
+    if !bytes.ends_with(HEAD_TERMINATOR) || bytes.len() > MAX_HEAD_BYTES {
         return false;
     }
     let Ok(head) = std::str::from_utf8(bytes) else {
@@ -331,12 +332,12 @@
         .any(|length| length != "0")
 }
 
-fn find_head_end(bytes: &[u8], searched: usize) -> Option<usize> {
-    let start = searched.saturating_sub(HEAD_END.len() - 1);
+fn find_head_end(bytes: &[u8], searched_len: usize) -> Option<usize> {
+    let start = searched_len.saturating_sub(HEAD_TERMINATOR.len() - 1);
     bytes[start..]
-        .windows(HEAD_END.len())
-        .position(|window| window == HEAD_END)
-        .map(|offset| start + offset + HEAD_END.len())
+        .windows(HEAD_TERMINATOR.len())
+        .position(|window| window == HEAD_TERMINATOR)
+        .map(|offset| start + offset + HEAD_TERMINATOR.len())
 }
 
 fn parse_request_head(bytes: &mut [u8]) -> Result<Head, HeadError> {
@@ -355,21 +356,21 @@
     }
     check_host(request.headers)?;
     let framing = body_framing(request.headers)?.unwrap_or(BodyFraming::Length(0));
-    let expectation = find_expectation(bytes.as_ptr() as usize, request.headers);
-    if let Some(offset) = expectation {
+    let expect_offset = find_expect_header(bytes.as_ptr() as usize, request.headers);
+    if let Some(offset) = expect_offset {
         bytes[offset..offset + EXPECT_PLACEHOLDER.len()].copy_from_slice(EXPECT_PLACEHOLDER);
     }
-    Ok(Head { framing, expects_continue: expectation.is_some() })
+    Ok(Head { framing, expects_continue: expect_offset.is_some() })
 }
 
 fn parse_response_head(bytes: &mut [u8]) -> Result<Head, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     check_parsed(response.parse(bytes))?;
-    let bodiless = matches!(response.code, Some(204 | 304));
+    let has_no_body = matches!(response.code, Some(204 | 304));
     let framing = match body_framing(response.headers)? {
         Some(framing) => framing,
-        None if bodiless => BodyFraming::Length(0),
+        None if has_no_body => BodyFraming::Length(0),
         None => return Err(HeadError::Malformed("the answer does not state its length")),
     };
     Ok(Head { framing, expects_continue: false })
@@ -417,9 +418,9 @@
 }
 
 fn parse_length(value: &str) -> Result<u64, HeadError> {
-    let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    let is_digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     match value.parse() {
-        Ok(length) if digits => Ok(length),
+        Ok(length) if is_digits => Ok(length),
         _ => Err(HeadError::Malformed("Content-Length is not a number")),
     }
 }
@@ -432,8 +433,8 @@
     }
 }
 
-/// Offset of an `Expect` header's name, from the address of the head's first byte.
-fn find_expectation(start: usize, headers: &[httparse::Header<'_>]) -> Option<usize> {
+/// Returns the offset of the `Expect` header within a head that starts at address `start`.
+fn find_expect_header(start: usize, headers: &[httparse::Header<'_>]) -> Option<usize> {
     headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case("expect"))
--- a/crates/heronbend-http/src/server.rs
+++ b/crates/heronbend-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving connections: limits, and a JSON error for every request that is refused early.
+//! HTTP server with limits on heads and bodies; invalid requests are rejected with a JSON error.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -16,14 +16,14 @@
 use thiserror::Error;
 
 use crate::error::{error_response, Outcome};
-use crate::message_stream::{BodyFraming, GuardedStream, Head, HeadError};
+use crate::framing::{BodyFraming, FramedStream, Head, HeadError};
 
-/// Limits of one listener.
+/// Limits that a listener applies to requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
     /// Largest request body in bytes.
     pub max_body_bytes: u64,
-    /// Longest wait for a whole head, once its connection has been accepted or reused.
+    /// Time within which a complete head must arrive on a new or idle connection.
     pub head_timeout: Duration,
 }
 
@@ -33,24 +33,24 @@
     }
 }
 
-/// Counts of what one thread's connections are doing.
+/// Counters and shutdown controls of the connections that one thread serves.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
     open: Rc<Cell<usize>>,
-    exchanges: Rc<Cell<usize>>,
-    refused_heads: Rc<Cell<u64>>,
+    in_flight: Rc<Cell<usize>>,
+    rejected_heads: Rc<Cell<u64>>,
     draining: Rc<Cell<bool>>,
-    accepting: Accepting,
+    accept_signal: AcceptSignal,
 }
 
-/// Open while connections are accepted.
+/// Signals the accept loop to stop; the channel is open while connections are accepted.
 #[derive(Debug, Clone)]
-struct Accepting {
+struct AcceptSignal {
     stop: Sender<()>,
     stopped: Receiver<()>,
 }
 
-impl Default for Accepting {
+impl Default for AcceptSignal {
     fn default() -> Self {
         let (stop, stopped) = bounded(1);
         Self { stop, stopped }
@@ -58,32 +58,32 @@
 }
 
 impl Connections {
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Requests whose answer is not yet wholly written.
-    pub fn exchanges(&self) -> usize {
-        self.exchanges.get()
+    /// Returns the number of requests whose response has not been fully written.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
-    /// Requests refused before they reached the handler, since the start.
-    pub fn refused_heads(&self) -> u64 {
-        self.refused_heads.get()
+    /// Returns the number of requests rejected before they reached the handler.
+    pub fn rejected_heads(&self) -> u64 {
+        self.rejected_heads.get()
     }
 
-    /// Ends connections after the exchange each of them is in.
+    /// Closes each connection after its current request.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Closes the listener, once every connection that waits to be accepted has been.
+    /// Stops accepting connections; the listener closes once its accept queue is drained.
     pub fn stop_accepting(&self) {
-        self.accepting.stop.close();
+        self.accept_signal.stop.close();
     }
 
-    /// Accepts connections until told to stop, and serves each on `executor`.
+    /// Accepts connections until [`Connections::stop_accepting`], serving each of them on `executor`.
     pub async fn serve<H, F>(
         &self,
         executor: Rc<LocalExecutor<'static>>,
@@ -95,53 +95,56 @@
         H: Fn(Request) -> F + Clone + 'static,
         F: Future<Output = Response> + 'static,
     {
-        let serve_one = |socket: TcpStream| {
+        let spawn_connection = |socket: TcpStream| {
             let _ = socket.set_nodelay(true);
             let connections = self.clone();
             let handler = handler.clone();
-            // Counted from now on: a stop that looks before the task has run must see it.
-            let open = Counted::new(&connections.open);
+            // Counted before the task first runs, so that a shutdown does not miss the connection.
+            let open = CountGuard::new(&connections.open);
             executor
                 .spawn(async move {
                     let _open = open;
-                    connections.serve_socket(socket, limits, handler).await;
+                    connections.serve_connection(socket, limits, handler).await;
                 })
                 .detach();
         };
         loop {
             let accepted = async { Some(listener.accept().await) };
             let stopped = async {
-                let _ = self.accepting.stopped.recv().await;
+                let _ = self.accept_signal.stopped.recv().await;
                 None
             };
             match accepted.or(stopped).await {
-                Some(Ok((socket, _))) => serve_one(socket),
-                // Out of descriptors, or the peer left early: neither ends the listener.
+                Some(Ok((socket, _))) => spawn_connection(socket),
+                // Out of file descriptors, or the peer disconnected early: keep accepting.
                 Some(Err(_)) => {
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
                 None => break,
             }
         }
-        closing::close(listener, serve_one).await;
+        closing::close(listener, spawn_connection).await;
         Ok(())
     }
 
-    async fn serve_socket<H, F>(&self, socket: TcpStream, limits: ServerLimits, handler: H)
+    async fn serve_connection<H, F>(&self, socket: TcpStream, limits: ServerLimits, handler: H)
     where
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
     {
-        let mut stream = GuardedStream::new(socket);
+        let mut stream = FramedStream::new(socket);
         loop {
-            let head = read_head_within(&mut stream, limits.head_timeout).await;
-            let _exchange = Counted::new(&self.exchanges);
-            let head = match head.map_err(Refusal::from).and_then(|head| check_size(head, limits)) {
+            let head = read_head(&mut stream, limits.head_timeout).await;
+            let _in_flight = CountGuard::new(&self.in_flight);
+            let head = match head
+                .map_err(Rejection::from)
+                .and_then(|head| check_body_size(head, limits))
+            {
                 Ok(head) => head,
-                Err(Refusal::Silent) => return,
-                Err(Refusal::Answer(response)) => {
-                    self.refused_heads.set(self.refused_heads.get() + 1);
-                    write_final(&mut stream, *response).await;
+                Err(Rejection::Close) => return,
+                Err(Rejection::Respond(response)) => {
+                    self.rejected_heads.set(self.rejected_heads.get() + 1);
+                    reject(&mut stream, *response).await;
                     return;
                 }
             };
@@ -159,8 +162,8 @@
             .await;
             match outcome {
                 Ok(ConnectionStatus::KeepAlive) => {}
-                Err(_) if !stream.wrote() => {
-                    write_final(&mut stream, malformed("the request could not be read")).await;
+                Err(_) if !stream.has_written() => {
+                    reject(&mut stream, malformed_request("the request could not be read")).await;
                     return;
                 }
                 _ => return,
@@ -171,56 +174,60 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How much of an unread request is taken in after a refusal, so that the answer is not lost to a
-/// connection reset.
-const LINGER_BYTES: usize = 64 * 1024;
-const LINGER_TIME: Duration = Duration::from_millis(500);
+/// Bytes of an unread request that are discarded after a rejection; closing the socket with unread
+/// bytes would reset the connection and lose the response.
+const MAX_DISCARDED_BYTES: usize = 64 * 1024;
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-struct Counted(Rc<Cell<usize>>);
+/// Increments a counter until dropped.
+struct CountGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl CountGuard {
     fn new(counter: &Rc<Cell<usize>>) -> Self {
         counter.set(counter.get() + 1);
         Self(counter.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-enum Refusal {
-    Silent,
-    Answer(Box<Response>),
+/// How a request that could not be read is rejected.
+enum Rejection {
+    /// Closes the connection without a response.
+    Close,
+    /// Sends this response and closes the connection.
+    Respond(Box<Response>),
 }
 
-impl From<HeadError> for Refusal {
+impl From<HeadError> for Rejection {
     fn from(error: HeadError) -> Self {
         let message = error.to_string();
         match error {
-            HeadError::Closed | HeadError::Io(_) => Self::Silent,
-            HeadError::Slow => Self::Answer(Box::new(error_response(
+            HeadError::Closed | HeadError::Io(_) => Self::Close,
+            HeadError::Timeout => Self::Respond(Box::new(error_response(
                 StatusCode::RequestTimeout,
                 "head_timeout",
                 message,
                 Outcome::NotRun,
             ))),
-            HeadError::TooLarge => Self::Answer(Box::new(error_response(
+            HeadError::TooLarge => Self::Respond(Box::new(error_response(
                 StatusCode::RequestHeaderFieldsTooLarge,
                 "head_too_large",
                 message,
                 Outcome::NotRun,
             ))),
-            HeadError::Malformed(_) => Self::Answer(Box::new(malformed(&message))),
-            HeadError::Version => Self::Answer(Box::new(error_response(
+            HeadError::Malformed(_) => Self::Respond(Box::new(malformed_request(&message))),
+            HeadError::Version => Self::Respond(Box::new(error_response(
                 StatusCode::HttpVersionNotSupported,
                 "http_version",
                 message,
                 Outcome::NotRun,
             ))),
-            HeadError::Method => Self::Answer(Box::new(error_response(
+            HeadError::Method => Self::Respond(Box::new(error_response(
                 StatusCode::NotImplemented,
                 "unknown_method",
                 message,
@@ -230,14 +237,14 @@
     }
 }
 
-fn malformed(message: &str) -> Response {
+fn malformed_request(message: &str) -> Response {
     error_response(StatusCode::BadRequest, "malformed_request", message, Outcome::NotRun)
 }
 
-fn check_size(head: Head, limits: ServerLimits) -> Result<Head, Refusal> {
+fn check_body_size(head: Head, limits: ServerLimits) -> Result<Head, Rejection> {
     match head.framing {
         BodyFraming::Length(length) if length > limits.max_body_bytes => {
-            Err(Refusal::Answer(Box::new(body_too_large(limits.max_body_bytes))))
+            Err(Rejection::Respond(Box::new(body_too_large(limits.max_body_bytes))))
         }
         _ => Ok(head),
     }
@@ -252,12 +259,9 @@
     )
 }
 
-/// Reads a head; a connection that sends none in time is closed without an answer, one that has
-/// begun a head gets status 408.
-async fn read_head_within(
-    stream: &mut GuardedStream,
-    timeout: Duration,
-) -> Result<Head, HeadError> {
+/// Reads a request head within `timeout`. On expiry, an idle connection yields [`HeadError::Closed`]
+/// and one with a partial head [`HeadError::Timeout`].
+async fn read_head(stream: &mut FramedStream, timeout: Duration) -> Result<Head, HeadError> {
     let read = async { Some(stream.read_request_head().await) };
     let head = read
         .or(async {
@@ -267,13 +271,13 @@
         .await;
     match head {
         Some(head) => head,
-        None if stream.has_partial_head() => Err(HeadError::Slow),
+        None if stream.has_partial_head() => Err(HeadError::Timeout),
         None => Err(HeadError::Closed),
     }
 }
 
-/// Writes a last answer, then takes in a bounded rest of the request and closes.
-async fn write_final(stream: &mut GuardedStream, mut response: Response) {
+/// Writes a final response, then discards a bounded amount of the unread request and closes.
+async fn reject(stream: &mut FramedStream, mut response: Response) {
     response.insert_header("connection", "close");
     let mut encoder = Encoder::new(response, Method::Get);
     if futures_lite::io::copy(&mut encoder, &mut *stream).await.is_err() {
@@ -281,54 +285,54 @@
     }
     let mut socket = stream.socket().clone();
     let _ = socket.shutdown(std::net::Shutdown::Write);
-    let drain = async {
-        let mut sink = vec![0; LINGER_BYTES];
+    let discard = async {
+        let mut buffer = vec![0; MAX_DISCARDED_BYTES];
         let mut total = 0;
-        while total < LINGER_BYTES {
-            match socket.read(&mut sink).await {
+        while total < MAX_DISCARDED_BYTES {
+            match socket.read(&mut buffer).await {
                 Ok(count) if count > 0 => total += count,
                 _ => break,
             }
         }
     };
-    drain
+    discard
         .or(async {
-            Timer::after(LINGER_TIME).await;
+            Timer::after(DISCARD_TIMEOUT).await;
         })
         .await;
 }
 
-/// Why a request body was not read.
+/// Error of reading a request body.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The body is larger than this limit in bytes.
+    /// The body exceeds this limit in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(u64),
-    /// The body did not arrive in time.
+    /// The body was not received within the timeout.
     #[error("the body did not arrive in time")]
-    Slow,
-    /// The body ended early or was not readable.
+    Timeout,
+    /// The body was truncated or could not be read.
     #[error("the body was cut short: {0}")]
-    Cut(io::Error),
+    Aborted(io::Error),
 }
 
 impl BodyError {
-    /// The answer that states this error; no such request was run.
+    /// Builds the response for this error, with outcome [`Outcome::NotRun`].
     pub fn response(&self) -> Response {
         let message = self.to_string();
         match self {
             Self::TooLarge(limit) => body_too_large(*limit),
-            Self::Slow => {
+            Self::Timeout => {
                 error_response(StatusCode::RequestTimeout, "body_timeout", message, Outcome::NotRun)
             }
-            Self::Cut(_) => {
+            Self::Aborted(_) => {
                 error_response(StatusCode::BadRequest, "body_cut", message, Outcome::NotRun)
             }
         }
     }
 }
 
-/// Reads a whole request body within a size and a time.
+/// Reads a full request body of at most `max_bytes` within `timeout`.
 pub async fn read_body(
     request: &mut Request,
     max_bytes: u64,
@@ -340,7 +344,7 @@
     }
     let read = async {
         let mut bytes = Vec::new();
-        body.take(max_bytes + 1).read_to_end(&mut bytes).await.map_err(BodyError::Cut)?;
+        body.take(max_bytes + 1).read_to_end(&mut bytes).await.map_err(BodyError::Aborted)?;
         if bytes.len() as u64 > max_bytes {
             return Err(BodyError::TooLarge(max_bytes));
         }
@@ -348,7 +352,7 @@
     };
     read.or(async {
         Timer::after(timeout).await;
-        Err(BodyError::Slow)
+        Err(BodyError::Timeout)
     })
     .await
 }
--- a/crates/heronbend-http/src/stream_body.rs
+++ b/crates/heronbend-http/src/stream_body.rs
@@ -1,4 +1,4 @@
-//! A response body that a task feeds through a bounded channel.
+//! Streaming response bodies, fed through a bounded channel.
 
 use std::io;
 use std::pin::Pin;
@@ -8,84 +8,85 @@
 use http_types::Body;
 use smol::channel::{bounded, Receiver, Sender, TrySendError};
 
-/// Parts that may wait in the channel before the feeding task is held back.
-const CAPACITY: usize = 64;
-/// Bytes from which on waiting parts are not joined.
-const JOINED_BYTES: usize = 4 * 1024;
+/// Number of chunks that the channel buffers before the sender must wait.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// Queued chunks are joined until they have at least this many bytes.
+const MIN_COALESCED_BYTES: usize = 4 * 1024;
 
-/// The feeding side of a streamed body. Dropping it ends the body properly.
+/// Sending half of a streamed body. Dropping the last clone ends the body normally.
 #[derive(Debug, Clone)]
 pub struct BodySender(Sender<io::Result<Vec<u8>>>);
 
-/// The reader has gone: the client closed the connection.
+/// Error: the client closed the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the client is gone")]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
-/// What became of a part that was sent without waiting.
+/// Result of [`BodySender::try_send`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendState {
-    /// It is on its way.
+pub enum TrySendResult {
+    /// The chunk was queued.
     Sent,
-    /// The client reads too slowly; try again later.
+    /// The channel is full because the client reads slowly; retry later.
     Full,
-    /// The client has closed the connection.
-    ClientGone,
+    /// The client closed the connection.
+    ClientDisconnected,
 }
 
 impl BodySender {
-    /// Sends the next part; waits while the channel is full.
-    pub async fn send(&self, part: Vec<u8>) -> Result<(), ClientGone> {
-        self.0.send(Ok(part)).await.map_err(|_| ClientGone)
+    /// Sends a chunk, waiting while the channel is full.
+    pub async fn send(&self, chunk: Vec<u8>) -> Result<(), ClientDisconnected> {
+        self.0.send(Ok(chunk)).await.map_err(|_| ClientDisconnected)
     }
 
-    /// Sends the next part unless that would wait.
-    pub fn try_send(&self, part: Vec<u8>) -> SendState {
-        match self.0.try_send(Ok(part)) {
-            Ok(()) => SendState::Sent,
-            Err(TrySendError::Full(_)) => SendState::Full,
-            Err(TrySendError::Closed(_)) => SendState::ClientGone,
+    /// Sends a chunk without waiting.
+    pub fn try_send(&self, chunk: Vec<u8>) -> TrySendResult {
+        match self.0.try_send(Ok(chunk)) {
+            Ok(()) => TrySendResult::Sent,
+            Err(TrySendError::Full(_)) => TrySendResult::Full,
+            Err(TrySendError::Closed(_)) => TrySendResult::ClientDisconnected,
         }
     }
 
-    /// Like [`BodySender::abort`], unless that would wait.
+    /// Like [`BodySender::abort`], but does nothing if the channel is full.
     pub fn try_abort(&self, reason: &str) {
         let _ = self.0.try_send(Err(io::Error::other(reason.to_owned())));
     }
 
-    /// Ends the body as cut: the connection is closed without its terminator.
+    /// Aborts the body: the connection is closed without the final chunk, so the client sees a truncated
+    /// response.
     pub async fn abort(&self, reason: &str) {
         let _ = self.0.send(Err(io::Error::other(reason.to_owned()))).await;
     }
 
-    /// Whether the client is known to have gone.
-    pub fn is_client_gone(&self) -> bool {
+    /// Whether the client closed the connection.
+    pub fn is_client_disconnected(&self) -> bool {
         self.0.is_closed()
     }
 }
 
-/// Makes a body of unknown length and the sender that feeds it.
+/// Creates a body of unknown length and the sender that feeds it.
 pub fn stream_body() -> (BodySender, Body) {
-    let (sender, receiver) = bounded(CAPACITY);
+    let (sender, receiver) = bounded(MAX_QUEUED_CHUNKS);
     let reader =
-        ChannelReader { receiver: Box::pin(receiver), part: Vec::new(), position: 0, error: None };
+        ChannelReader { receiver: Box::pin(receiver), chunk: Vec::new(), position: 0, error: None };
     (BodySender(sender), Body::from_reader(reader, None))
 }
 
 struct ChannelReader {
     receiver: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
-    part: Vec<u8>,
+    chunk: Vec<u8>,
     position: usize,
-    /// An error that came behind the part.
+    /// An error received after `chunk`, returned once `chunk` has been read.
     error: Option<io::Error>,
 }
 
 impl ChannelReader {
-    /// Parts that wait already go out in one write.
-    fn join_waiting_parts(&mut self) {
-        while self.part.len() < JOINED_BYTES && self.error.is_none() {
+    /// Appends queued chunks to the current one, so that they are sent in one write.
+    fn coalesce_queued_chunks(&mut self) {
+        while self.chunk.len() < MIN_COALESCED_BYTES && self.error.is_none() {
             match self.receiver.try_recv() {
-                Ok(Ok(part)) => self.part.extend(part),
+                Ok(Ok(chunk)) => self.chunk.extend(chunk),
                 Ok(Err(error)) => self.error = Some(error),
                 Err(_) => return,
             }
@@ -96,7 +97,7 @@
 impl AsyncBufRead for ChannelReader {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.position == this.part.len() {
+        while this.position == this.chunk.len() {
             if let Some(error) = this.error.take() {
                 return Poll::Ready(Err(error));
             }
@@ -104,14 +105,14 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(Ok(&[])),
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Err(error)),
-                Poll::Ready(Some(Ok(part))) => {
-                    this.part = part;
+                Poll::Ready(Some(Ok(chunk))) => {
+                    this.chunk = chunk;
                     this.position = 0;
-                    this.join_waiting_parts();
+                    this.coalesce_queued_chunks();
                 }
             }
         }
-        Poll::Ready(Ok(&this.part[this.position..]))
+        Poll::Ready(Ok(&this.chunk[this.position..]))
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
--- a/crates/heronbend-http/tests/messages.rs
+++ b/crates/heronbend-http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Cut, doubled and malformed messages, between this crate's client and server and raw sockets.
+//! Truncated, pipelined and malformed messages, with the client, the server and raw sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,8 +15,8 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_BYTES: usize = 1 << 20;
 
-/// A server on a thread of its own that answers each connection with fixed bytes and closes it.
-fn answer_with(bytes: &'static [u8]) -> SocketAddr {
+/// Starts a server that sends fixed bytes on each connection and closes it.
+fn serve_bytes(bytes: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -29,8 +29,8 @@
     address
 }
 
-/// A server of this crate on a thread of its own: echoes bodies, and streams at `/stream`.
-fn echo() -> SocketAddr {
+/// Starts a server that echoes request bodies and aborts a streamed response at `/stream`.
+fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -72,44 +72,44 @@
 }
 
 #[test]
-fn an_answer_that_ends_early_is_an_error() {
-    let address = answer_with(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhello");
+fn a_truncated_response_is_an_error() {
+    let address = serve_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhello");
     assert_matches!(fetch(&Client::new(), address, "/", ""), Err(ClientError::Exchange(_)));
 }
 
 #[test]
-fn a_stream_that_is_aborted_is_an_error() {
-    let address = echo();
+fn an_aborted_stream_is_an_error() {
+    let address = start_echo_server();
     assert_matches!(fetch(&Client::new(), address, "/stream", ""), Err(ClientError::Exchange(_)));
 }
 
 #[test]
-fn answers_without_or_with_two_lengths_are_refused() {
+fn responses_without_or_with_two_lengths_are_rejected() {
     for bytes in [
         b"HTTP/1.1 200 OK\r\n\r\nhello".as_slice(),
         b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 3\r\n\r\nhello",
     ] {
-        let address = answer_with(bytes);
+        let address = serve_bytes(bytes);
         assert_matches!(fetch(&Client::new(), address, "/", ""), Err(ClientError::Head(_)));
     }
 }
 
 #[test]
-fn a_connection_that_cannot_be_made_was_not_sent_on() {
+fn a_failed_connection_is_reported_as_not_sent() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
-    let error = fetch(&Client::new(), address, "/", "").expect_err("nobody listens");
+    let error = fetch(&Client::new(), address, "/", "").expect_err("nothing listens");
     assert!(error.is_not_sent(), "{error}");
 }
 
 #[test]
-fn bodies_of_all_sizes_come_back_whole_over_one_connection() {
-    let address = echo();
+fn bodies_of_all_sizes_are_echoed_over_one_connection() {
+    let address = start_echo_server();
     let client = Client::new();
     for size in [0, 1, 100, 8 * 1024, 40_000] {
         let body = "b".repeat(size);
-        let (status, bytes) = fetch(&client, address, "/", &body).expect("a whole answer");
+        let (status, bytes) = fetch(&client, address, "/", &body).expect("a full response");
         assert_eq!(status, StatusCode::Ok);
         let echoed: Vec<u8> = serde_json::from_slice(&bytes).expect("JSON");
         assert_eq!(echoed, body.as_bytes());
@@ -117,27 +117,27 @@
 }
 
 #[test]
-fn requests_that_follow_each_other_at_once_are_answered_in_order() {
-    let mut stream = TcpStream::connect(echo()).expect("it listens");
+fn pipelined_requests_are_answered_in_order() {
+    let mut stream = TcpStream::connect(start_echo_server()).expect("a connection");
     let requests = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n\r\naPOST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 1\r\n\r\nb";
-    stream.write_all(requests).expect("it reads");
-    let mut answers = String::new();
-    stream.read_to_string(&mut answers).expect("it answers");
-    let first = answers.find("[97]").expect("the first body");
-    let second = answers.find("[98]").expect("the second body");
+    stream.write_all(requests).expect("the server reads");
+    let mut responses = String::new();
+    stream.read_to_string(&mut responses).expect("a response");
+    let first = responses.find("[97]").expect("the first body");
+    let second = responses.find("[98]").expect("the second body");
     assert!(first < second);
 }
 
 #[test]
-fn a_sender_that_waits_for_leave_gets_it() {
-    let mut stream = TcpStream::connect(echo()).expect("it listens");
+fn expect_100_continue_is_answered() {
+    let mut stream = TcpStream::connect(start_echo_server()).expect("a connection");
     let head = b"POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\nconnection: close\r\ncontent-length: 1\r\n\r\n";
-    stream.write_all(head).expect("it reads");
-    let mut leave = [0; 25];
-    stream.read_exact(&mut leave).expect("leave is given");
-    assert_eq!(&leave, b"HTTP/1.1 100 Continue\r\n\r\n");
-    stream.write_all(b"c").expect("it reads");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("it answers");
-    assert!(answer.ends_with("[99]"), "{answer}");
+    stream.write_all(head).expect("the server reads");
+    let mut interim = [0; 25];
+    stream.read_exact(&mut interim).expect("an interim response");
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
+    stream.write_all(b"c").expect("the server reads");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    assert!(response.ends_with("[99]"), "{response}");
 }
--- a/crates/heronbend-net/src/boot_clock.rs
+++ b/crates/heronbend-net/src/boot_clock.rs
@@ -1,19 +1,18 @@
-//! A clock that counts the time for which the machine is suspended.
+//! A monotonic clock that includes the time during which the machine is suspended.
 //!
-//! The steady clock of the standard library stands still then, so that leases and whatever else runs
-//! out look younger than they are when the machine goes on.
+//! `std::time::Instant` does not advance during a suspension on Linux, so that leases and timeouts
+//! measured with it would expire too late.
 
 use std::time::Duration;
 
 use nix::time::clock_gettime;
 use nix::time::ClockId;
 
-/// Time since the machine was started, suspensions included.
+/// Returns the time since the machine booted, including suspensions.
 ///
 /// # Panics
 ///
-/// If the system has no such clock, which every Linux since 2.6.39 has: without it nothing that runs
-/// out could be judged.
+/// If `CLOCK_BOOTTIME` is not available; Linux has it since 2.6.39.
 pub fn since_boot() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
@@ -21,19 +20,19 @@
     }
 }
 
-/// A clock that begins at zero.
+/// Measures the time since its creation, including suspensions.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock {
     start: Duration,
 }
 
 impl BootClock {
-    /// A clock that begins now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self { start: since_boot() }
     }
 
-    /// Time since it began.
+    /// Returns the time since the start.
     pub fn elapsed(&self) -> Duration {
         since_boot().saturating_sub(self.start)
     }
--- a/crates/heronbend-net/src/lib.rs
+++ b/crates/heronbend-net/src/lib.rs
@@ -1,7 +1,7 @@
-//! What heronbend's daemons need of the system, below any protocol.
+//! Operating system facilities that heronbend's daemons share.
 //!
-//! - [`boot_clock`]: a clock that counts the time for which the machine is suspended.
-//! - [`closing`]: how a listener closes without losing a connection that waits to be accepted.
+//! - [`boot_clock`]: a monotonic clock that includes suspensions of the machine.
+//! - [`closing`]: closes a listener without resetting connections in its accept queue.
 
 pub mod boot_clock;
 pub mod closing;
--- a/crates/heronbend-net/tests/boot_clock.rs
+++ b/crates/heronbend-net/tests/boot_clock.rs
@@ -1,11 +1,11 @@
-//! The clock that counts suspensions, against the system's own word.
+//! Compares the boot clock with `/proc/uptime`.
 
 use std::time::Duration;
 
 use heronbend_net::boot_clock::since_boot;
 use heronbend_net::boot_clock::BootClock;
 
-/// What the system says of the time since its start, which includes suspensions, in hundredths.
+/// Reads `/proc/uptime`, which includes suspensions and has a resolution of 10 ms.
 fn uptime() -> Duration {
     let text = std::fs::read_to_string("/proc/uptime").unwrap();
     let seconds = text.split_whitespace().next().unwrap();
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn it_tells_the_time_since_the_machine_was_started() {
-    let hundredth = Duration::from_millis(10);
+fn it_agrees_with_the_uptime() {
+    let resolution = Duration::from_millis(10);
     let before = uptime();
-    let told = since_boot();
+    let elapsed = since_boot();
     let after = uptime();
-    assert!(before <= told + hundredth, "{before:?} {told:?}");
-    assert!(told <= after + hundredth, "{told:?} {after:?}");
+    assert!(before <= elapsed + resolution, "{before:?} {elapsed:?}");
+    assert!(elapsed <= after + resolution, "{elapsed:?} {after:?}");
 }
 
 #[test]
-fn it_begins_at_zero_and_goes_on() {
+fn it_starts_at_zero_and_advances() {
     let clock = BootClock::start();
     let first = clock.elapsed();
     std::thread::sleep(Duration::from_millis(2));
