--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -19,21 +19,21 @@
 
 //!
 //! The gateway's protocols at the store are models of their own, explored by [`explore`]:
-//! [`order_lease`], under which one daemon at a time gives orders, [`result_log`], which two
-//! daemons may append to at once, [`saved_texts`], the checkpoints of texts under way,
-//! [`usage_reports`], what tenants use, [`quarantine`], requests that end their servers, and [`followed_news`], what daemons hear of the store by way
+//! [`command_lease`], under which one daemon at a time gives orders, [`result_log`], which two
+//! daemons may append to at once, [`checkpoints`], the checkpoints of texts under way,
+//! [`usage_reports`], what tenants use, [`quarantine`], requests that end their servers, and [`update_dissemination`], what daemons hear of the store by way
 //! of others. They drive the gateway's own
 //! state machines as well.
 
 pub mod check;
+pub mod checkpoints;
+pub mod command_lease;
 pub mod explore;
-pub mod followed_news;
 pub mod interner;
 pub mod model;
-pub mod order_lease;
 pub mod quarantine;
 pub mod result_log;
-pub mod saved_texts;
 pub mod scenario;
-pub mod shared_rate;
+pub mod shared_rate_limit;
+pub mod update_dissemination;
 pub mod usage_reports;
--- a/spec/tests/gateway_protocols.rs
+++ b/spec/tests/gateway_protocols.rs
@@ -1,17 +1,17 @@
 //! The gateway's protocols at the store, checked within bounds, and every guard shown to be needed.
 
 use heronbend_spec::check::Report;
+use heronbend_spec::checkpoints;
+use heronbend_spec::checkpoints::SavedTexts;
+use heronbend_spec::command_lease::{self, Bounds, OrderLease};
 use heronbend_spec::explore::{explore, System};
-use heronbend_spec::followed_news;
-use heronbend_spec::followed_news::FollowedNews;
-use heronbend_spec::order_lease::{self, Bounds, OrderLease};
 use heronbend_spec::quarantine;
 use heronbend_spec::quarantine::Quarantine;
 use heronbend_spec::result_log::{self, SharedLog};
-use heronbend_spec::saved_texts;
-use heronbend_spec::saved_texts::SavedTexts;
-use heronbend_spec::shared_rate;
-use heronbend_spec::shared_rate::SharedRate;
+use heronbend_spec::shared_rate_limit;
+use heronbend_spec::shared_rate_limit::SharedRate;
+use heronbend_spec::update_dissemination;
+use heronbend_spec::update_dissemination::FollowedNews;
 use heronbend_spec::usage_reports;
 use heronbend_spec::usage_reports::UsageReports;
 
@@ -43,11 +43,15 @@
     runs: 3,
     writes: 3,
     takeovers: 1,
-    mutation: saved_texts::Mutation::None,
+    mutation: checkpoints::Mutation::None,
 };
 /// Two watchers and a follower.
-const NEWS: FollowedNews =
-    FollowedNews { changes: 3, compactions: 1, lists: 1, mutation: followed_news::Mutation::None };
+const NEWS: FollowedNews = FollowedNews {
+    changes: 3,
+    compactions: 1,
+    lists: 1,
+    mutation: update_dissemination::Mutation::None,
+};
 
 /// Two daemons that both report, and a restart.
 const USAGE: UsageReports = UsageReports {
@@ -65,7 +69,7 @@
     kills: 2,
     cuts: 0,
     asks: 3,
-    mutation: shared_rate::Mutation::None,
+    mutation: shared_rate_limit::Mutation::None,
 };
 /// One is lost, for long.
 const LONG_RATE: SharedRate = SharedRate { daemons: 3, ticks: 6, kills: 1, ..RATE };
@@ -115,13 +119,13 @@
 #[test]
 fn two_holders_never_act_within_the_pause() {
     for bounds in [LONG, RESTART] {
-        holds(&OrderLease { bounds, mutation: order_lease::Mutation::None });
+        holds(&OrderLease { bounds, mutation: command_lease::Mutation::None });
     }
 }
 
 #[test]
 fn every_guard_of_the_lease_is_needed() {
-    use order_lease::Mutation::{
+    use command_lease::Mutation::{
         CountsFromAnswer, NoPause, RestartSettles, SameRenewals, Unconditional,
     };
     for mutation in [NoPause, CountsFromAnswer, Unconditional, SameRenewals] {
@@ -162,7 +166,7 @@
 
 #[test]
 fn every_guard_of_the_checkpoints_is_needed() {
-    use saved_texts::Mutation::{GoesByLength, JoinsByNumber, SavedWhenSent};
+    use checkpoints::Mutation::{GoesByLength, JoinsByNumber, SavedWhenSent};
     for mutation in [JoinsByNumber, GoesByLength, SavedWhenSent] {
         fails(&SavedTexts { mutation, ..TEXTS });
     }
@@ -175,7 +179,7 @@
 
 #[test]
 fn every_guard_of_followed_news_is_needed() {
-    use followed_news::Mutation::{
+    use update_dissemination::Mutation::{
         ForgetsRemovals, TakesLate, TakesOlderList, TakesUnchecked, WatchesOn,
     };
     for mutation in [WatchesOn, TakesLate, TakesOlderList, ForgetsRemovals, TakesUnchecked] {
@@ -206,7 +210,7 @@
 
 #[test]
 fn every_guard_of_the_shared_rate_is_needed() {
-    use shared_rate::Mutation::{CountsFromAnswer, MinorityLends, TakesOverAtOnce};
+    use shared_rate_limit::Mutation::{CountsFromAnswer, MinorityLends, TakesOverAtOnce};
     fails(&SharedRate { mutation: TakesOverAtOnce, ..RATE });
     fails(&SharedRate { mutation: MinorityLends, ..CUT_RATE });
     fails(&SharedRate { mutation: CountsFromAnswer, ..LATE_RATE });
