--- a/spec/src/check.rs
+++ b/spec/src/check.rs
@@ -1,4 +1,4 @@
-//! Explores a model breadth first, so that a counterexample is a shortest one.
+//! Breadth-first exploration of the core protocol, which yields shortest counterexamples.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -9,48 +9,48 @@
 use crate::model::{Model, State};
 use crate::scenario::Scenario;
 
-/// Result of a check.
+/// Result of an exploration.
 pub struct Report {
-    /// States that were reached.
+    /// Distinct states reached.
     pub states: usize,
-    /// Steps that were taken.
+    /// Transitions explored.
     pub steps: u64,
-    /// Events on the longest of the shortest paths to a state.
+    /// Greatest distance of a reached state from the initial state; 0 for [`crate::explore::explore`].
     pub depth: u32,
-    /// Whether every state within the bounds was reached.
+    /// Whether all states within the bounds were explored without a violation.
     pub exhausted: bool,
-    /// A shortest path to a violation.
+    /// A shortest trace to a state that violates an invariant.
     pub counterexample: Option<Counterexample>,
 }
 
-/// A path to a state in which an invariant does not hold.
+/// A trace to a state that violates an invariant.
 pub struct Counterexample {
-    /// The invariant.
+    /// The violated invariant.
     pub invariant: &'static str,
-    /// The events, in order.
-    pub events: Vec<String>,
+    /// Descriptions of the actions, in order.
+    pub actions: Vec<String>,
 }
 
 impl fmt::Display for Counterexample {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "violated: {}", self.invariant)?;
-        for (number, event) in self.events.iter().enumerate() {
-            writeln!(formatter, "{:>4}. {event}", number + 1)?;
+        for (number, action) in self.actions.iter().enumerate() {
+            writeln!(formatter, "{:>4}. {action}", number + 1)?;
         }
         Ok(())
     }
 }
 
-/// Explores every state within the model's bounds, up to a number of states.
+/// Explores the states within the model's bounds, at most `max_states` of them.
 pub fn check<S: Scenario>(model: &Model<S>, max_states: usize) -> Report {
-    let start = model.start();
+    let initial = model.initial_state();
     let depths: RefCell<RapidHashMap<State, u32>> =
-        RefCell::new(RapidHashMap::from_iter([(start, 0)]));
+        RefCell::new(RapidHashMap::from_iter([(initial, 0)]));
     let steps = Cell::new(0_u64);
-    let deepest = Cell::new(0);
+    let max_depth = Cell::new(0);
     let truncated = Cell::new(false);
     let path = bfs(
-        &start,
+        &initial,
         |state| {
             let mut depths = depths.borrow_mut();
             if depths.len() >= max_states {
@@ -63,32 +63,33 @@
             let states: Vec<State> = successors.into_iter().map(|(next, _)| next).collect();
             for next in &states {
                 depths.entry(*next).or_insert_with(|| {
-                    deepest.set(deepest.get().max(depth));
+                    max_depth.set(max_depth.get().max(depth));
                     depth
                 });
             }
             states
         },
-        |state| model.violation(state).is_some(),
+        |state| model.violated_invariant(state).is_some(),
     );
     let states = depths.borrow().len();
     Report {
         states,
         steps: steps.get(),
-        depth: deepest.get(),
+        depth: max_depth.get(),
         exhausted: path.is_none() && !truncated.get(),
-        counterexample: path.map(|path| describe(model, &path)),
+        counterexample: path.map(|path| counterexample_of(model, &path)),
     }
 }
 
-fn describe<S: Scenario>(model: &Model<S>, path: &[State]) -> Counterexample {
-    let last = path.last().expect("a path has a first state");
-    let event = |pair: &[State]| {
-        let found = model.successors(&pair[0], true).into_iter().find(|(next, _)| *next == pair[1]);
-        found.map(|(_, event)| event).unwrap_or_default()
+fn counterexample_of<S: Scenario>(model: &Model<S>, path: &[State]) -> Counterexample {
+    let final_state = path.last().expect("a path contains the initial state");
+    let action = |states: &[State]| {
+        let transition =
+            model.successors(&states[0], true).into_iter().find(|(next, _)| *next == states[1]);
+        transition.map(|(_, action)| action).unwrap_or_default()
     };
     Counterexample {
-        invariant: model.violation(last).unwrap_or("none"),
-        events: path.windows(2).map(event).collect(),
+        invariant: model.violated_invariant(final_state).unwrap_or("none"),
+        actions: path.windows(2).map(action).collect(),
     }
 }
--- a/spec/src/checkpoints.rs
+++ b/spec/src/checkpoints.rs
@@ -1,10 +1,12 @@
-//! Checkpoints of one item's text: daemons that may all run the job at once, each of which moves the
-//! text between servers, begins it anew, saves what it has gained, and goes on with what is saved.
+//! Checkpoints of the output of one batch item. Several daemons may run the job at once; each of them
+//! migrates the item between servers, restarts its generation, writes checkpoints and restores from
+//! them.
 //!
-//! A write that was sent may be executed at any later time or never, and its answer may be lost.
+//! A write may be executed at any later time or never, and its response may be lost.
 //!
-//! Invariants: every text that a daemon goes on with consists of runs, each of which was asked to
-//! follow the event after which it stands; and what a daemon believes saved can be restored.
+//! Invariants: the output that a daemon continues is a sequence of server runs, each of which was
+//! requested to continue after the event that precedes it; and a prefix that a daemon considers saved can
+//! be restored.
 
 use heronbend_gateway::batch::digest::Digest;
 use heronbend_gateway::batch::event_stream::EventReader;
@@ -15,43 +17,43 @@
 
 use crate::explore::System;
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// A segment is joined to any text that has as many events, whatever these are.
-    JoinsByNumber,
-    /// A text that is longer than what was saved is taken to go on from it.
-    GoesByLength,
-    /// What a write holds is taken for saved before its answer.
-    SavedWhenSent,
+    /// A segment is appended to any text with the expected number of events, whatever their contents.
+    JoinsByEventNumber,
+    /// A text that is longer than the saved prefix is assumed to extend it.
+    ComparesLengthOnly,
+    /// A checkpoint is considered saved when its write is sent.
+    SavedOnSend,
 }
 
-/// The system; bounds are small numbers of each event.
+/// The system and its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct SavedTexts {
+pub struct Checkpoints {
     /// Daemons that may run the job.
     pub daemons: usize,
-    /// Events that a text has at most.
+    /// Largest number of events of the item.
     pub events: u64,
-    /// Runs at servers in all.
+    /// Server runs in total.
     pub runs: u8,
-    /// Writes in all.
+    /// Writes in total.
     pub writes: u8,
-    /// Times that a daemon takes the job over.
+    /// Takeovers of the job in total.
     pub takeovers: u8,
-    /// The guard that is taken out.
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Part {
-    /// Whether it has owned the job, and believes that it still does.
+struct Daemon {
+    /// Whether the daemon assumes that it owns the job.
     is_running: bool,
     text: ItemText,
     saved: SavedPrefix,
-    /// The run that makes the next event, and the event that it was asked to follow.
+    /// The current server run, and the event after which it was requested to continue.
     run: Option<(u8, u64)>,
 }
 
@@ -61,10 +63,10 @@
     segment: Segment,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    parts: Vec<Part>,
+    daemons: Vec<Daemon>,
     stored: Vec<Segment>,
     writes: Vec<Write>,
     runs_left: u8,
@@ -72,27 +74,27 @@
     takeovers_left: u8,
 }
 
-/// Takes in the next event of a run; it names the run and what that was asked to follow.
-fn push(text: &mut ItemText, run: u8, after: u64) {
+/// Appends the next event of a run. The event contains the run and the event that the run continues.
+fn append_event(text: &mut ItemText, run: u8, after: u64) {
     let number = text.last_event() + 1;
     let event = format!("id: {number}\ndata: {run}:{after}\n\n");
     let read = EventReader::new("version", Some(1)).read(event.as_bytes(), text);
-    assert_eq!(read, Ok(1), "an event in turn is taken in");
+    assert_eq!(read, Ok(1), "the next event is accepted");
 }
 
-/// Whether each run in a text was asked to follow the event after which it stands.
-fn is_whole(text: &ItemText) -> bool {
+/// Whether each run in a text follows the event after which it was requested to continue.
+fn is_consistent(text: &ItemText) -> bool {
     let text = text.text();
     let mut before = "";
     text.lines().enumerate().all(|(index, event)| {
-        let goes_on = event == before;
+        let is_same_run = event == before;
         before = event;
-        goes_on || event.split_once(':').is_some_and(|(_, after)| after == index.to_string())
+        is_same_run || event.split_once(':').is_some_and(|(_, after)| after == index.to_string())
     })
 }
 
 impl State {
-    /// Writes and what is stored are sets.
+    /// Sorts the writes and the stored segments, whose order is irrelevant.
     fn sorted(mut self) -> Self {
         self.stored.sort_by_key(|segment| (segment.after, segment.events.clone()));
         self.stored.dedup();
@@ -102,68 +104,70 @@
     }
 }
 
-impl SavedTexts {
-    /// The text that a daemon goes on with.
+impl Checkpoints {
+    /// Returns the text that a daemon restores.
     fn restored(&self, stored: &[Segment]) -> ItemText {
-        if self.mutation == Mutation::JoinsByNumber {
-            return join_by_number(stored);
+        if self.mutation == Mutation::JoinsByEventNumber {
+            return join_by_event_number(stored);
         }
         longest_text(&ItemText::default(), stored.iter().collect())
     }
 
-    fn make(&self, state: &State, daemon: usize) -> Option<State> {
-        let part = &state.parts[daemon];
-        let (run, after) = part.run?;
-        if part.text.last_event() >= self.events {
+    fn receive_event(&self, state: &State, daemon: usize) -> Option<State> {
+        let daemon_state = &state.daemons[daemon];
+        let (run, after) = daemon_state.run?;
+        if daemon_state.text.last_event() >= self.events {
             return None;
         }
         let mut next = state.clone();
-        push(&mut next.parts[daemon].text, run, after);
+        append_event(&mut next.daemons[daemon].text, run, after);
         Some(next)
     }
 
-    /// Has another server go on with the text, or make it anew.
-    fn ask(&self, state: &State, daemon: usize, anew: bool) -> Option<State> {
+    /// Starts a run on another server, which continues the text or, `from_scratch`, generates it anew.
+    fn start_run(&self, state: &State, daemon: usize, from_scratch: bool) -> Option<State> {
         let mut next = state.clone();
-        let run = next.runs_left.checked_sub(1).filter(|_| state.parts[daemon].is_running)?;
+        let run = next.runs_left.checked_sub(1).filter(|_| state.daemons[daemon].is_running)?;
         next.runs_left = run;
-        let part = &mut next.parts[daemon];
-        if anew {
-            if part.text.last_event() == 0 {
+        let daemon_state = &mut next.daemons[daemon];
+        if from_scratch {
+            if daemon_state.text.last_event() == 0 {
                 return None;
             }
-            part.text = ItemText::default();
+            daemon_state.text = ItemText::default();
         }
-        part.run = Some((run, part.text.last_event()));
+        daemon_state.run = Some((run, daemon_state.text.last_event()));
         Some(next)
     }
 
-    fn send(&self, state: &State, daemon: usize) -> Option<State> {
+    fn write_checkpoint(&self, state: &State, daemon: usize) -> Option<State> {
         let mut next = state.clone();
         next.writes_left = next.writes_left.checked_sub(1)?;
-        let part = &mut next.parts[daemon];
-        if SavedPrefix::all_of(&part.text) == part.saved || part.text.last_event() == 0 {
+        let daemon_state = &mut next.daemons[daemon];
+        if SavedPrefix::all_of(&daemon_state.text) == daemon_state.saved
+            || daemon_state.text.last_event() == 0
+        {
             return None;
         }
-        let segment = if self.mutation == Mutation::GoesByLength {
-            let is_longer = part.text.last_event() >= part.saved.events;
-            part.text.segment(0, if is_longer { part.saved.events } else { 0 })
+        let segment = if self.mutation == Mutation::ComparesLengthOnly {
+            let is_longer = daemon_state.text.last_event() >= daemon_state.saved.events;
+            daemon_state.text.segment(0, if is_longer { daemon_state.saved.events } else { 0 })
         } else {
-            part.saved.unsaved(0, &part.text)
+            daemon_state.saved.unsaved(0, &daemon_state.text)
         };
-        if self.mutation == Mutation::SavedWhenSent {
-            part.saved = SavedPrefix::through(&segment);
+        if self.mutation == Mutation::SavedOnSend {
+            daemon_state.saved = SavedPrefix::through(&segment);
         }
         next.writes.push(Write { daemon, segment });
         Some(next)
     }
 
-    /// Executes a write; its answer arrives or not.
-    fn execute(&self, state: &State, index: usize, answered: bool) -> State {
+    /// Executes a write; its response is received or lost.
+    fn execute(&self, state: &State, index: usize, is_acknowledged: bool) -> State {
         let mut next = state.clone();
         let Write { daemon, segment } = next.writes.remove(index);
-        if answered {
-            next.parts[daemon].saved = SavedPrefix::through(&segment);
+        if is_acknowledged {
+            next.daemons[daemon].saved = SavedPrefix::through(&segment);
         }
         next.stored.push(segment);
         next
@@ -174,15 +178,14 @@
         next.takeovers_left = next.takeovers_left.checked_sub(1)?;
         let text = self.restored(&next.stored);
         let saved = SavedPrefix::all_of(&text);
-        next.parts[daemon] = Part { is_running: true, text, saved, run: None };
-        // What it sent before is not awaited any more, and may be executed all the same.
+        next.daemons[daemon] = Daemon { is_running: true, text, saved, run: None };
+        // Earlier writes of this daemon may still be executed.
         Some(next)
     }
 }
 
-/// What was done before segments named what they follow: the first part from one writer, the rest
-/// from another, by the numbers of the events.
-fn join_by_number(stored: &[Segment]) -> ItemText {
+/// Joins segments by event numbers alone, which may combine segments of different writers.
+fn join_by_event_number(stored: &[Segment]) -> ItemText {
     let mut text = ItemText::default();
     for segment in stored {
         let known = text.last_event();
@@ -202,14 +205,14 @@
     text
 }
 
-impl System for SavedTexts {
+impl System for Checkpoints {
     type State = State;
 
-    fn start(&self) -> State {
-        let mut parts = vec![Part::default(); self.daemons];
-        parts[0].is_running = true;
+    fn initial_state(&self) -> State {
+        let mut daemons = vec![Daemon::default(); self.daemons];
+        daemons[0].is_running = true;
         State {
-            parts,
+            daemons,
             stored: Vec::new(),
             writes: Vec::new(),
             runs_left: self.runs,
@@ -222,32 +225,38 @@
         let mut next = Vec::new();
         for index in 0..state.writes.len() {
             let daemon = state.writes[index].daemon;
-            let event = |outcome| format!("write {index} of daemon {daemon} is done, {outcome}");
-            next.push((self.execute(state, index, true), event("and answered")));
-            next.push((self.execute(state, index, false), event("its answer is lost")));
+            let event =
+                |outcome| format!("write {index} of daemon {daemon} is executed, {outcome}");
+            next.push((self.execute(state, index, true), event("response received")));
+            next.push((self.execute(state, index, false), event("response lost")));
         }
-        for daemon in 0..state.parts.len() {
-            let steps = [
-                (self.make(state, daemon), "gets an event"),
-                (self.ask(state, daemon, false), "has another server go on"),
-                (self.ask(state, daemon, true), "begins anew"),
-                (self.send(state, daemon), "sends a checkpoint"),
-                (self.take_over(state, daemon), "takes the job over"),
+        for daemon in 0..state.daemons.len() {
+            let actions = [
+                (self.receive_event(state, daemon), "receives an event"),
+                (self.start_run(state, daemon, false), "migrates the item"),
+                (self.start_run(state, daemon, true), "restarts the generation"),
+                (self.write_checkpoint(state, daemon), "writes a checkpoint"),
+                (self.take_over(state, daemon), "takes over the job"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|step| (step, format!("daemon {daemon} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor
+                        .map(|successor| (successor, format!("daemon {daemon} {description}"))),
+                );
             }
         }
         next.into_iter().map(|(state, event)| (state.sorted(), event)).collect()
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         let restored = self.restored(&state.stored);
-        let is_lost = |part: &Part| part.saved.events > restored.last_event();
-        if !is_whole(&restored) || !state.parts.iter().all(|part| is_whole(&part.text)) {
-            return Some("a text joins runs that do not follow each other");
+        let is_lost = |daemon_state: &Daemon| daemon_state.saved.events > restored.last_event();
+        if !is_consistent(&restored)
+            || !state.daemons.iter().all(|daemon_state| is_consistent(&daemon_state.text))
+        {
+            return Some("a text combines runs that do not follow each other");
         }
-        let loses = state.parts.iter().any(is_lost);
-        loses.then_some("what a daemon believes saved cannot be restored")
+        let has_loss = state.daemons.iter().any(is_lost);
+        has_loss.then_some("a saved prefix cannot be restored")
     }
 }
--- a/spec/src/command_lease.rs
+++ b/spec/src/command_lease.rs
@@ -1,11 +1,12 @@
-//! The lease for orders: two daemons, a store, writes that are slow, lost or late, and restarts.
+//! The lease under which a daemon sends commands to engines: two daemons, a store, and writes that are
+//! delayed or lost.
 //!
-//! Time passes in ticks. A write that was sent may be executed at any later time or never, and its
-//! answer may arrive at any later time or never. A daemon may act at any time at which its hold
-//! says that it may, and may restart, upon which it knows nothing.
+//! Time passes in ticks. A write may be executed at any later time or never, and so may its response
+//! be delivered. A daemon may send a command whenever its hold on the lease allows it, and may restart,
+//! which loses its state.
 //!
-//! Invariants: between orders of two daemons lies the pause, and the later one has the higher
-//! fencing token.
+//! Invariants: commands of two daemons are at least the takeover pause apart, and the later one has a
+//! higher fencing token.
 
 use std::time::Duration;
 
@@ -14,75 +15,75 @@
 
 use crate::explore::System;
 
-/// Length of a tick.
+/// Duration of a tick.
 const TICK: Duration = Duration::from_millis(750);
-/// The pause between two holders.
+/// Pause between two holders, in ticks.
 const PAUSE_TICKS: u32 = 1;
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// A daemon that takes the lease over acts at once.
-    NoPause,
-    /// The right to act counts from the answer to a renewal instead of from its sending.
-    CountsFromAnswer,
-    /// A restarted process takes its machine's name for a settled lease.
-    RestartSettles,
-    /// The store replaces the record whatever its revision.
-    Unconditional,
-    /// Renewals write the same again, which is no change: one revision stands for several of them.
-    SameRenewals,
+    /// A new holder acts without waiting for the pause.
+    SkipsTakeoverPause,
+    /// The lease is counted from the response to a renewal instead of from its sending.
+    CountsFromResponse,
+    /// A restarted daemon treats a record with its name as a settled lease.
+    TrustsLeaseAfterRestart,
+    /// The store replaces the record regardless of its revision.
+    UnconditionalWrites,
+    /// Renewals do not change the record, so several of them share one revision.
+    ConstantRenewalCounter,
 }
 
 /// Bounds of an exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Ticks that pass.
+    /// Ticks in total.
     pub ticks: u32,
-    /// Writes that are sent in all.
+    /// Writes in total.
     pub writes: u8,
-    /// Restarts in all.
+    /// Restarts in total.
     pub restarts: u8,
 }
 
-/// The system.
+/// The system, its bounds and its mutation.
 #[derive(Debug, Clone, Copy)]
-pub struct OrderLease {
-    /// Bounds.
+pub struct CommandLease {
+    /// Bounds of the exploration.
     pub bounds: Bounds,
-    /// The guard that is taken out.
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Write {
     daemon: usize,
-    /// Of the daemon's process that sent it.
+    /// Run of the sending daemon.
     run: u8,
-    condition: Option<u64>,
+    expected_revision: Option<u64>,
     record: LeaseRecord,
-    sent: u32,
+    sent_at: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Answer {
+struct Response {
     write: Write,
-    /// The object that the store holds, and whether the write was done.
+    /// Revision of the stored object after the write.
     revision: u64,
     record: LeaseRecord,
-    done: bool,
+    is_applied: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Order {
+struct Command {
     daemon: usize,
     at: u32,
     token: u64,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     now: u32,
@@ -90,10 +91,10 @@
     holds: Vec<LeaseHold>,
     runs: Vec<u8>,
     writes: Vec<Write>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     writes_left: u8,
     restarts_left: u8,
-    last_order: Option<Order>,
+    last_command: Option<Command>,
     violation: Option<&'static str>,
 }
 
@@ -110,19 +111,20 @@
         TICK * self.now
     }
 
-    /// Messages are a set: the order in which they were sent does not matter.
+    /// Sorts the messages, whose order is irrelevant.
     fn sorted(mut self) -> Self {
-        self.writes.sort_by_key(|write| (write.daemon, write.run, write.condition, write.sent));
-        self.answers.sort_by_key(|answer| {
-            let write = &answer.write;
-            (write.daemon, write.run, write.sent, answer.revision, answer.done)
+        self.writes
+            .sort_by_key(|write| (write.daemon, write.run, write.expected_revision, write.sent_at));
+        self.responses.sort_by_key(|response| {
+            let write = &response.write;
+            (write.daemon, write.run, write.sent_at, response.revision, response.is_applied)
         });
         self
     }
 }
 
-impl OrderLease {
-    fn send(&self, state: &State, daemon: usize) -> Option<State> {
+impl CommandLease {
+    fn send_renewal(&self, state: &State, daemon: usize) -> Option<State> {
         let is_waiting = state.holds[daemon].waits_until(state.time()).is_some();
         if state.writes_left == 0 || is_waiting {
             return None;
@@ -130,77 +132,79 @@
         let mut next = state.clone();
         next.writes_left -= 1;
         let mut record = state.holds[daemon].next_record(state.time());
-        if self.mutation == Mutation::SameRenewals {
+        if self.mutation == Mutation::ConstantRenewalCounter {
             record.renewals = 0;
         }
         next.writes.push(Write {
             daemon,
             run: state.runs[daemon],
-            condition: state.holds[daemon].revision(),
+            expected_revision: state.holds[daemon].revision(),
             record,
-            sent: state.now,
+            sent_at: state.now,
         });
         Some(next)
     }
 
-    fn execute(&self, state: &State, index: usize) -> State {
+    fn execute_write(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
         let write = next.writes.remove(index);
-        let known = next.object.as_ref().map(|(revision, _)| *revision);
-        let done = known == write.condition || self.mutation == Mutation::Unconditional;
-        if done {
-            let is_same = next.object.as_ref().is_some_and(|(_, record)| *record == write.record);
-            if !is_same {
-                let revision = known.unwrap_or(0) + 1;
+        let current_revision = next.object.as_ref().map(|(revision, _)| *revision);
+        let is_applied = current_revision == write.expected_revision
+            || self.mutation == Mutation::UnconditionalWrites;
+        if is_applied {
+            let is_unchanged =
+                next.object.as_ref().is_some_and(|(_, record)| *record == write.record);
+            if !is_unchanged {
+                let revision = current_revision.unwrap_or(0) + 1;
                 next.object = Some((revision, write.record.clone()));
             }
         }
         if let Some((revision, record)) = next.object.clone() {
-            next.answers.push(Answer { write, revision, record, done });
+            next.responses.push(Response { write, revision, record, is_applied });
         }
         next
     }
 
-    fn deliver(&self, state: &State, index: usize) -> State {
+    fn deliver_response(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
-        let answer = next.answers.remove(index);
-        let daemon = answer.write.daemon;
-        if answer.write.run != next.runs[daemon] {
+        let response = next.responses.remove(index);
+        let daemon = response.write.daemon;
+        if response.write.run != next.runs[daemon] {
             return next;
         }
         let now = next.time();
         let hold = &mut next.holds[daemon];
-        if answer.done {
-            let mut record = answer.write.record;
-            record.settled |= self.mutation == Mutation::NoPause;
-            let counts_from_answer = self.mutation == Mutation::CountsFromAnswer;
-            let sent = if counts_from_answer { now } else { TICK * answer.write.sent };
-            hold.renewed(answer.revision, record, sent, now);
+        if response.is_applied {
+            let mut record = response.write.record;
+            record.settled |= self.mutation == Mutation::SkipsTakeoverPause;
+            let counts_from_response = self.mutation == Mutation::CountsFromResponse;
+            let sent_at = if counts_from_response { now } else { TICK * response.write.sent_at };
+            hold.renewed(response.revision, record, sent_at, now);
         } else {
-            hold.observed(answer.revision, answer.record, now);
+            hold.observed(response.revision, response.record, now);
         }
         next
     }
 
-    fn read(&self, state: &State, daemon: usize) -> Option<State> {
+    fn read_record(&self, state: &State, daemon: usize) -> Option<State> {
         let (revision, mut record) = state.object.clone()?;
         let mut next = state.clone();
-        record.settled |= self.mutation == Mutation::RestartSettles;
+        record.settled |= self.mutation == Mutation::TrustsLeaseAfterRestart;
         next.holds[daemon].observed(revision, record, state.time());
         (next != *state).then_some(next)
     }
 
-    fn act(&self, state: &State, daemon: usize) -> Option<State> {
+    fn send_command(&self, state: &State, daemon: usize) -> Option<State> {
         let token = state.holds[daemon].token(state.time())?;
         let mut next = state.clone();
-        if let Some(last) = state.last_order.filter(|last| last.daemon != daemon) {
+        if let Some(last) = state.last_command.filter(|last| last.daemon != daemon) {
             if state.now < last.at + PAUSE_TICKS {
                 next.violation = Some("two holders act within the pause");
             } else if token <= last.token {
                 next.violation = Some("a later holder has no higher token");
             }
         }
-        next.last_order = Some(Order { daemon, at: state.now, token });
+        next.last_command = Some(Command { daemon, at: state.now, token });
         Some(next)
     }
 
@@ -213,20 +217,20 @@
     }
 }
 
-impl System for OrderLease {
+impl System for CommandLease {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             now: 0,
             object: None,
             holds: vec![new_hold(0), new_hold(1)],
             runs: vec![0, 0],
             writes: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             writes_left: self.bounds.writes,
             restarts_left: self.bounds.restarts,
-            last_order: None,
+            last_command: None,
             violation: None,
         }
     }
@@ -234,31 +238,34 @@
     fn successors(&self, state: &State) -> Vec<(State, String)> {
         let mut next = Vec::new();
         if state.now < self.bounds.ticks {
-            let mut later = state.clone();
-            later.now += 1;
-            next.push((later, format!("time passes to {}", state.now + 1)));
+            let mut advanced = state.clone();
+            advanced.now += 1;
+            next.push((advanced, format!("time advances to {}", state.now + 1)));
         }
         for index in 0..state.writes.len() {
-            next.push((self.execute(state, index), format!("write {index} is executed")));
+            next.push((self.execute_write(state, index), format!("write {index} is executed")));
         }
-        for index in 0..state.answers.len() {
-            next.push((self.deliver(state, index), format!("answer {index} arrives")));
+        for index in 0..state.responses.len() {
+            next.push((self.deliver_response(state, index), format!("response {index} arrives")));
         }
         for daemon in 0..state.holds.len() {
-            let steps = [
-                (self.send(state, daemon), "sends a renewal"),
-                (self.read(state, daemon), "reads the record"),
-                (self.act(state, daemon), "gives an order"),
+            let actions = [
+                (self.send_renewal(state, daemon), "sends a renewal"),
+                (self.read_record(state, daemon), "reads the record"),
+                (self.send_command(state, daemon), "sends a command"),
                 (self.restart(state, daemon), "restarts"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|step| (step, format!("daemon {daemon} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor
+                        .map(|successor| (successor, format!("daemon {daemon} {description}"))),
+                );
             }
         }
         next.into_iter().map(|(state, event)| (state.sorted(), event)).collect()
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         state.violation
     }
 }
--- a/spec/src/explore.rs
+++ b/spec/src/explore.rs
@@ -1,4 +1,4 @@
-//! Explores a small system breadth first, so that a counterexample is a shortest one.
+//! Breadth-first exploration of a system, which yields shortest counterexamples.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -8,29 +8,29 @@
 
 use crate::check::{Counterexample, Report};
 
-/// A system with finitely many states within its bounds.
+/// A system with a finite number of states.
 pub trait System {
-    /// A state of everything: daemons, store and messages.
+    /// A global state: daemons, store and messages in flight.
     type State: Clone + Eq + Hash;
 
-    /// The state before anything happened.
-    fn start(&self) -> Self::State;
+    /// Returns the initial state.
+    fn initial_state(&self) -> Self::State;
 
-    /// What can happen next, with a line about each.
+    /// Returns the successors of a state, each with a description of the action.
     fn successors(&self, state: &Self::State) -> Vec<(Self::State, String)>;
 
-    /// The invariant that does not hold in a state.
-    fn violation(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns an invariant that a state violates, if there is one.
+    fn violated_invariant(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// Explores every state of a system, up to a number of states.
+/// Explores the states of a system, at most `max_states` of them.
 pub fn explore<S: System>(system: &S, max_states: usize) -> Report {
-    let start = system.start();
-    let mut seen: HashSet<S::State> = HashSet::from([start.clone()]);
+    let initial = system.initial_state();
+    let mut seen: HashSet<S::State> = HashSet::from([initial.clone()]);
     let steps = Cell::new(0_u64);
     let truncated = Cell::new(false);
     let path = bfs(
-        &start,
+        &initial,
         |state| {
             if seen.len() >= max_states {
                 truncated.set(true);
@@ -42,24 +42,28 @@
             seen.extend(states.iter().cloned());
             states
         },
-        |state| system.violation(state).is_some(),
+        |state| system.violated_invariant(state).is_some(),
     );
     Report {
         states: seen.len(),
         steps: steps.get(),
         depth: 0,
         exhausted: path.is_none() && !truncated.get(),
-        counterexample: path.map(|path| describe(system, &path)),
+        counterexample: path.map(|path| counterexample_of(system, &path)),
     }
 }
 
-fn describe<S: System>(system: &S, path: &[S::State]) -> Counterexample {
-    let event = |pair: &[S::State]| {
-        let found = system.successors(&pair[0]).into_iter().find(|(next, _)| *next == pair[1]);
-        found.map(|(_, event)| event).unwrap_or_default()
+fn counterexample_of<S: System>(system: &S, path: &[S::State]) -> Counterexample {
+    let action = |states: &[S::State]| {
+        let transition =
+            system.successors(&states[0]).into_iter().find(|(next, _)| *next == states[1]);
+        transition.map(|(_, action)| action).unwrap_or_default()
     };
     Counterexample {
-        invariant: path.last().and_then(|last| system.violation(last)).unwrap_or("none"),
-        events: path.windows(2).map(event).collect(),
+        invariant: path
+            .last()
+            .and_then(|final_state| system.violated_invariant(final_state))
+            .unwrap_or("none"),
+        actions: path.windows(2).map(action).collect(),
     }
 }
--- a/spec/src/interner.rs
+++ b/spec/src/interner.rs
@@ -1,44 +1,44 @@
-//! Small numbers for large parts of states, so that millions of states fit in memory.
+//! Interning of the components of states, so that millions of states fit in memory.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Gives equal values the same number.
+/// Assigns each distinct value an index.
 #[derive(Debug)]
 pub struct Interner<T> {
-    numbers: HashMap<T, u32>,
+    indices: HashMap<T, u32>,
     values: Vec<T>,
 }
 
 impl<T> Default for Interner<T> {
     fn default() -> Self {
-        Self { numbers: HashMap::new(), values: Vec::new() }
+        Self { indices: HashMap::new(), values: Vec::new() }
     }
 }
 
 impl<T: Clone + Eq + Hash> Interner<T> {
-    /// The number of a value.
-    pub fn number(&mut self, value: T) -> u32 {
-        if let Some(number) = self.numbers.get(&value) {
-            return *number;
+    /// Returns the index of a value, which is inserted if it is new.
+    pub fn intern(&mut self, value: T) -> u32 {
+        if let Some(index) = self.indices.get(&value) {
+            return *index;
         }
-        let number = u32::try_from(self.values.len()).expect("fewer than 2^32 values");
+        let index = u32::try_from(self.values.len()).expect("fewer than 2^32 values");
         self.values.push(value.clone());
-        self.numbers.insert(value, number);
-        number
+        self.indices.insert(value, index);
+        index
     }
 
-    /// The value of a number.
-    pub fn value(&self, number: u32) -> &T {
-        &self.values[number as usize]
+    /// Returns the value at an index.
+    pub fn value(&self, index: u32) -> &T {
+        &self.values[index as usize]
     }
 
-    /// How many values there are.
+    /// Returns the number of distinct values.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether there are none.
+    /// Whether no value was interned.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -1,29 +1,33 @@
-//! Specification of heronbend's core protocol.
+//! Executable specification of heronbend's protocols, checked by bounded exploration.
 //!
-//! A model is a handful of seats that hold [`Replica`](heronbend::register::Replica)s, authors that
-//! make [`Proposal`](heronbend::register::Proposal)s, and drivers of
-//! [`Transition`](heronbend::register::Transition)s: the very state machines that the daemon runs.
-//! The model adds what the world does to them, and the checker explores every order of events up to
-//! the bounds of a [`Bounds`](model::Bounds):
+//! The core protocol in [`model`] consists of hosts that run a
+//! [`Replica`](heronbend::register::Replica) each, proposers that run
+//! [`Proposal`](heronbend::register::Proposal)s, and drivers that run
+//! [`Transition`](heronbend::register::Transition)s, which are the state machines of the daemon. The
+//! model adds the environment, and [`check`] explores all interleavings within
+//! [`Bounds`](model::Bounds):
 //!
-//! - A message that was sent may be delivered at any later time, any number of times, or never: the
-//!   network is a set that only grows, so loss, duplication and reordering are all in it.
-//! - An author or driver may stop at any point, for ever or for as long as it likes: nothing forces
-//!   its next step. This is a pause, a crash and a lost answer of the store alike.
-//! - A seat may restart: its replica forgets everything and has a new incarnation.
-//! - Anybody may learn the stored replica set at any time, and may act on an older one.
+//! - A sent message may be delivered any number of times, at any later time, or never. The network is
+//!   a set that only grows, which covers loss, duplication and reordering.
+//! - A proposer or driver may stop at any point, temporarily or for good. This covers pauses, crashes
+//!   and lost responses.
+//! - A host may restart: its replica loses its state and gets a new incarnation.
+//! - A replica may learn the stored replica set at any time, and a proposer may use an outdated one.
 //!
-//! A [`Scenario`](scenario::Scenario) says what authors want and what the outside world may see.
-//! A [`Mutation`](model::Mutation) removes one guard, upon which the checker must find a
-//! counterexample.
-
+//! A [`Scenario`](scenario::Scenario) defines what the proposers do and what an external observer
+//! sees. A [`Mutation`](model::Mutation) removes one guard of the protocol; the checker must then find
+//! a counterexample.
+//!
+//! The gateway's protocols are separate models, explored by [`explore`], which also run the gateway's
+//! own state machines:
 //!
-//! The gateway's protocols at the store are models of their own, explored by [`explore`]:
-//! [`command_lease`], under which one daemon at a time gives orders, [`result_log`], which two
-//! daemons may append to at once, [`checkpoints`], the checkpoints of texts under way,
-//! [`usage_reports`], what tenants use, [`quarantine`], requests that end their servers, and [`update_dissemination`], what daemons hear of the store by way
-//! of others. They drive the gateway's own
-//! state machines as well.
+//! - [`checkpoints`]: checkpoints of the output of batch items.
+//! - [`command_lease`]: the lease under which one daemon at a time sends commands.
+//! - [`quarantine`]: quarantine of requests that crash their servers.
+//! - [`result_log`]: the result log of a batch job, with concurrent writers.
+//! - [`shared_rate_limit`]: a rate limit that daemons share by issuing permits.
+//! - [`update_dissemination`]: updates of the store that reach daemons through other daemons.
+//! - [`usage_reports`]: reports of the usage of tenants to the provider.
 
 pub mod check;
 pub mod checkpoints;
--- a/spec/src/model.rs
+++ b/spec/src/model.rs
@@ -1,4 +1,4 @@
-//! States, and the steps that lead from one to the next.
+//! The state space of the core protocol: states, actions and successors.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -12,116 +12,117 @@
 use crate::interner::Interner;
 use crate::scenario::{Response, Scenario};
 
-/// Replicas of the set, and seats in the model.
+/// Size of a replica set.
 pub const MEMBERS: usize = 3;
-const MAX_SEATS: usize = 4;
-/// Most authors.
-pub const MAX_AUTHORS: usize = 3;
+const MAX_HOSTS: usize = 4;
+/// Largest number of proposers.
+pub const MAX_PROPOSERS: usize = 3;
 const MAX_DRIVERS: usize = 2;
 const NETWORK_WORDS: usize = 8;
 
-/// How far the checker goes.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Seats; those beyond [`MEMBERS`] are spare daemons.
-    pub seats: usize,
-    /// Authors.
-    pub authors: usize,
-    /// Rounds that each author may start, for all its changes together.
-    pub rounds: [u8; MAX_AUTHORS],
-    /// Number of each author's first round; a higher one is later in the order of ballots.
-    pub first_round: [u8; MAX_AUTHORS],
-    /// Restarts, of all seats together.
+    /// Number of hosts; those beyond [`MEMBERS`] are spare.
+    pub hosts: usize,
+    /// Number of proposers.
+    pub proposers: usize,
+    /// Rounds that each proposer may start, over all its changes.
+    pub rounds: [u8; MAX_PROPOSERS],
+    /// Number of the first round of each proposer, which determines the order of ballots.
+    pub first_round: [u8; MAX_PROPOSERS],
+    /// Restarts of hosts in total.
     pub restarts: u8,
-    /// Epoch changes that may be attempted, each by a driver of its own.
+    /// Attempted epoch changes, each with its own driver.
     pub transitions: usize,
 }
 
-/// A guard that is removed.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None: the protocol as it is.
+    /// The unmodified protocol.
     None,
-    /// A restarted replica keeps its incarnation, and so its seat in the replica set.
+    /// A restarted replica keeps its incarnation, and thus its membership in the replica set.
     RestartKeepsIncarnation,
-    /// A replica accepts a ballot below one that it has promised.
+    /// A replica accepts a lower ballot than it has promised.
     BreaksPromises,
-    /// A transition is content with the state of one old member.
+    /// A transition seals only one member of the old replica set.
     SealsOneMember,
     /// A new replica set starts without the state of the old one.
-    StagesNothing,
-    /// A proposal is content with one member.
-    MajorityOfOne,
-    /// A replica takes a proposal of another epoch for one of its own.
+    SkipsStateTransfer,
+    /// A proposal needs only one member instead of a majority.
+    SingleMemberQuorum,
+    /// A replica handles proposals of other epochs as if they were of its own.
     IgnoresEpochs,
 }
 
-/// A replica's reply and whose it is.
-type Heard<V> = (NodeId, ReplicaReply<V>);
+/// The sender of a reply, and the reply.
+type ReceivedReply<V> = (NodeId, ReplicaReply<V>);
 
-/// A message on its way to or from a replica.
+/// A message to or from a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Message<V> {
     Request { sender: Sender, to: NodeId, request: ReplicaRequest<V> },
     Reply { sender: Sender, from: NodeId, reply: ReplicaReply<V> },
 }
 
-/// Who sent a request and gets its reply.
+/// The sender of a request, which receives the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Sender {
-    Author(usize),
+    Proposer(usize),
     Driver(usize),
 }
 
-/// An author between two events.
+/// State of a proposer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Author<V, P, C> {
+struct Proposer<V, P, C> {
     rounds: u8,
     change: Option<C>,
     proposal: Option<P>,
     _value: std::marker::PhantomData<V>,
 }
 
-/// The stored replica sets, newest last, and what is left of the bounds.
+/// The stored replica sets, newest last, and the number of restarts left.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct Environment {
     configs: Vec<ShardConfig>,
     restarts: u8,
 }
 
-/// A state; its parts are numbers of interned values.
+/// A global state; its components are indices of interned values, and the network is a bit set of
+/// message indices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct State {
-    replicas: [u32; MAX_SEATS],
-    authors: [u32; MAX_AUTHORS],
+    replicas: [u32; MAX_HOSTS],
+    proposers: [u32; MAX_PROPOSERS],
     drivers: [u32; MAX_DRIVERS],
-    world: u32,
-    witness: u32,
+    environment: u32,
+    observations: u32,
     network: [u64; NETWORK_WORDS],
 }
 
-type AuthorOf<S> =
-    Author<<S as Scenario>::Value, Proposal<<S as Scenario>::Value>, crate::scenario::Change<S>>;
+type ProposerOf<S> =
+    Proposer<<S as Scenario>::Value, Proposal<<S as Scenario>::Value>, crate::scenario::Change<S>>;
 
 struct Tables<S: Scenario> {
     replicas: Interner<Replica<S::Value>>,
-    authors: Interner<AuthorOf<S>>,
+    proposers: Interner<ProposerOf<S>>,
     drivers: Interner<Option<Transition<S::Value>>>,
-    worlds: Interner<World>,
-    witnesses: Interner<S::Witness>,
+    environments: Interner<Environment>,
+    observations: Interner<S::Observations>,
     messages: Interner<Message<S::Value>>,
-    /// What a replica, by number, makes of a request, by number.
+    /// Cached deliveries, by the indices of the replica and the request.
     deliveries: HashMap<(u32, u32), Delivery>,
 }
 
-/// A replica after a request, and its reply.
+/// Result of a delivery: the indices of the new replica state and of the reply.
 #[derive(Debug, Clone, Copy)]
 struct Delivery {
     replica: u32,
     reply: Option<u32>,
 }
 
-/// A scenario within bounds.
+/// The core protocol with a scenario, bounds and a mutation.
 pub struct Model<S: Scenario> {
     scenario: S,
     bounds: Bounds,
@@ -133,151 +134,161 @@
     Key("key".to_owned())
 }
 
-fn seat_node(seat: usize, incarnation: u64) -> NodeId {
-    NodeId::new(&format!("seat-{seat}"), incarnation)
+fn host_node(host: usize, incarnation: u64) -> NodeId {
+    NodeId::new(&format!("host-{host}"), incarnation)
 }
 
 impl<S: Scenario> Model<S> {
-    /// A model of a scenario.
+    /// Creates a model.
     pub fn new(scenario: S, bounds: Bounds, mutation: Mutation) -> Self {
-        assert!((MEMBERS..=MAX_SEATS).contains(&bounds.seats));
-        assert!(bounds.authors <= MAX_AUTHORS && bounds.transitions <= MAX_DRIVERS);
+        assert!((MEMBERS..=MAX_HOSTS).contains(&bounds.hosts));
+        assert!(bounds.proposers <= MAX_PROPOSERS && bounds.transitions <= MAX_DRIVERS);
         let tables = RefCell::new(Tables {
             replicas: Interner::default(),
-            authors: Interner::default(),
+            proposers: Interner::default(),
             drivers: Interner::default(),
-            worlds: Interner::default(),
-            witnesses: Interner::default(),
+            environments: Interner::default(),
+            observations: Interner::default(),
             messages: Interner::default(),
             deliveries: HashMap::new(),
         });
         Self { scenario, bounds, mutation, tables }
     }
 
-    /// The scenario.
+    /// Returns the scenario.
     pub fn scenario(&self) -> &S {
         &self.scenario
     }
 
-    /// The bounds.
+    /// Returns the bounds.
     pub fn bounds(&self) -> Bounds {
         self.bounds
     }
 
-    /// The state in which nothing has happened.
-    pub fn start(&self) -> State {
+    /// Returns the initial state.
+    pub fn initial_state(&self) -> State {
         let mut tables = self.tables.borrow_mut();
-        let members: BTreeSet<NodeId> = (0..MEMBERS).map(|seat| seat_node(seat, 1)).collect();
+        let members: BTreeSet<NodeId> = (0..MEMBERS).map(|host| host_node(host, 1)).collect();
         let config = ShardConfig { epoch: 1, transition: 0, members };
         let mut state = State {
-            replicas: [0; MAX_SEATS],
-            authors: [0; MAX_AUTHORS],
+            replicas: [0; MAX_HOSTS],
+            proposers: [0; MAX_PROPOSERS],
             drivers: [0; MAX_DRIVERS],
-            world: 0,
-            witness: tables.witnesses.number(S::Witness::default()),
+            environment: 0,
+            observations: tables.observations.intern(S::Observations::default()),
             network: [0; NETWORK_WORDS],
         };
-        for seat in 0..self.bounds.seats {
-            let mut replica = Replica::new(seat_node(seat, 1));
+        for host in 0..self.bounds.hosts {
+            let mut replica = Replica::new(host_node(host, 1));
             replica.handle(ReplicaRequest::Configure { config: config.clone() });
-            state.replicas[seat] = tables.replicas.number(replica);
+            state.replicas[host] = tables.replicas.intern(replica);
         }
-        for author in 0..self.bounds.authors {
-            let first = Author {
+        for proposer in 0..self.bounds.proposers {
+            let first = Proposer {
                 rounds: 0,
-                change: Some(self.scenario.first_change(author)),
+                change: Some(self.scenario.first_change(proposer)),
                 proposal: None,
                 _value: std::marker::PhantomData,
             };
-            state.authors[author] = tables.authors.number(first);
+            state.proposers[proposer] = tables.proposers.intern(first);
         }
         for driver in &mut state.drivers {
-            *driver = tables.drivers.number(None);
+            *driver = tables.drivers.intern(None);
         }
-        let world = World { configs: vec![config], restarts: self.bounds.restarts };
-        state.world = tables.worlds.number(world);
+        let environment = Environment { configs: vec![config], restarts: self.bounds.restarts };
+        state.environment = tables.environments.intern(environment);
         state
     }
 
-    /// The invariant that does not hold in a state, if one does not.
-    pub fn violation(&self, state: &State) -> Option<&'static str> {
+    /// Returns an invariant that a state violates, if there is one.
+    pub fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         let tables = self.tables.borrow();
-        self.scenario.violation(tables.witnesses.value(state.witness))
+        self.scenario.violated_invariant(tables.observations.value(state.observations))
     }
 
-    /// Every state that one event leads to, with the event's description if that is wanted.
-    pub fn successors(&self, state: &State, describes: bool) -> Vec<(State, String)> {
+    /// Returns the successors of a state, with descriptions of the actions if these are requested.
+    pub fn successors(&self, state: &State, with_descriptions: bool) -> Vec<(State, String)> {
         let mut tables = self.tables.borrow_mut();
-        let mut step =
-            Step { model: self, tables: &mut tables, from: *state, describes, found: Vec::new() };
-        step.start_rounds();
-        step.deliver_requests();
-        step.hear_replies();
-        step.restart_seats();
-        step.learn_configs();
-        step.start_transitions();
-        let mut found = step.found;
-        found.retain(|(next, _)| next != state);
-        found
+        let mut builder = SuccessorBuilder {
+            model: self,
+            tables: &mut tables,
+            from: *state,
+            with_descriptions,
+            successors: Vec::new(),
+        };
+        builder.start_rounds();
+        builder.deliver_requests();
+        builder.deliver_replies();
+        builder.restart_hosts();
+        builder.learn_configs();
+        builder.start_transitions();
+        let mut successors = builder.successors;
+        successors.retain(|(next, _)| next != state);
+        successors
     }
 }
 
 /// Collects the successors of one state.
-struct Step<'a, S: Scenario> {
+struct SuccessorBuilder<'a, S: Scenario> {
     model: &'a Model<S>,
     tables: &'a mut Tables<S>,
     from: State,
-    describes: bool,
-    found: Vec<(State, String)>,
+    with_descriptions: bool,
+    successors: Vec<(State, String)>,
 }
 
-impl<S: Scenario> Step<'_, S> {
-    fn world(&self) -> World {
-        self.tables.worlds.value(self.from.world).clone()
+impl<S: Scenario> SuccessorBuilder<'_, S> {
+    fn environment(&self) -> Environment {
+        self.tables.environments.value(self.from.environment).clone()
     }
 
-    /// Notes a successor; its description is made only for a counterexample.
-    fn emit(&mut self, next: State, event: impl FnOnce() -> String) {
-        let event = if self.describes { event() } else { String::new() };
-        self.found.push((next, event));
+    /// Adds a successor; descriptions are only needed for counterexamples.
+    fn emit(&mut self, next: State, action: impl FnOnce() -> String) {
+        let action = if self.with_descriptions { action() } else { String::new() };
+        self.successors.push((next, action));
     }
 
-    /// An author begins a round, for the first time or because it has waited long enough, on the
-    /// replica set in force or on one that was in force before.
+    /// A proposer starts its first round, or another one after a timeout, with the current or an earlier
+    /// replica set.
     fn start_rounds(&mut self) {
-        for author in 0..self.model.bounds.authors {
-            let known = self.tables.authors.value(self.from.authors[author]).clone();
-            let Some(change) = known.change.clone() else {
+        for proposer in 0..self.model.bounds.proposers {
+            let current = self.tables.proposers.value(self.from.proposers[proposer]).clone();
+            let Some(change) = current.change.clone() else {
                 continue;
             };
-            if known.rounds >= self.model.bounds.rounds[author] {
+            if current.rounds >= self.model.bounds.rounds[proposer] {
                 continue;
             }
-            for config in self.world().configs {
+            for config in self.environment().configs {
                 let epoch = config.epoch;
                 let (proposal, request) = Proposal::start(
                     key(),
                     change.clone(),
-                    self.proposers_config(config),
-                    self.ballot(author, known.rounds),
+                    self.proposal_config(config),
+                    self.ballot(proposer, current.rounds),
                 );
                 let mut next = self.from;
-                self.send(&mut next, Sender::Author(author), proposal.members(), &request);
-                let started =
-                    Author { rounds: known.rounds + 1, proposal: Some(proposal), ..known.clone() };
-                next.authors[author] = self.tables.authors.number(started);
-                self.emit(next, || format!("author {author} starts {change:?} in epoch {epoch}"));
+                self.send(&mut next, Sender::Proposer(proposer), proposal.members(), &request);
+                let started = Proposer {
+                    rounds: current.rounds + 1,
+                    proposal: Some(proposal),
+                    ..current.clone()
+                };
+                next.proposers[proposer] = self.tables.proposers.intern(started);
+                self.emit(next, || {
+                    format!("proposer {proposer} starts {change:?} in epoch {epoch}")
+                });
             }
         }
     }
 
-    fn ballot(&self, author: usize, round: u8) -> Ballot {
-        let first = self.model.bounds.first_round[author];
-        Ballot { round: u64::from(first) + u64::from(round), proposer: author as u64 }
+    fn ballot(&self, proposer: usize, round: u8) -> Ballot {
+        let first = self.model.bounds.first_round[proposer];
+        Ballot { round: u64::from(first) + u64::from(round), proposer: proposer as u64 }
     }
 
-    fn proposers_config(&self, mut config: ShardConfig) -> ShardConfig {
-        if self.model.mutation == Mutation::MajorityOfOne {
+    fn proposal_config(&self, mut config: ShardConfig) -> ShardConfig {
+        if self.model.mutation == Mutation::SingleMemberQuorum {
             config.members = config.members.into_iter().take(1).collect();
         }
         config
@@ -292,42 +303,42 @@
     ) {
         for to in members {
             let message = Message::Request { sender, to: to.clone(), request: request.clone() };
-            self.put(next, message);
+            self.send_message(next, message);
         }
     }
 
-    fn put(&mut self, next: &mut State, message: Message<S::Value>) {
-        let number = self.tables.messages.number(message);
-        put_number(next, number);
+    fn send_message(&mut self, next: &mut State, message: Message<S::Value>) {
+        let index = self.tables.messages.intern(message);
+        add_to_network(next, index);
     }
 
-    /// Numbers of the messages in the network.
-    fn in_network(&self) -> Vec<u32> {
+    /// Returns the indices of the messages in the network.
+    fn messages_in_network(&self) -> Vec<u32> {
         let words = self.from.network.iter().enumerate();
-        let mut numbers = Vec::new();
+        let mut indices = Vec::new();
         for (index, word) in words {
-            let mut left = *word;
-            while left != 0 {
-                numbers.push(index as u32 * u64::BITS + left.trailing_zeros());
-                left &= left - 1;
+            let mut remaining = *word;
+            while remaining != 0 {
+                indices.push(index as u32 * u64::BITS + remaining.trailing_zeros());
+                remaining &= remaining - 1;
             }
         }
-        numbers
+        indices
     }
 
     fn deliver_requests(&mut self) {
-        for number in self.in_network() {
-            for seat in 0..self.model.bounds.seats {
-                let before = self.from.replicas[seat];
-                let Some(delivery) = self.delivery(before, number) else {
+        for index in self.messages_in_network() {
+            for host in 0..self.model.bounds.hosts {
+                let before = self.from.replicas[host];
+                let Some(delivery) = self.delivery(before, index) else {
                     continue;
                 };
                 let mut next = self.from;
-                next.replicas[seat] = delivery.replica;
+                next.replicas[host] = delivery.replica;
                 if let Some(reply) = delivery.reply {
-                    put_number(&mut next, reply);
+                    add_to_network(&mut next, reply);
                 }
-                let message = self.tables.messages.value(number).clone();
+                let message = self.tables.messages.value(index).clone();
                 self.emit(next, || match message {
                     Message::Request { to, request, .. } => format!("{to} handles {request:?}"),
                     Message::Reply { .. } => String::new(),
@@ -336,10 +347,10 @@
         }
     }
 
-    /// What a replica makes of a request; `None` when the request is not for it.
+    /// Returns the result of delivering a request; `None` if the replica is not its receiver.
     fn delivery(&mut self, replica: u32, message: u32) -> Option<Delivery> {
-        if let Some(known) = self.tables.deliveries.get(&(replica, message)) {
-            return Some(*known);
+        if let Some(cached) = self.tables.deliveries.get(&(replica, message)) {
+            return Some(*cached);
         }
         let Message::Request { sender, to, request } = self.tables.messages.value(message).clone()
         else {
@@ -349,13 +360,13 @@
         if *after.node() != to {
             return None;
         }
-        let request = self.tampered(&after, request);
+        let request = self.with_epoch_mutation(&after, request);
         let reply = self.handle(&mut after, request);
-        // A refusal only makes its receiver start anew, which it may do at any time anyway.
-        let is_refusal = matches!(reply, ReplicaReply::Rejected { .. });
-        let reply = (!is_refusal)
-            .then(|| self.tables.messages.number(Message::Reply { sender, from: to, reply }));
-        let delivery = Delivery { replica: self.tables.replicas.number(after), reply };
+        // Rejections are dropped: they only cause a new round, which may start at any time anyway.
+        let is_rejection = matches!(reply, ReplicaReply::Rejected { .. });
+        let reply = (!is_rejection)
+            .then(|| self.tables.messages.intern(Message::Reply { sender, from: to, reply }));
+        let delivery = Delivery { replica: self.tables.replicas.intern(after), reply };
         self.tables.deliveries.insert((replica, message), delivery);
         Some(delivery)
     }
@@ -379,26 +390,26 @@
         }
     }
 
-    /// Authors and drivers act on replies. An author that has heard of too few does nothing anyone
-    /// could notice, so it hears of a quorum at once: of every quorum that has replied.
-    fn hear_replies(&mut self) {
-        let mut replies: HashMap<Sender, Vec<Heard<S::Value>>> = HashMap::new();
-        for number in self.in_network() {
-            if let Message::Reply { sender, from, reply } = self.tables.messages.value(number) {
+    /// Proposers and drivers handle replies. Replies below a quorum have no observable effect, so all
+    /// replies of a quorum are delivered in one action, for each quorum that has replied.
+    fn deliver_replies(&mut self) {
+        let mut replies: HashMap<Sender, Vec<ReceivedReply<S::Value>>> = HashMap::new();
+        for index in self.messages_in_network() {
+            if let Message::Reply { sender, from, reply } = self.tables.messages.value(index) {
                 replies.entry(*sender).or_default().push((from.clone(), reply.clone()));
             }
         }
-        for (sender, heard) in replies {
-            for order in arrangements(&heard) {
+        for (sender, received) in replies {
+            for order in reply_orders(&received) {
                 match sender {
-                    Sender::Author(author) => self.tell_author(author, &order),
-                    Sender::Driver(driver) => self.tell_driver(driver, &order),
+                    Sender::Proposer(proposer) => self.deliver_to_proposer(proposer, &order),
+                    Sender::Driver(driver) => self.deliver_to_driver(driver, &order),
                 }
             }
         }
     }
 
-    fn tampered(
+    fn with_epoch_mutation(
         &self,
         replica: &Replica<S::Value>,
         mut request: ReplicaRequest<S::Value>,
@@ -416,9 +427,13 @@
         request
     }
 
-    fn tell_author(&mut self, author: usize, replies: &[(NodeId, ReplicaReply<S::Value>)]) {
-        let known = self.tables.authors.value(self.from.authors[author]).clone();
-        let Some(mut proposal) = known.proposal.clone() else {
+    fn deliver_to_proposer(
+        &mut self,
+        proposer: usize,
+        replies: &[(NodeId, ReplicaReply<S::Value>)],
+    ) {
+        let current = self.tables.proposers.value(self.from.proposers[proposer]).clone();
+        let Some(mut proposal) = current.proposal.clone() else {
             return;
         };
         for (from, reply) in replies {
@@ -426,82 +441,93 @@
                 Progress::Waiting => {}
                 Progress::Broadcast(request) => {
                     let mut next = self.from;
-                    self.send(&mut next, Sender::Author(author), proposal.members(), &request);
-                    let accepting = Author { proposal: Some(proposal), ..known };
-                    next.authors[author] = self.tables.authors.number(accepting);
-                    self.emit(next, || format!("author {author} hears {replies:?}"));
+                    self.send(&mut next, Sender::Proposer(proposer), proposal.members(), &request);
+                    let accepting = Proposer { proposal: Some(proposal), ..current };
+                    next.proposers[proposer] = self.tables.proposers.intern(accepting);
+                    self.emit(next, || format!("proposer {proposer} receives {replies:?}"));
                     return;
                 }
-                Progress::Done(response) => return self.finish(author, &known, &response),
+                Progress::Done(response) => {
+                    return self.finish_proposal(proposer, &current, &response)
+                }
                 Progress::Preempted { .. } => return,
             }
         }
     }
 
-    fn finish(&mut self, author: usize, known: &AuthorOf<S>, response: &Response<S>) {
-        let witness = self.tables.witnesses.value(self.from.witness).clone();
-        for (change, seen) in self.model.scenario.continuations(author, response, &witness) {
+    fn finish_proposal(
+        &mut self,
+        proposer: usize,
+        current: &ProposerOf<S>,
+        response: &Response<S>,
+    ) {
+        let observations = self.tables.observations.value(self.from.observations).clone();
+        for (change, observed) in
+            self.model.scenario.continuations(proposer, response, &observations)
+        {
             let mut next = self.from;
             let next_change = change.clone();
-            let finished = Author { change, proposal: None, ..known.clone() };
-            next.authors[author] = self.tables.authors.number(finished);
-            next.witness = self.tables.witnesses.number(seen);
+            let finished = Proposer { change, proposal: None, ..current.clone() };
+            next.proposers[proposer] = self.tables.proposers.intern(finished);
+            next.observations = self.tables.observations.intern(observed);
             self.emit(next, || {
-                format!("author {author} is told {response:?} and goes on with {next_change:?}")
+                format!(
+                    "proposer {proposer} receives {response:?} and continues with {next_change:?}"
+                )
             });
         }
     }
 
-    fn restart_seats(&mut self) {
-        let world = self.world();
-        if world.restarts == 0 {
+    fn restart_hosts(&mut self) {
+        let environment = self.environment();
+        if environment.restarts == 0 {
             return;
         }
-        for seat in 0..self.model.bounds.seats {
-            let old = self.tables.replicas.value(self.from.replicas[seat]).node().clone();
+        for host in 0..self.model.bounds.hosts {
+            let old = self.tables.replicas.value(self.from.replicas[host]).node().clone();
             let mut replica = if self.model.mutation == Mutation::RestartKeepsIncarnation {
                 Replica::new(old.clone())
             } else {
-                Replica::new(seat_node(seat, old.incarnation.0 + 1))
+                Replica::new(host_node(host, old.incarnation.0 + 1))
             };
             if self.model.mutation == Mutation::RestartKeepsIncarnation {
-                let config = world.configs[0].clone();
+                let config = environment.configs[0].clone();
                 replica.handle(ReplicaRequest::Configure { config });
             }
             let mut next = self.from;
-            next.replicas[seat] = self.tables.replicas.number(replica);
-            let after = World { restarts: world.restarts - 1, ..world.clone() };
-            next.world = self.tables.worlds.number(after);
-            self.emit(next, || format!("{old} restarts with nothing kept"));
+            next.replicas[host] = self.tables.replicas.intern(replica);
+            let after = Environment { restarts: environment.restarts - 1, ..environment.clone() };
+            next.environment = self.tables.environments.intern(after);
+            self.emit(next, || format!("{old} restarts without its state"));
         }
     }
 
-    /// A replica learns the stored replica set, from whomever.
+    /// A replica learns the newest stored replica set.
     fn learn_configs(&mut self) {
-        let world = self.world();
-        let Some(config) = world.configs.last() else {
+        let environment = self.environment();
+        let Some(config) = environment.configs.last() else {
             return;
         };
-        for seat in 0..self.model.bounds.seats {
-            let mut replica = self.tables.replicas.value(self.from.replicas[seat]).clone();
+        for host in 0..self.model.bounds.hosts {
+            let mut replica = self.tables.replicas.value(self.from.replicas[host]).clone();
             let node = replica.node().clone();
             replica.handle(ReplicaRequest::Configure { config: config.clone() });
             let mut next = self.from;
-            next.replicas[seat] = self.tables.replicas.number(replica);
+            next.replicas[host] = self.tables.replicas.intern(replica);
             self.emit(next, || format!("{node} learns epoch {}", config.epoch));
         }
     }
 
-    /// A driver begins to move the shard to the present runs of some three seats.
+    /// A driver starts a transition to the current incarnations on [`MEMBERS`] of the hosts.
     fn start_transitions(&mut self) {
-        let world = self.world();
+        let environment = self.environment();
         for driver in 0..self.model.bounds.transitions {
             if self.tables.drivers.value(self.from.drivers[driver]).is_some() {
                 continue;
             }
-            for left_out in MEMBERS.saturating_sub(1)..=self.model.bounds.seats {
-                let members = self.present_members(left_out);
-                let Some(old) = world.configs.last().cloned() else {
+            for excluded in MEMBERS.saturating_sub(1)..=self.model.bounds.hosts {
+                let members = self.current_members(excluded);
+                let Some(old) = environment.configs.last().cloned() else {
                     continue;
                 };
                 if members.len() != MEMBERS || members == old.members {
@@ -509,45 +535,47 @@
                 }
                 let identifier = driver as u64 + 1;
                 let (transition, seal) =
-                    Transition::start(self.sealed_config(old.clone()), members, identifier);
+                    Transition::start(self.seal_config(old.clone()), members, identifier);
                 let mut next = self.from;
                 self.send(&mut next, Sender::Driver(driver), &old.members, &seal);
                 let target = transition.target().clone();
-                next.drivers[driver] = self.tables.drivers.number(Some(transition));
-                self.emit(next, || format!("driver {driver} moves to {:?}", target.members));
+                next.drivers[driver] = self.tables.drivers.intern(Some(transition));
+                self.emit(next, || {
+                    format!("driver {driver} starts a transition to {:?}", target.members)
+                });
             }
             return;
         }
     }
 
-    /// The present runs of all seats but one; of all when there is no such seat.
-    fn present_members(&self, left_out: usize) -> BTreeSet<NodeId> {
-        (0..self.model.bounds.seats)
-            .filter(|seat| *seat != left_out)
-            .map(|seat| self.tables.replicas.value(self.from.replicas[seat]).node().clone())
+    /// Returns the current incarnations on all hosts except `excluded`, which may be out of range.
+    fn current_members(&self, excluded: usize) -> BTreeSet<NodeId> {
+        (0..self.model.bounds.hosts)
+            .filter(|host| *host != excluded)
+            .map(|host| self.tables.replicas.value(self.from.replicas[host]).node().clone())
             .collect()
     }
 
-    fn sealed_config(&self, mut config: ShardConfig) -> ShardConfig {
+    fn seal_config(&self, mut config: ShardConfig) -> ShardConfig {
         if self.model.mutation == Mutation::SealsOneMember {
             config.members = config.members.into_iter().take(1).collect();
         }
         config
     }
 
-    fn tell_driver(&mut self, driver: usize, replies: &[(NodeId, ReplicaReply<S::Value>)]) {
-        let known = self.tables.drivers.value(self.from.drivers[driver]).clone();
-        let Some(mut transition) = known else {
+    fn deliver_to_driver(&mut self, driver: usize, replies: &[(NodeId, ReplicaReply<S::Value>)]) {
+        let current = self.tables.drivers.value(self.from.drivers[driver]).clone();
+        let Some(mut transition) = current else {
             return;
         };
         for (from, reply) in replies {
-            let step = transition.on_reply(from, reply.clone());
+            let builder = transition.on_reply(from, reply.clone());
             let mut next = self.from;
-            match step {
+            match builder {
                 TransitionStep::Waiting => continue,
                 TransitionStep::Superseded => return,
                 TransitionStep::Stage(mut request) => {
-                    if self.model.mutation == Mutation::StagesNothing {
+                    if self.model.mutation == Mutation::SkipsStateTransfer {
                         if let ReplicaRequest::Stage { slots, .. } = &mut request {
                             slots.clear();
                         }
@@ -556,35 +584,36 @@
                     self.send(&mut next, Sender::Driver(driver), &members, &request);
                 }
                 TransitionStep::Commit(config) => {
-                    let mut world = self.world();
-                    let newest = world.configs.last().map_or(0, |config| config.epoch);
+                    let mut environment = self.environment();
+                    let newest = environment.configs.last().map_or(0, |config| config.epoch);
                     if newest + 1 == config.epoch {
-                        world.configs.push(config);
+                        environment.configs.push(config);
                     }
-                    next.world = self.tables.worlds.number(world);
+                    next.environment = self.tables.environments.intern(environment);
                 }
             }
-            next.drivers[driver] = self.tables.drivers.number(Some(transition));
-            self.emit(next, || format!("driver {driver} hears {replies:?}"));
+            next.drivers[driver] = self.tables.drivers.intern(Some(transition));
+            self.emit(next, || format!("driver {driver} receives {replies:?}"));
             return;
         }
     }
 }
 
-fn put_number(state: &mut State, number: u32) {
-    let number = number as usize;
-    assert!(number < NETWORK_WORDS * 64, "the network holds too many different messages");
-    state.network[number / 64] |= 1 << (number % 64);
+/// Adds the message with this index to the network.
+fn add_to_network(state: &mut State, index: u32) {
+    let index = index as usize;
+    assert!(index < NETWORK_WORDS * 64, "the network contains too many distinct messages");
+    state.network[index / 64] |= 1 << (index % 64);
 }
 
-/// Replies in orders such that each subset of senders comes first in one of them: leaving out none
-/// or any one reply, which for three members gives every quorum.
-fn arrangements<T: Clone>(replies: &[T]) -> Vec<Vec<T>> {
-    let rotated = |first: usize| {
+/// Returns orders of the replies, forward and backward from each position, such that every quorum of
+/// three members comes first in one of them.
+fn reply_orders<T: Clone>(replies: &[T]) -> Vec<Vec<T>> {
+    let rotate = |first: usize| {
         let (head, tail) = replies.split_at(first);
         [tail, head].concat()
     };
-    let forward: Vec<Vec<T>> = (0..replies.len()).map(rotated).collect();
+    let forward: Vec<Vec<T>> = (0..replies.len()).map(rotate).collect();
     let backward = forward.iter().map(|order| order.iter().rev().cloned().collect()).collect();
     [forward, backward].concat()
 }
--- a/spec/src/quarantine.rs
+++ b/spec/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! A request that ends each server that begins it, and daemons that tell each other of it: news that is
-//! lost, late or doubled, daemons that restart, and answers of the store that are lost.
+//! Quarantine of a request that crashes every server that runs it. Daemons exchange reports of crashes,
+//! which may be lost, delayed or duplicated; daemons restart, and responses of the store are lost.
 //!
-//! Whoever has the request may send it to a server whenever what it knows lets it, and a probe is due at
-//! any time. News of an ending may reach any daemon at any later time, any number of times, or never.
+//! A daemon may send the request whenever its state admits it, and a probe is always due. A report of
+//! a crash may reach any daemon at any later time, any number of times, or never.
 //!
-//! Invariants: all daemons together run no more probes than there are; each daemon, in each of its
-//! lives, ends no more servers by itself than quarantine the request.
+//! Invariants: all daemons together run at most the maximum number of probes, and between restarts no
+//! daemon causes more crashes, except by probes, than the quarantine threshold.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,89 +21,89 @@
 
 use crate::explore::System;
 
-/// Probes that there are.
-const PROBES: u8 = 3;
-/// Long after all that was learnt, so that each probe is due.
+/// Maximum number of probes.
+const MAX_PROBES: u8 = 3;
+/// Time of all admissions, late enough for every probe to be due.
 const NOW: Moment = Duration::from_secs(600);
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// What a daemon learns of the request ends with the try.
-    ForgetsEndings,
-    /// A daemon counts its own probes and does not ask the store.
-    ProbesUngranted,
-    /// The record is replaced whatever its revision.
+    /// A daemon does not record crashes.
+    ForgetsCrashes,
+    /// A daemon probes without a grant from the store.
+    ProbesWithoutGrant,
+    /// The store grants a probe regardless of the record's revision.
     GrantsUnconditionally,
 }
 
-/// The system.
+/// The system and its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Quarantine {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Times that the request is sent to a server, in all.
+    /// Times that the request is sent to a server, in total.
     pub sends: u8,
-    /// Daemons that are restarted, in all.
+    /// Restarts of daemons in total.
     pub restarts: u8,
-    /// Answers of the store that are lost, in all.
-    pub lost_answers: u8,
-    /// The guard that is taken out.
+    /// Lost responses of the store in total.
+    pub lost_responses: u8,
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
-/// What a daemon has under way.
+/// The request in flight of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Run {
-    Free,
+enum InFlight {
+    Normal,
     Probe,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Daemon {
-    /// Servers that it knows to have ended.
-    endings: BTreeSet<u8>,
-    /// The store's record as it knows it: its revision and the probes.
+    /// Servers known to have crashed.
+    known_crashes: BTreeSet<u8>,
+    /// Known record of the store: its revision and the number of probes.
     record: Option<(u64, u8)>,
-    run: Option<Run>,
-    /// Servers that it ended in this life other than by probes.
-    ended: u8,
+    in_flight: Option<InFlight>,
+    /// Crashes caused since the last restart, other than by probes.
+    crashed: u8,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     daemons: Vec<Daemon>,
-    /// Endings that were told.
-    told: BTreeSet<u8>,
-    /// What the store holds.
+    /// Crashes that were reported.
+    reported: BTreeSet<u8>,
+    /// Record in the store: its revision and the number of probes.
     store: Option<(u64, u8)>,
-    /// Servers that ended so far.
-    ended: u8,
-    /// Probes that ran.
-    probed: u8,
+    /// Number of crashed servers.
+    crashed: u8,
+    /// Number of finished probes.
+    finished_probes: u8,
     sends: u8,
     restarts: u8,
-    lost_answers: u8,
+    lost_responses: u8,
 }
 
 fn request() -> Fingerprint {
-    let traits =
+    let input =
         FingerprintInput { method: "POST", host: "h", target: "/", tenant: None, body: b"" };
-    Fingerprint::of(&traits)
+    Fingerprint::of(&input)
 }
 
 impl Daemon {
     fn table(&self) -> Table {
         let mut table = Table::default();
-        let endings: Vec<Crash> = self
-            .endings
+        let known_crashes: Vec<Crash> = self
+            .known_crashes
             .iter()
             .map(|server| Crash { server: format!("s{server}"), is_excused: false })
             .collect();
-        table.merge(Moment::ZERO, request(), &endings);
+        table.merge(Moment::ZERO, request(), &known_crashes);
         if let Some((revision, probes)) = self.record {
             let record = Record { revision, probes: usize::from(probes) };
             table.set_record(Moment::ZERO, request(), record);
@@ -111,114 +111,114 @@
         table
     }
 
-    fn learn(&mut self, record: Option<(u64, u8)>) {
+    fn merge_record(&mut self, record: Option<(u64, u8)>) {
         self.record = self.record.max(record);
     }
 }
 
 impl Quarantine {
-    /// The request is sent to a server, as far as the daemon lets it.
-    fn send(&self, state: &State, number: usize, is_answer_lost: bool) -> Option<State> {
-        let daemon = &state.daemons[number];
-        if daemon.run.is_some() {
+    /// Sends the request to a server if the daemon admits it.
+    fn send(&self, state: &State, index: usize, is_response_lost: bool) -> Option<State> {
+        let daemon = &state.daemons[index];
+        if daemon.in_flight.is_some() {
             return None;
         }
         let mut next = state.clone();
         next.sends = state.sends.checked_sub(1)?;
         match daemon.table().admission(NOW, request()) {
-            Admission::Allowed | Admission::Isolated if !is_answer_lost => {
-                next.daemons[number].run = Some(Run::Free);
+            Admission::Allowed | Admission::Isolated if !is_response_lost => {
+                next.daemons[index].in_flight = Some(InFlight::Normal);
             }
-            Admission::Probe => return self.probe(next, number, is_answer_lost),
+            Admission::Probe => return self.probe(next, index, is_response_lost),
             _ => return None,
         }
         Some(next)
     }
 
-    /// A probe is granted by the store, or another one has been.
-    fn probe(&self, mut next: State, number: usize, is_answer_lost: bool) -> Option<State> {
-        let (revision, probes) = next.daemons[number].record?;
-        if self.mutation == Mutation::ProbesUngranted {
-            next.daemons[number].record = Some((revision, probes + 1));
-            next.daemons[number].run = Some(Run::Probe);
+    /// Requests a probe from the store, which rejects it if the record has changed.
+    fn probe(&self, mut next: State, index: usize, is_response_lost: bool) -> Option<State> {
+        let (revision, probes) = next.daemons[index].record?;
+        if self.mutation == Mutation::ProbesWithoutGrant {
+            next.daemons[index].record = Some((revision, probes + 1));
+            next.daemons[index].in_flight = Some(InFlight::Probe);
             return Some(next);
         }
-        let held = next.store?;
-        let holds = held.0 == revision || self.mutation == Mutation::GrantsUnconditionally;
-        if !holds {
-            next.daemons[number].learn(Some(held));
+        let stored = next.store?;
+        let is_current = stored.0 == revision || self.mutation == Mutation::GrantsUnconditionally;
+        if !is_current {
+            next.daemons[index].merge_record(Some(stored));
             return Some(next);
         }
-        let granted = Some((held.0 + 1, probes + 1));
+        let granted = Some((stored.0 + 1, probes + 1));
         next.store = granted;
-        if is_answer_lost {
-            next.lost_answers = next.lost_answers.checked_sub(1)?;
+        if is_response_lost {
+            next.lost_responses = next.lost_responses.checked_sub(1)?;
             return Some(next);
         }
-        next.daemons[number].record = granted;
-        next.daemons[number].run = Some(Run::Probe);
+        next.daemons[index].record = granted;
+        next.daemons[index].in_flight = Some(InFlight::Probe);
         Some(next)
     }
 
-    /// The server ends, and the daemon finds that out and tells the others.
-    fn end(&self, state: &State, number: usize) -> Option<State> {
-        let run = state.daemons[number].run?;
+    /// The server crashes; the daemon detects and reports it.
+    fn crash(&self, state: &State, index: usize) -> Option<State> {
+        let in_flight = state.daemons[index].in_flight?;
         let mut next = state.clone();
-        let server = state.ended;
-        next.ended += 1;
-        let daemon = &mut next.daemons[number];
-        daemon.run = None;
-        match run {
-            Run::Free => daemon.ended += 1,
-            Run::Probe => next.probed += 1,
+        let server = state.crashed;
+        next.crashed += 1;
+        let daemon = &mut next.daemons[index];
+        daemon.in_flight = None;
+        match in_flight {
+            InFlight::Normal => daemon.crashed += 1,
+            InFlight::Probe => next.finished_probes += 1,
         }
-        if self.mutation != Mutation::ForgetsEndings {
-            daemon.endings.insert(server);
-            next.told.insert(server);
+        if self.mutation != Mutation::ForgetsCrashes {
+            daemon.known_crashes.insert(server);
+            next.reported.insert(server);
         }
         Some(next)
     }
 
-    /// News of an ending arrives.
-    fn hear(&self, state: &State, number: usize, server: u8) -> Option<State> {
+    /// A report of a crash arrives.
+    fn receive_report(&self, state: &State, index: usize, server: u8) -> Option<State> {
         let mut next = state.clone();
-        let is_news = next.daemons[number].endings.insert(server);
-        is_news.then_some(next)
+        let is_new = next.daemons[index].known_crashes.insert(server);
+        is_new.then_some(next)
     }
 
-    /// A daemon that holds the request quarantined records it, or learns that another one has.
-    fn record(&self, state: &State, number: usize) -> Option<State> {
-        let daemon = &state.daemons[number];
+    /// A daemon that quarantines the request creates the store's record, or reads it if it exists.
+    fn record(&self, state: &State, index: usize) -> Option<State> {
+        let daemon = &state.daemons[index];
         let is_due = daemon.record.is_none() && daemon.table().is_quarantined(request());
         if !is_due {
             return None;
         }
         let mut next = state.clone();
-        let held = state.store.unwrap_or((1, 0));
-        next.store = Some(held);
-        next.daemons[number].learn(Some(held));
+        let stored = state.store.unwrap_or((1, 0));
+        next.store = Some(stored);
+        next.daemons[index].merge_record(Some(stored));
         Some(next)
     }
 
-    /// News of the record arrives by the store.
-    fn follow(&self, state: &State, number: usize) -> Option<State> {
+    /// A daemon receives the record from its watch of the store.
+    fn receive_record(&self, state: &State, index: usize) -> Option<State> {
         let mut next = state.clone();
-        next.daemons[number].learn(state.store);
+        next.daemons[index].merge_record(state.store);
         (next != *state).then_some(next)
     }
 
-    /// A daemon starts anew and knows nothing. A server that it had the request at ends unseen.
-    fn restart(&self, state: &State, number: usize) -> Option<State> {
+    /// A daemon restarts without its state. The server that runs its request crashes undetected.
+    fn restart(&self, state: &State, index: usize) -> Option<State> {
         let mut next = state.clone();
         next.restarts = state.restarts.checked_sub(1)?;
-        match state.daemons[number].run {
+        match state.daemons[index].in_flight {
             None => {}
-            Some(run) => {
-                next.ended += 1;
-                next.probed += u8::from(run == Run::Probe);
+            Some(in_flight) => {
+                next.crashed += 1;
+                next.finished_probes += u8::from(in_flight == InFlight::Probe);
             }
         }
-        next.daemons[number] = Daemon::default();
+        next.daemons[index] = Daemon::default();
         Some(next)
     }
 }
@@ -226,48 +226,50 @@
 impl System for Quarantine {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             daemons: vec![Daemon::default(); self.daemons],
-            told: BTreeSet::new(),
+            reported: BTreeSet::new(),
             store: None,
-            ended: 0,
-            probed: 0,
+            crashed: 0,
+            finished_probes: 0,
             sends: self.sends,
             restarts: self.restarts,
-            lost_answers: self.lost_answers,
+            lost_responses: self.lost_responses,
         }
     }
 
     fn successors(&self, state: &State) -> Vec<(State, String)> {
         let mut next = Vec::new();
-        for number in 0..self.daemons {
-            let steps = [
-                (self.send(state, number, false), "sends the request"),
-                (self.send(state, number, true), "hears nothing of its probe"),
-                (self.end(state, number), "finds the server gone"),
-                (self.record(state, number), "records the request"),
-                (self.follow(state, number), "hears of the record"),
-                (self.restart(state, number), "starts anew"),
+        for index in 0..self.daemons {
+            let actions = [
+                (self.send(state, index, false), "sends the request"),
+                (self.send(state, index, true), "sends the request, response of the store lost"),
+                (self.crash(state, index), "detects a crash"),
+                (self.record(state, index), "records the quarantine"),
+                (self.receive_record(state, index), "receives the record"),
+                (self.restart(state, index), "restarts"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|state| (state, format!("daemon {number} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor.map(|state| (state, format!("daemon {index} {description}"))),
+                );
             }
-            for server in &state.told {
-                let heard = self.hear(state, number, *server);
-                let event = format!("daemon {number} hears of the end of {server}");
-                next.extend(heard.map(|state| (state, event)));
+            for server in &state.reported {
+                let received = self.receive_report(state, index, *server);
+                let event = format!("daemon {index} receives the report of server {server}");
+                next.extend(received.map(|state| (state, event)));
             }
         }
         next
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         let limit = u8::try_from(Limits::default().crash_threshold).unwrap_or(u8::MAX);
-        if state.probed > PROBES {
-            return Some("more probes ran than there are");
+        if state.finished_probes > MAX_PROBES {
+            return Some("more than the maximum number of probes ran");
         }
-        let is_over = state.daemons.iter().any(|daemon| daemon.ended > limit);
-        is_over.then_some("a daemon ended more servers than quarantine the request")
+        let is_exceeded = state.daemons.iter().any(|daemon| daemon.crashed > limit);
+        is_exceeded.then_some("a daemon caused more crashes than the quarantine threshold")
     }
 }
--- a/spec/src/scenario.rs
+++ b/spec/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What authors want, and what the outside world may see of it.
+//! Scenarios: the changes that proposers make, and the invariants on what an observer sees.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -13,92 +13,92 @@
 };
 use heronbend::weights::{Fence, FenceChange};
 
-/// How an author goes on after a response: its next change, and what the world has seen by then.
-pub type Continuation<S> = (Option<Change<S>>, <S as Scenario>::Witness);
+/// The next change of a proposer after a response, and the observations made by then.
+pub type Continuation<S> = (Option<Change<S>>, <S as Scenario>::Observations);
 /// The change type of a scenario.
 pub type Change<S> = <<S as Scenario>::Value as RegisterValue>::Change;
 /// The response type of a scenario.
 pub type Response<S> = <<S as Scenario>::Value as RegisterValue>::Response;
 
-/// A use of one register by several authors.
+/// A use of one register by several proposers.
 pub trait Scenario {
-    /// The register's value.
+    /// Value of the register.
     type Value: RegisterValue<Change: Eq + Hash + Ord, Response: Eq + Hash + Ord> + Eq + Hash + Ord;
-    /// What the outside world has seen.
-    type Witness: Clone + Debug + Default + Eq + Hash;
+    /// What an external observer has seen.
+    type Observations: Clone + Debug + Default + Eq + Hash;
 
-    /// Its name.
+    /// Returns the name of the scenario.
     fn name(&self) -> &'static str;
-    /// An author's first change.
-    fn first_change(&self, author: usize) -> Change<Self>;
-    /// Every way in which an author may go on after a response.
+    /// Returns the first change of a proposer.
+    fn first_change(&self, proposer: usize) -> Change<Self>;
+    /// Returns all continuations of a proposer after a response.
     fn continuations(
         &self,
-        author: usize,
+        proposer: usize,
         response: &Response<Self>,
-        witness: &Self::Witness,
+        observations: &Self::Observations,
     ) -> Vec<Continuation<Self>>;
-    /// The invariant that does not hold, if one does not.
-    fn violation(&self, witness: &Self::Witness) -> Option<&'static str>;
-    /// The invariants.
+    /// Returns an invariant that the observations violate, if there is one.
+    fn violated_invariant(&self, observations: &Self::Observations) -> Option<&'static str>;
+    /// Returns all invariants of the scenario.
     fn invariants(&self) -> &'static [&'static str];
 }
 
-fn author_node(author: usize) -> NodeId {
-    NodeId::new(&format!("author-{author}"), 1)
+fn proposer_node(proposer: usize) -> NodeId {
+    NodeId::new(&format!("proposer-{proposer}"), 1)
 }
 
-fn attempt_of(author: usize) -> u64 {
-    author as u64 + 1
+fn attempt_of(proposer: usize) -> u64 {
+    proposer as u64 + 1
 }
 
-/// Several attempts at one not-repeatable request.
+/// Several attempts at one non-idempotent request.
 #[derive(Debug, Default)]
 pub struct Claims {
-    /// Guard removed: an author that handed the request over releases its claim all the same.
+    /// Removed guard: a proposer releases its claim after it has dispatched the request.
     pub releases_after_dispatch: bool,
 }
 
-const AT_MOST_ONCE: &str = "a not-repeatable request runs at most once";
+const AT_MOST_ONCE: &str = "a non-idempotent request runs at most once";
 
 impl Scenario for Claims {
     type Value = Claim;
-    /// Attempts whose request a back end ran.
-    type Witness = BTreeSet<u64>;
+    /// Attempts whose request a backend executed.
+    type Observations = BTreeSet<u64>;
 
     fn name(&self) -> &'static str {
         "claims"
     }
 
-    fn first_change(&self, author: usize) -> ClaimChange {
+    fn first_change(&self, proposer: usize) -> ClaimChange {
         ClaimChange::Acquire {
-            attempt: attempt_of(author),
-            holder: author_node(author),
+            attempt: attempt_of(proposer),
+            holder: proposer_node(proposer),
             request_digest: 0,
         }
     }
 
     fn continuations(
         &self,
-        author: usize,
+        proposer: usize,
         response: &ClaimResponse,
-        witness: &Self::Witness,
+        observations: &Self::Observations,
     ) -> Vec<Continuation<Self>> {
         if *response != ClaimResponse::Granted {
-            return vec![(None, witness.clone())];
+            return vec![(None, observations.clone())];
         }
-        let attempt = attempt_of(author);
-        let mut ran = witness.clone();
-        ran.insert(attempt);
+        let attempt = attempt_of(proposer);
+        let mut executed = observations.clone();
+        executed.insert(attempt);
         let settle = ClaimChange::Settle { attempt, answer: StoredAnswer::Unknown, expires: 0 };
         let release = ClaimChange::Release { attempt };
         let after_dispatch = if self.releases_after_dispatch { release.clone() } else { settle };
-        // Either a back end runs it, or every back end says that it did not.
-        vec![(Some(after_dispatch), ran), (Some(release), witness.clone())]
+        // Either a backend runs the request, or every backend responds that it did not.
+        vec![(Some(after_dispatch), executed), (Some(release), observations.clone())]
     }
 
-    fn violation(&self, witness: &Self::Witness) -> Option<&'static str> {
-        (witness.len() > 1).then_some(AT_MOST_ONCE)
+    fn violated_invariant(&self, observations: &Self::Observations) -> Option<&'static str> {
+        (observations.len() > 1).then_some(AT_MOST_ONCE)
     }
 
     fn invariants(&self) -> &'static [&'static str] {
@@ -106,30 +106,31 @@
     }
 }
 
-/// Two daemons that both coordinate one step of two slots, in batches of one sample.
+/// Two daemons that coordinate the same step of two slots, in batches of one sample.
 #[derive(Debug, Default)]
 pub struct Steps {
-    /// Guard removed: a batch is shown before it is sealed.
-    pub shows_before_sealing: bool,
+    /// Removed guard: a batch is delivered to the trainer before it is sealed.
+    pub delivers_before_sealing: bool,
 }
 
-const ONE_COMPOSITION: &str = "a batch that was shown has one composition";
-const ONE_BATCH_A_SLOT: &str = "a slot is in one batch";
+const ONE_COMPOSITION: &str = "a delivered batch has one composition";
+const ONE_BATCH_PER_SLOT: &str = "a slot is in at most one batch";
 const SLOTS: u32 = 2;
 
-/// What trainers were shown, by batch number.
-pub type ShownBatches = BTreeMap<u32, BTreeSet<SealedBatch>>;
+/// Batches that trainers received, by batch number.
+pub type DeliveredBatches = BTreeMap<u32, BTreeSet<SealedBatch>>;
 
 impl Steps {
-    /// The next batch of an author: its own drawing of a slot that the record says is left.
-    fn next_seal(author: usize, step: &OpenStep) -> Option<StepChange> {
+    /// Returns the next batch of a proposer: its own sample for a slot that has not been delivered.
+    fn next_seal(proposer: usize, step: &OpenStep) -> Option<StepChange> {
         let order: Vec<u32> =
-            if author == 0 { (0..SLOTS).collect() } else { (0..SLOTS).rev().collect() };
-        let left = order.into_iter().map(SlotIndex).find(|slot| !step.delivered.contains(*slot))?;
+            if proposer == 0 { (0..SLOTS).collect() } else { (0..SLOTS).rev().collect() };
+        let next_slot =
+            order.into_iter().map(SlotIndex).find(|slot| !step.delivered.contains(*slot))?;
         let sample = Sample {
-            slot: left,
+            slot: next_slot,
             seed: 0,
-            text: format!("by {author}"),
+            text: format!("by {proposer}"),
             segments: Vec::new(),
             finish_reason: FinishReason::Stop,
             reward_milli: 0,
@@ -141,55 +142,59 @@
 
 impl Scenario for Steps {
     type Value = StepRecord;
-    type Witness = ShownBatches;
+    type Observations = DeliveredBatches;
 
     fn name(&self) -> &'static str {
         "steps"
     }
 
-    fn first_change(&self, author: usize) -> StepChange {
-        StepChange::Begin { coordinator: author_node(author), slots: SLOTS }
+    fn first_change(&self, proposer: usize) -> StepChange {
+        StepChange::Begin { coordinator: proposer_node(proposer), slots: SLOTS }
     }
 
     fn continuations(
         &self,
-        author: usize,
+        proposer: usize,
         response: &StepResponse,
-        witness: &ShownBatches,
+        observations: &DeliveredBatches,
     ) -> Vec<Continuation<Self>> {
-        let mut seen = witness.clone();
+        let mut observed = observations.clone();
         let next = match response {
-            StepResponse::Begun(step) => Self::next_seal(author, step),
+            StepResponse::Begun(step) => Self::next_seal(proposer, step),
             StepResponse::Sealed(batch) => {
-                seen.entry(batch.number).or_default().insert(batch.clone());
-                // To see what else there is, the author asks for the state again.
-                Some(self.first_change(author)).filter(|_| batch.number + 1 < SLOTS)
+                observed.entry(batch.number).or_default().insert(batch.clone());
+                // The proposer requests the record again to find the remaining slots.
+                Some(self.first_change(proposer)).filter(|_| batch.number + 1 < SLOTS)
             }
             _ => None,
         };
-        if let (true, Some(StepChange::Seal { batch, .. })) = (self.shows_before_sealing, &next) {
-            seen.entry(batch.number).or_default().insert(batch.clone());
+        if let (true, Some(StepChange::Seal { batch, .. })) = (self.delivers_before_sealing, &next)
+        {
+            observed.entry(batch.number).or_default().insert(batch.clone());
         }
-        vec![(next, seen)]
+        vec![(next, observed)]
     }
 
-    fn violation(&self, witness: &ShownBatches) -> Option<&'static str> {
-        if witness.values().any(|compositions| compositions.len() > 1) {
+    fn violated_invariant(&self, observations: &DeliveredBatches) -> Option<&'static str> {
+        if observations.values().any(|compositions| compositions.len() > 1) {
             return Some(ONE_COMPOSITION);
         }
         let mut slots = BTreeSet::new();
-        let samples =
-            witness.values().flatten().flat_map(|batch| &batch.samples).map(|sample| sample.slot);
+        let samples = observations
+            .values()
+            .flatten()
+            .flat_map(|batch| &batch.samples)
+            .map(|sample| sample.slot);
         let mut all = samples;
-        (!all.all(|slot| slots.insert(slot))).then_some(ONE_BATCH_A_SLOT)
+        (!all.all(|slot| slots.insert(slot))).then_some(ONE_BATCH_PER_SLOT)
     }
 
     fn invariants(&self) -> &'static [&'static str] {
-        &[ONE_COMPOSITION, ONE_BATCH_A_SLOT]
+        &[ONE_COMPOSITION, ONE_BATCH_PER_SLOT]
     }
 }
 
-/// Several daemons that ask for a fencing token.
+/// Several daemons that request a fencing token.
 #[derive(Debug, Default)]
 pub struct Fences;
 
@@ -197,31 +202,31 @@
 
 impl Scenario for Fences {
     type Value = Fence;
-    /// Tokens that were handed out.
-    type Witness = BTreeSet<Fence>;
+    /// Tokens that were granted.
+    type Observations = BTreeSet<Fence>;
 
     fn name(&self) -> &'static str {
         "fences"
     }
 
-    fn first_change(&self, author: usize) -> FenceChange {
-        FenceChange { holder: author_node(author), above: 0 }
+    fn first_change(&self, proposer: usize) -> FenceChange {
+        FenceChange { holder: proposer_node(proposer), above: 0 }
     }
 
     fn continuations(
         &self,
         _: usize,
         response: &Fence,
-        witness: &BTreeSet<Fence>,
+        observations: &BTreeSet<Fence>,
     ) -> Vec<Continuation<Self>> {
-        let mut seen = witness.clone();
-        seen.insert(response.clone());
-        vec![(None, seen)]
+        let mut observed = observations.clone();
+        observed.insert(response.clone());
+        vec![(None, observed)]
     }
 
-    fn violation(&self, witness: &BTreeSet<Fence>) -> Option<&'static str> {
-        let tokens: BTreeSet<u64> = witness.iter().map(|fence| fence.token).collect();
-        (tokens.len() < witness.len()).then_some(ONE_HOLDER)
+    fn violated_invariant(&self, observations: &BTreeSet<Fence>) -> Option<&'static str> {
+        let tokens: BTreeSet<u64> = observations.iter().map(|fence| fence.token).collect();
+        (tokens.len() < observations.len()).then_some(ONE_HOLDER)
     }
 
     fn invariants(&self) -> &'static [&'static str] {
--- a/spec/src/shared_rate_limit.rs
+++ b/spec/src/shared_rate_limit.rs
@@ -1,11 +1,11 @@
-//! A rate that daemons keep together: lenders that are killed, cut off or slow to notice, and permits
-//! that are used late.
+//! A rate limit that daemons share by issuing permits: issuers are killed, partitioned or slow to detect
+//! failures, and permits are used late.
 //!
-//! Whoever wants a permit may ask any daemon, as one would whose view of the others is wrong in any way.
-//! Answers may take any time or never come. Time goes in ticks of a quarter of what it takes until
-//! nothing that was lent counts any more; a permit holds for less than a tick.
+//! A requester may ask any daemon, since its view of the membership may be arbitrarily wrong.
+//! Responses may take any time or never arrive. A tick is a quarter of the accounting period; a permit
+//! is valid for less than a tick.
 //!
-//! Invariant: within a window no more permits are used than two lenders may give.
+//! Invariant: within a window, no more permits are used than two issuers may issue.
 
 use std::time::Duration;
 
@@ -21,113 +21,113 @@
 
 const KEY: &str = "key";
 const RATE_LIMIT: RateLimit = RateLimit { per_window: 1 };
-/// Permits that may be used within a window: those of two lenders.
-const BOUND: usize = 2;
-/// Ticks until nothing that was lent counts any more.
-const SETTLED_TICKS: u32 = 4;
-/// Ticks that lie within one window.
+/// Permits that may be used within a window: those of two issuers.
+const MAX_USED_PER_WINDOW: usize = 2;
+/// Ticks in the accounting period, after which issued permits no longer count.
+const ACCOUNTING_TICKS: u32 = 4;
+/// Ticks within one window.
 const WINDOW_TICKS: u32 = 3;
-/// When the daemons have been up for long.
-const BEGIN: Duration = Duration::from_secs(60);
+/// Uptime of the daemons at tick 0, past the startup period.
+const START_TIME: Duration = Duration::from_secs(60);
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// A lender that takes over from a lost one does not wait.
-    TakesOverAtOnce,
-    /// A part of the fleet lends however small it is.
-    MinorityLends,
-    /// A permit holds from when the answer came.
-    CountsFromAnswer,
+    /// A new issuer does not wait for the permits of its predecessor to expire.
+    SkipsTakeoverWait,
+    /// A minority partition issues permits.
+    MinorityIssues,
+    /// The validity of a permit is counted from the response.
+    CountsFromResponse,
 }
 
-/// The system.
+/// The system and its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct SharedRate {
-    /// Daemons.
+pub struct SharedRateLimit {
+    /// Number of daemons.
     pub daemons: usize,
-    /// Ticks in all.
+    /// Ticks in total.
     pub ticks: u32,
-    /// Daemons that are killed in all.
+    /// Killed daemons in total.
     pub kills: u8,
-    /// Daemons that are cut off from all others, in all.
-    pub cuts: u8,
-    /// Permits that are asked for in all.
-    pub asks: u8,
-    /// The guard that is taken out.
+    /// Daemons that are isolated from all others, in total.
+    pub isolations: u8,
+    /// Permit requests in total.
+    pub requests: u8,
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Daemon {
     view: MembershipView,
-    lender: PermitIssuer,
+    issuer: PermitIssuer,
     is_dead: bool,
-    /// Daemons that it sees.
-    sees: Vec<usize>,
+    /// Daemons that it considers alive.
+    alive: Vec<usize>,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     tick: u32,
     daemons: Vec<Daemon>,
-    /// When each permit was asked for that was given and not used.
-    given: Vec<u32>,
-    /// When permits were used.
+    /// Request ticks of permits that were issued and not yet used.
+    issued: Vec<u32>,
+    /// Ticks at which permits were used.
     used: Vec<u32>,
     kills: u8,
-    cuts: u8,
-    asks: u8,
+    isolations: u8,
+    requests: u8,
 }
 
-fn name(number: usize) -> NodeName {
-    NodeName(format!("n{number}"))
+fn name(index: usize) -> NodeName {
+    NodeName(format!("n{index}"))
 }
 
 fn at(tick: u32) -> Moment {
-    BEGIN + ACCOUNTING_PERIOD / SETTLED_TICKS * tick
+    START_TIME + ACCOUNTING_PERIOD / ACCOUNTING_TICKS * tick
 }
 
 impl Daemon {
-    fn see(&mut self, now: Moment, sees: Vec<usize>) {
-        self.view.update(now, sees.iter().copied().map(name).collect(), &[]);
-        self.sees = sees;
+    fn update_view(&mut self, now: Moment, alive: Vec<usize>) {
+        self.view.update(now, alive.iter().copied().map(name).collect(), &[]);
+        self.alive = alive;
     }
 }
 
-impl SharedRate {
-    /// A daemon is asked for a permit and may give one.
-    fn ask(&self, state: &State, lender: usize) -> Option<State> {
-        let asks = state.asks.checked_sub(1)?;
-        let daemon = state.daemons.get(lender).filter(|daemon| !daemon.is_dead)?;
+impl SharedRateLimit {
+    /// A daemon is asked for a permit and may issue one.
+    fn request_permit(&self, state: &State, issuer: usize) -> Option<State> {
+        let requests = state.requests.checked_sub(1)?;
+        let daemon = state.daemons.get(issuer).filter(|daemon| !daemon.is_dead)?;
         let now = at(state.tick);
         match daemon.view.may_issue(now, KEY) {
             Ok(()) => {}
-            Err(Refusal::TakeoverPending(_)) if self.mutation == Mutation::TakesOverAtOnce => {}
-            Err(Refusal::Minority) if self.mutation == Mutation::MinorityLends => {}
+            Err(Refusal::TakeoverPending(_)) if self.mutation == Mutation::SkipsTakeoverWait => {}
+            Err(Refusal::Minority) if self.mutation == Mutation::MinorityIssues => {}
             Err(_) => return None,
         }
         let mut next = state.clone();
-        next.asks = asks;
-        let loan = next.daemons[lender].lender.issue(now, KEY, 1, RATE_LIMIT);
-        if loan.permits == 0 {
+        next.requests = requests;
+        let grant = next.daemons[issuer].issuer.issue(now, KEY, 1, RATE_LIMIT);
+        if grant.permits == 0 {
             return None;
         }
-        next.given.push(state.tick);
+        next.issued.push(state.tick);
         Some(next)
     }
 
-    /// A borrower uses a permit, if it still holds.
-    fn spend(&self, state: &State, index: usize) -> Option<State> {
-        let holds = state.given[index] == state.tick;
-        if !holds && self.mutation != Mutation::CountsFromAnswer {
+    /// A requester uses a permit if it is still valid.
+    fn use_permit(&self, state: &State, index: usize) -> Option<State> {
+        let is_valid = state.issued[index] == state.tick;
+        if !is_valid && self.mutation != Mutation::CountsFromResponse {
             return None;
         }
         let mut next = state.clone();
-        next.given.remove(index);
+        next.issued.remove(index);
         next.used.push(state.tick);
         Some(next)
     }
@@ -140,94 +140,97 @@
         next.tick += 1;
         let oldest = (next.tick + 1).saturating_sub(WINDOW_TICKS);
         next.used.retain(|used| *used >= oldest);
-        if self.mutation != Mutation::CountsFromAnswer {
-            next.given.clear();
+        if self.mutation != Mutation::CountsFromResponse {
+            next.issued.clear();
         }
         Some(next)
     }
 
-    fn kill(&self, state: &State, number: usize) -> Option<State> {
-        if state.daemons[number].is_dead {
+    fn kill(&self, state: &State, index: usize) -> Option<State> {
+        if state.daemons[index].is_dead {
             return None;
         }
         let mut next = state.clone();
         next.kills = state.kills.checked_sub(1)?;
-        next.daemons[number].is_dead = true;
+        next.daemons[index].is_dead = true;
         Some(next)
     }
 
-    /// A daemon notices that another one is lost.
-    fn notice(&self, state: &State, number: usize, lost: usize) -> Option<State> {
-        let daemon = &state.daemons[number];
-        if daemon.is_dead || !state.daemons[lost].is_dead || !daemon.sees.contains(&lost) {
+    /// A daemon detects the failure of another one.
+    fn detect_failure(&self, state: &State, index: usize, failed: usize) -> Option<State> {
+        let daemon = &state.daemons[index];
+        if daemon.is_dead || !state.daemons[failed].is_dead || !daemon.alive.contains(&failed) {
             return None;
         }
         let mut next = state.clone();
-        let sees = daemon.sees.iter().copied().filter(|other| *other != lost).collect();
-        next.daemons[number].see(at(state.tick), sees);
+        let alive = daemon.alive.iter().copied().filter(|other| *other != failed).collect();
+        next.daemons[index].update_view(at(state.tick), alive);
         Some(next)
     }
 
-    /// A daemon has lost all others.
-    fn cut(&self, state: &State, number: usize) -> Option<State> {
-        let daemon = &state.daemons[number];
-        if daemon.is_dead || daemon.sees.is_empty() {
+    /// A daemon is isolated from all others.
+    fn isolate(&self, state: &State, index: usize) -> Option<State> {
+        let daemon = &state.daemons[index];
+        if daemon.is_dead || daemon.alive.is_empty() {
             return None;
         }
         let mut next = state.clone();
-        next.cuts = state.cuts.checked_sub(1)?;
-        next.daemons[number].see(at(state.tick), Vec::new());
+        next.isolations = state.isolations.checked_sub(1)?;
+        next.daemons[index].update_view(at(state.tick), Vec::new());
         Some(next)
     }
 }
 
-impl System for SharedRate {
+impl System for SharedRateLimit {
     type State = State;
 
-    fn start(&self) -> State {
-        let daemon = |number| {
-            let sees: Vec<usize> = (0..self.daemons).filter(|other| *other != number).collect();
-            let mut view = MembershipView::new(name(number), Moment::ZERO);
-            view.update(Moment::ZERO, sees.iter().copied().map(name).collect(), &[]);
-            Daemon { view, lender: PermitIssuer::default(), is_dead: false, sees }
+    fn initial_state(&self) -> State {
+        let daemon = |index| {
+            let alive: Vec<usize> = (0..self.daemons).filter(|other| *other != index).collect();
+            let mut view = MembershipView::new(name(index), Moment::ZERO);
+            view.update(Moment::ZERO, alive.iter().copied().map(name).collect(), &[]);
+            Daemon { view, issuer: PermitIssuer::default(), is_dead: false, alive }
         };
         State {
             tick: 0,
             daemons: (0..self.daemons).map(daemon).collect(),
-            given: Vec::new(),
+            issued: Vec::new(),
             used: Vec::new(),
             kills: self.kills,
-            cuts: self.cuts,
-            asks: self.asks,
+            isolations: self.isolations,
+            requests: self.requests,
         }
     }
 
     fn successors(&self, state: &State) -> Vec<(State, String)> {
         let mut next = Vec::new();
-        next.extend(self.tick(state).map(|state| (state, "time goes on".to_owned())));
-        for index in 0..state.given.len() {
-            let spent = self.spend(state, index);
-            next.extend(spent.map(|state| (state, format!("permit {index} is used"))));
+        next.extend(self.tick(state).map(|state| (state, "time advances".to_owned())));
+        for index in 0..state.issued.len() {
+            let used = self.use_permit(state, index);
+            next.extend(used.map(|state| (state, format!("permit {index} is used"))));
         }
-        for number in 0..self.daemons {
-            let steps = [
-                (self.ask(state, number), "lends a permit"),
-                (self.kill(state, number), "is killed"),
-                (self.cut(state, number), "is cut off"),
+        for index in 0..self.daemons {
+            let actions = [
+                (self.request_permit(state, index), "issues a permit"),
+                (self.kill(state, index), "is killed"),
+                (self.isolate(state, index), "is isolated"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|state| (state, format!("daemon {number} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor.map(|state| (state, format!("daemon {index} {description}"))),
+                );
             }
-            for lost in 0..self.daemons {
-                let noticed = self.notice(state, number, lost);
-                let event = format!("daemon {number} notices that {lost} is lost");
-                next.extend(noticed.map(|state| (state, event)));
+            for failed in 0..self.daemons {
+                let detected = self.detect_failure(state, index, failed);
+                let event = format!("daemon {index} detects the failure of {failed}");
+                next.extend(detected.map(|state| (state, event)));
             }
         }
         next
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
-        (state.used.len() > BOUND).then_some("more is used in a window than two lenders may give")
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
+        (state.used.len() > MAX_USED_PER_WINDOW)
+            .then_some("more permits are used in a window than two issuers may issue")
     }
 }
--- a/spec/src/update_dissemination.rs
+++ b/spec/src/update_dissemination.rs
@@ -1,12 +1,11 @@
-//! News of the store by way of daemons that watch it: objects that are set and removed, two watchers,
-//! one of which may miss what the store has dropped from its history, and a follower that asks both
-//! and takes the first answer.
+//! Dissemination of store updates: objects are set and removed, two sources watch the store, and a
+//! follower requests updates from both and applies the first response.
 //!
-//! Time is not in it: an answer may come at any later time or never, and a watcher may lag for as long
-//! as it likes. How long a follower may be behind is tested on real daemons.
+//! The model has no time: a response may arrive at any later time or never, and a source may lag
+//! arbitrarily. The delay of updates is tested on the daemons themselves.
 //!
-//! Invariants: what a daemon knows up to a revision is what the store held at that revision, and the
-//! follower never goes back.
+//! Invariants: the objects that a daemon holds at a revision are those of the store at that revision,
+//! and the revision of the follower never decreases.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -23,65 +22,65 @@
 
 use crate::explore::System;
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// A watch that was cut goes on from its revision although the store has dropped its history.
-    WatchesOn,
-    /// An answer that comes after another one was taken is taken as well.
-    TakesLate,
-    /// A follower takes a whole list from a watcher that knows less than it does.
-    TakesOlderList,
-    /// A watcher that has forgotten removals tells changes instead of everything, and the follower does
-    /// not check them.
-    ForgetsRemovals,
-    /// The follower takes changes without checking that it holds the same objects after them.
-    TakesUnchecked,
+    /// An interrupted watch resumes from its revision although the store has compacted its history.
+    ResumesAfterCompaction,
+    /// A follower applies responses that arrive after it has applied another one.
+    AppliesLateResponses,
+    /// A follower accepts a snapshot that is older than its own state.
+    AcceptsOlderSnapshot,
+    /// A source without the tombstones for an update sends changes instead of a snapshot, and without a
+    /// digest.
+    OmitsRemovals,
+    /// The follower applies changes without verifying the digest of the result.
+    SkipsDigestCheck,
 }
 
-/// The system; bounds are small numbers of each event.
+/// The system and its bounds.
 #[derive(Debug, Clone, Copy)]
-pub struct FollowedNews {
+pub struct UpdateDissemination {
     /// Changes of objects.
     pub changes: usize,
-    /// Times that the store drops its history.
+    /// Compactions of the store's history.
     pub compactions: u8,
-    /// Times that the follower forgets all and begins anew with a list.
-    pub lists: u8,
-    /// The guard that is taken out.
+    /// Requests of the follower for a snapshot.
+    pub snapshots: u8,
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
-const WATCHERS: usize = 2;
+const SOURCES: usize = 2;
 const NAMES: [&str; 2] = ["a", "b"];
-/// Removals that a watcher remembers.
-const REMEMBERED: usize = 1;
+/// Tombstones that a replica retains.
+const MIN_TOMBSTONES: usize = 1;
 
-/// An answer on its way to the follower.
+/// A response in flight to the follower.
 #[derive(Debug, Clone, PartialEq)]
-struct Answer {
-    watcher: usize,
-    /// What it was asked for; nothing for a whole list.
+struct Response {
+    source: usize,
+    /// Requested start revision; `None` for a snapshot.
     since: Option<Revision>,
-    news: Update,
+    update: Update,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone)]
 pub struct State {
-    /// What the store held at each revision, counted from 0: names with their revision.
-    held: Vec<Vec<(&'static str, Revision)>>,
-    /// Changes up to this revision are not in the store's history any more.
-    floor: Revision,
-    watchers: Vec<Replica>,
-    /// Revision from which each watcher watches.
-    watched: Vec<Revision>,
+    /// Contents of the store at each revision from 0: names and revisions of objects.
+    history: Vec<Vec<(&'static str, Revision)>>,
+    /// Revision up to which the store's history is compacted.
+    compacted_revision: Revision,
+    sources: Vec<Replica>,
+    /// Revision up to which each source has watched the store.
+    watch_revisions: Vec<Revision>,
     follower: Replica,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     compactions_left: u8,
-    lists_left: u8,
+    snapshots_left: u8,
     violation: Option<&'static str>,
 }
 
@@ -104,27 +103,27 @@
 }
 
 impl State {
-    fn at(&self) -> Revision {
-        self.held.len() as Revision - 1
+    fn revision(&self) -> Revision {
+        self.history.len() as Revision - 1
     }
 
-    fn held_at(&self, revision: Revision) -> &[(&'static str, Revision)] {
-        usize::try_from(revision).ok().and_then(|index| self.held.get(index)).map_or(&[], |h| h)
+    fn objects_at(&self, revision: Revision) -> &[(&'static str, Revision)] {
+        usize::try_from(revision).ok().and_then(|index| self.history.get(index)).map_or(&[], |h| h)
     }
 
     fn list(&self) -> Vec<Rc<EncodedObject>> {
-        let held = self.held_at(self.at()).iter();
-        held.map(|(name, revision)| Rc::new((&object(name, *revision)).into())).collect()
+        let objects = self.objects_at(self.revision()).iter();
+        objects.map(|(name, revision)| Rc::new((&object(name, *revision)).into())).collect()
     }
 
-    /// The changes after a revision, in order.
+    /// Returns the changes after a revision, in order.
     fn changes_after(&self, revision: Revision) -> Vec<Change> {
         let mut changes = Vec::new();
-        for at in revision + 1..=self.at() {
-            let (before, after) = (self.held_at(at - 1), self.held_at(at));
+        for at in revision + 1..=self.revision() {
+            let (before, after) = (self.objects_at(at - 1), self.objects_at(at));
             for name in NAMES {
-                let revision = |held: &[(&'static str, Revision)]| {
-                    held.iter().find(|(known, _)| *known == name).map(|(_, revision)| *revision)
+                let revision = |objects: &[(&'static str, Revision)]| {
+                    objects.iter().find(|(known, _)| *known == name).map(|(_, revision)| *revision)
                 };
                 match (revision(before), revision(after)) {
                     (Some(_), None) => changes.push(Change::Removed(name.to_owned())),
@@ -138,123 +137,123 @@
         changes
     }
 
-    /// Whether a replica holds what the store held at the replica's revision.
-    fn is_true(&self, replica: &Replica) -> bool {
+    /// Whether a replica equals the store at the replica's revision.
+    fn matches_store(&self, replica: &Replica) -> bool {
         let known: Vec<(&str, Revision)> =
             replica.objects().map(|object| (object.name.as_str(), object.revision)).collect();
-        known == self.held_at(replica.revision())
+        known == self.objects_at(replica.revision())
     }
 
     fn check(mut self) -> Self {
-        if !self.watchers.iter().chain([&self.follower]).all(|replica| self.is_true(replica)) {
-            self.violation = Some("a daemon knows what the store never held");
+        if !self.sources.iter().chain([&self.follower]).all(|replica| self.matches_store(replica)) {
+            self.violation = Some("a daemon's objects differ from the store at the same revision");
         }
         self
     }
 }
 
-impl FollowedNews {
+impl UpdateDissemination {
     fn change(&self, state: &State, name: &'static str, is_removal: bool) -> Option<State> {
-        let revision = state.at() + 1;
-        let mut held = state.held_at(state.at()).to_vec();
-        let known = held.iter().position(|(known, _)| *known == name);
-        if state.held.len() > self.changes || (is_removal && known.is_none()) {
+        let revision = state.revision() + 1;
+        let mut objects = state.objects_at(state.revision()).to_vec();
+        let known = objects.iter().position(|(known, _)| *known == name);
+        if state.history.len() > self.changes || (is_removal && known.is_none()) {
             return None;
         }
         if let Some(index) = known {
-            held.remove(index);
+            objects.remove(index);
         }
         if !is_removal {
-            held.push((name, revision));
-            held.sort_unstable();
+            objects.push((name, revision));
+            objects.sort_unstable();
         }
         let mut next = state.clone();
-        next.held.push(held);
+        next.history.push(objects);
         Some(next)
     }
 
     fn compact(&self, state: &State) -> Option<State> {
         let mut next = state.clone();
         next.compactions_left = next.compactions_left.checked_sub(1)?;
-        next.floor = next.at();
+        next.compacted_revision = next.revision();
         Some(next)
     }
 
-    /// A watcher's watch is answered, or it lists because the history is gone.
-    fn watch(&self, state: &State, watcher: usize) -> Option<State> {
-        let from = state.watched[watcher];
-        if from == state.at() {
+    /// A source receives changes from its watch, or lists the store if the history is compacted.
+    fn watch(&self, state: &State, source: usize) -> Option<State> {
+        let watched_revision = state.watch_revisions[source];
+        if watched_revision == state.revision() {
             return None;
         }
         let mut next = state.clone();
-        let is_gone = from < state.floor;
-        if is_gone && self.mutation != Mutation::WatchesOn {
-            next.watchers[watcher].reset(&state.list(), state.at());
+        let is_compacted = watched_revision < state.compacted_revision;
+        if is_compacted && self.mutation != Mutation::ResumesAfterCompaction {
+            next.sources[source].reset(&state.list(), state.revision());
         } else {
-            let changes = state.changes_after(from.max(state.floor));
-            next.watchers[watcher].apply(&changes, state.at());
+            let changes = state.changes_after(watched_revision.max(state.compacted_revision));
+            next.sources[source].apply(&changes, state.revision());
         }
-        next.watched[watcher] = state.at();
+        next.watch_revisions[source] = state.revision();
         Some(next)
     }
 
-    /// The follower's call at a watcher is answered; the answer is on its way.
-    fn answer(&self, state: &State, watcher: usize, is_list: bool) -> Option<State> {
-        let since = if is_list { 0 } else { state.follower.revision() };
-        let mut news = state.watchers[watcher].update_since(since, Verification::Digest)?;
-        let is_asked = state.answers.iter().any(|answer| answer.watcher == watcher);
-        if is_asked || (is_list && state.lists_left == 0) {
+    /// A source responds to a request of the follower.
+    fn respond(&self, state: &State, source: usize, is_snapshot: bool) -> Option<State> {
+        let since = if is_snapshot { 0 } else { state.follower.revision() };
+        let mut update = state.sources[source].update_since(since, Verification::Digest)?;
+        let is_pending = state.responses.iter().any(|response| response.source == source);
+        if is_pending || (is_snapshot && state.snapshots_left == 0) {
             return None;
         }
-        if self.mutation == Mutation::ForgetsRemovals && !is_list && since > 0 {
-            (news.is_snapshot, news.digest) = (false, None);
+        if self.mutation == Mutation::OmitsRemovals && !is_snapshot && since > 0 {
+            (update.is_snapshot, update.digest) = (false, None);
         }
         let mut next = state.clone();
-        next.lists_left -= u8::from(is_list);
-        next.answers.push(Answer { watcher, since: (!is_list).then_some(since), news });
+        next.snapshots_left -= u8::from(is_snapshot);
+        next.responses.push(Response { source, since: (!is_snapshot).then_some(since), update });
         Some(next)
     }
 
-    /// An answer arrives. The other call is given up.
-    fn take(&self, state: &State, index: usize) -> State {
+    /// The follower receives a response and cancels its other request.
+    fn receive(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
-        let answer = next.answers.remove(index);
-        if self.mutation != Mutation::TakesLate {
-            next.answers.clear();
+        let response = next.responses.remove(index);
+        if self.mutation != Mutation::AppliesLateResponses {
+            next.responses.clear();
         }
         let before = next.follower.revision();
-        let news = answer.news;
-        let is_list = answer.since.is_none() || news.is_snapshot;
-        if is_list {
-            if news.at >= before || self.mutation == Mutation::TakesOlderList {
-                // What it knew is forgotten: a list is all that there is.
-                next.follower = Replica::with_min_tombstones(REMEMBERED);
-                next.follower.reset(&news.objects, news.at);
+        let update = response.update;
+        let is_snapshot = response.since.is_none() || update.is_snapshot;
+        if is_snapshot {
+            if update.at >= before || self.mutation == Mutation::AcceptsOlderSnapshot {
+                // A snapshot replaces all known objects.
+                next.follower = Replica::with_min_tombstones(MIN_TOMBSTONES);
+                next.follower.reset(&update.objects, update.at);
             }
-        } else if next.follower.accepts(&news) || self.mutation == Mutation::TakesUnchecked {
-            let changes = news.into_changes();
+        } else if next.follower.accepts(&update) || self.mutation == Mutation::SkipsDigestCheck {
+            let changes = update.into_changes();
             next.follower.apply(&changes.changes, changes.at);
         }
         if next.follower.revision() < before {
-            next.violation = Some("the follower goes back");
+            next.violation = Some("the revision of the follower decreases");
         }
         next
     }
 }
 
-impl System for FollowedNews {
+impl System for UpdateDissemination {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
-            held: vec![Vec::new()],
-            floor: 0,
-            watchers: vec![Replica::with_min_tombstones(REMEMBERED); WATCHERS],
-            watched: vec![0; WATCHERS],
-            follower: Replica::with_min_tombstones(REMEMBERED),
-            answers: Vec::new(),
+            history: vec![Vec::new()],
+            compacted_revision: 0,
+            sources: vec![Replica::with_min_tombstones(MIN_TOMBSTONES); SOURCES],
+            watch_revisions: vec![0; SOURCES],
+            follower: Replica::with_min_tombstones(MIN_TOMBSTONES),
+            responses: Vec::new(),
             compactions_left: self.compactions,
-            lists_left: self.lists,
+            snapshots_left: self.snapshots,
             violation: None,
         }
     }
@@ -268,24 +267,27 @@
             next.extend(removed.map(|removed| (removed, format!("{name} is removed"))));
         }
         let compacted = self.compact(state);
-        next.extend(compacted.map(|state| (state, "the store drops its history".to_owned())));
-        for watcher in 0..WATCHERS {
-            let steps = [
-                (self.watch(state, watcher), "hears from the store"),
-                (self.answer(state, watcher, false), "answers the follower"),
-                (self.answer(state, watcher, true), "tells the follower everything"),
+        next.extend(compacted.map(|state| (state, "the store compacts its history".to_owned())));
+        for source in 0..SOURCES {
+            let actions = [
+                (self.watch(state, source), "receives changes from the store"),
+                (self.respond(state, source, false), "sends an update to the follower"),
+                (self.respond(state, source, true), "sends a snapshot to the follower"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|step| (step, format!("watcher {watcher} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor
+                        .map(|successor| (successor, format!("source {source} {description}"))),
+                );
             }
         }
-        for index in 0..state.answers.len() {
-            next.push((self.take(state, index), format!("answer {index} arrives")));
+        for index in 0..state.responses.len() {
+            next.push((self.receive(state, index), format!("response {index} arrives")));
         }
         next.into_iter().map(|(state, event)| (state.check(), event)).collect()
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         state.violation
     }
 }
--- a/spec/src/usage_reports.rs
+++ b/spec/src/usage_reports.rs
@@ -1,13 +1,12 @@
-//! Reports of usage: two daemons that both think it their turn, a store, a provider, and calls that
-//! are slow, lost or late.
+//! Usage reports: two daemons that both assume that they report, a store, a provider, and calls that are
+//! slow, lost or delayed.
 //!
-//! The lease that keeps the two apart is left out on purpose: reports have to agree without it. Each
-//! daemon has counted otherwise. A write or a report that was sent may be carried out at any later
-//! time or never; a daemon may give up on an answer, read the record, be told of an accepted report,
-//! or restart, upon which it knows nothing.
+//! The lease that normally selects one reporter is omitted: reports must agree without it. The daemons
+//! count differently. A write or report may be executed at any later time or never. A daemon may give up
+//! on a response, read the record, learn of an accepted report, or restart, which loses its state.
 //!
-//! Invariants: the provider never accepts two reports of a window that differ, and what is settled of
-//! a window never changes in the store.
+//! Invariants: the provider never accepts two different reports of a window, and the settled counts of
+//! a window never change in the store.
 
 use std::collections::BTreeMap;
 
@@ -20,66 +19,66 @@
 
 use crate::explore::System;
 
-/// A guard that is taken out.
+/// A guard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// None.
+    /// The unmodified protocol.
     None,
-    /// The store replaces the record whatever its revision.
-    Unconditional,
-    /// A daemon takes its own proposal for settled once it is sent.
-    SendsBeforeSettled,
-    /// A daemon whose proposal lost goes on with it.
-    KeepsOwn,
+    /// The store replaces the record regardless of its revision.
+    UnconditionalWrites,
+    /// A daemon considers its proposal settled when it is sent.
+    SettledOnSend,
+    /// A daemon keeps its own proposal after another one was settled.
+    KeepsOwnProposal,
 }
 
-/// The system.
+/// The system and its bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct UsageReports {
-    /// Windows that close.
+    /// Closed windows in total.
     pub windows: u64,
-    /// Writes that are sent in all.
+    /// Writes in total.
     pub writes: u8,
-    /// Reports that are sent in all.
+    /// Reports in total.
     pub reports: u8,
-    /// Restarts in all.
+    /// Restarts in total.
     pub restarts: u8,
-    /// The guard that is taken out.
+    /// The removed guard.
     pub mutation: Mutation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Key {
+struct Sender {
     daemon: usize,
-    /// Of the daemon's process that sent it.
+    /// Run of the sending daemon.
     run: u8,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Write {
-    by: Key,
+    sender: Sender,
     replaces: Option<u64>,
     settled: SettledWindows,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Answer {
+struct Response {
     write: Write,
-    /// What the store holds afterwards.
+    /// Revision of the record after the write.
     revision: u64,
     settled: SettledWindows,
 }
 
-/// A state of the system.
+/// A global state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    closed: u64,
+    closed_windows: u64,
     record: Option<(u64, SettledWindows)>,
     daemons: Vec<Settlement>,
     runs: Vec<u8>,
     writes: Vec<Write>,
-    answers: Vec<Answer>,
-    reports: Vec<(Key, Report)>,
+    responses: Vec<Response>,
+    reports: Vec<(Sender, Report)>,
     accepted: BTreeMap<Window, Counts>,
     settled: BTreeMap<Window, Counts>,
     writes_left: u8,
@@ -90,56 +89,56 @@
 
 const FIRST: Window = Window(1);
 
-fn counted(daemon: usize, window: Window) -> Counts {
+fn counts_of(daemon: usize, window: Window) -> Counts {
     let count = window.0 * 10 + daemon as u64;
     Counts::from_iter([("tenant".to_owned(), count)])
 }
 
 impl UsageReports {
     fn propose(&self, state: &State, daemon: usize) -> Option<State> {
-        let left = state.writes_left.checked_sub(1)?;
-        let last = FIRST.0.checked_add(state.closed)?.checked_sub(1)?;
-        let total = |window| counted(daemon, window);
+        let remaining = state.writes_left.checked_sub(1)?;
+        let last = FIRST.0.checked_add(state.closed_windows)?.checked_sub(1)?;
+        let total = |window| counts_of(daemon, window);
         let proposal = state.daemons[daemon].proposal(Window(last), total)?;
-        if state.closed == 0 {
+        if state.closed_windows == 0 {
             return None;
         }
         let Proposal { replaces, settled } = proposal;
         let mut next = state.clone();
-        next.writes_left = left;
-        if self.mutation == Mutation::SendsBeforeSettled {
+        next.writes_left = remaining;
+        if self.mutation == Mutation::SettledOnSend {
             let revision = replaces.unwrap_or(0) + 1;
             next.daemons[daemon].update_record(revision, settled.clone());
         }
-        let by = Key { daemon, run: state.runs[daemon] };
-        next.writes.push(Write { by, replaces, settled });
+        let sender = Sender { daemon, run: state.runs[daemon] };
+        next.writes.push(Write { sender, replaces, settled });
         Some(next)
     }
 
     fn execute(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
         let write = next.writes.remove(index);
-        let known = next.record.as_ref().map(|(revision, _)| *revision);
-        if known == write.replaces || self.mutation == Mutation::Unconditional {
-            next.record = Some((known.unwrap_or(0) + 1, write.settled.clone()));
-            next.note_settled(&write.settled);
+        let current_revision = next.record.as_ref().map(|(revision, _)| *revision);
+        if current_revision == write.replaces || self.mutation == Mutation::UnconditionalWrites {
+            next.record = Some((current_revision.unwrap_or(0) + 1, write.settled.clone()));
+            next.record_settled(&write.settled);
         }
         if let Some((revision, settled)) = next.record.clone() {
-            next.answers.push(Answer { write, revision, settled });
+            next.responses.push(Response { write, revision, settled });
         }
         next
     }
 
     fn deliver(&self, state: &State, index: usize) -> State {
         let mut next = state.clone();
-        let answer = next.answers.remove(index);
-        let Key { daemon, run } = answer.write.by;
+        let response = next.responses.remove(index);
+        let Sender { daemon, run } = response.write.sender;
         if run != next.runs[daemon] {
             return next;
         }
-        let keeps_own = self.mutation == Mutation::KeepsOwn;
-        let settled = if keeps_own { answer.write.settled } else { answer.settled };
-        next.daemons[daemon].update_record(answer.revision, settled);
+        let keeps_own_proposal = self.mutation == Mutation::KeepsOwnProposal;
+        let settled = if keeps_own_proposal { response.write.settled } else { response.settled };
+        next.daemons[daemon].update_record(response.revision, settled);
         next
     }
 
@@ -153,35 +152,37 @@
 }
 
 impl State {
-    /// Notes what a record settles; a window's counts may not change.
-    fn note_settled(&mut self, settled: &SettledWindows) {
+    /// Records the settled counts, and a violation if those of a window change.
+    fn record_settled(&mut self, settled: &SettledWindows) {
         for report in settled.reports() {
-            let known = self.settled.entry(report.window).or_insert_with(|| report.counts.clone());
-            if *known != report.counts {
+            let settled_counts =
+                self.settled.entry(report.window).or_insert_with(|| report.counts.clone());
+            if *settled_counts != report.counts {
                 self.violation = Some("the counts of a settled window change");
             }
         }
     }
 
-    fn send(&self, daemon: usize) -> Option<Self> {
-        let left = self.reports_left.checked_sub(1)?;
+    fn send_report(&self, daemon: usize) -> Option<Self> {
+        let remaining = self.reports_left.checked_sub(1)?;
         let report = self.daemons[daemon].next_report()?.clone();
         let mut next = self.clone();
-        next.reports_left = left;
-        next.reports.push((Key { daemon, run: self.runs[daemon] }, report));
+        next.reports_left = remaining;
+        next.reports.push((Sender { daemon, run: self.runs[daemon] }, report));
         Some(next)
     }
 
-    /// A report arrives; its sender hears of it, or not.
-    fn accept(&self, index: usize, is_answered: bool) -> Self {
+    /// The provider accepts a report; the response is received or lost.
+    fn accept(&self, index: usize, is_acknowledged: bool) -> Self {
         let mut next = self.clone();
-        let (by, report) = next.reports.remove(index);
-        let known = next.accepted.entry(report.window).or_insert_with(|| report.counts.clone());
-        if *known != report.counts {
+        let (sender, report) = next.reports.remove(index);
+        let accepted_counts =
+            next.accepted.entry(report.window).or_insert_with(|| report.counts.clone());
+        if *accepted_counts != report.counts {
             next.violation = Some("two reports of a window differ");
         }
-        if is_answered && by.run == next.runs[by.daemon] {
-            next.daemons[by.daemon].mark_reported(report.window);
+        if is_acknowledged && sender.run == next.runs[sender.daemon] {
+            next.daemons[sender.daemon].mark_reported(report.window);
         }
         next
     }
@@ -199,19 +200,20 @@
         (next != *self).then_some(next)
     }
 
-    fn hear(&self, daemon: usize) -> Option<Self> {
+    fn learn_of_report(&self, daemon: usize) -> Option<Self> {
         let window = *self.accepted.keys().next_back()?;
         let mut next = self.clone();
         next.daemons[daemon].mark_reported(window);
         (next != *self).then_some(next)
     }
 
-    /// Messages are a set: the order in which they were sent does not matter.
+    /// Sorts the messages, whose order is irrelevant.
     fn sorted(mut self) -> Self {
-        self.writes
-            .sort_by_key(|write| (write.by.clone(), write.replaces, write.settled.last_window()));
-        self.answers.sort_by_key(|answer| (answer.write.by.clone(), answer.revision));
-        self.reports.sort_by_key(|(by, report)| (by.clone(), report.window));
+        self.writes.sort_by_key(|write| {
+            (write.sender.clone(), write.replaces, write.settled.last_window())
+        });
+        self.responses.sort_by_key(|response| (response.write.sender.clone(), response.revision));
+        self.reports.sort_by_key(|(sender, report)| (sender.clone(), report.window));
         self
     }
 }
@@ -219,14 +221,14 @@
 impl System for UsageReports {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
-            closed: 0,
+            closed_windows: 0,
             record: None,
             daemons: vec![Settlement::new(FIRST); 2],
             runs: vec![0; 2],
             writes: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             reports: Vec::new(),
             accepted: BTreeMap::new(),
             settled: BTreeMap::new(),
@@ -239,40 +241,43 @@
 
     fn successors(&self, state: &State) -> Vec<(State, String)> {
         let mut next = Vec::new();
-        if state.closed < self.windows {
-            let mut later = state.clone();
-            later.closed += 1;
-            next.push((later, format!("window {} closes", state.closed + 1)));
+        if state.closed_windows < self.windows {
+            let mut advanced = state.clone();
+            advanced.closed_windows += 1;
+            next.push((advanced, format!("window {} closes", state.closed_windows + 1)));
         }
         for index in 0..state.writes.len() {
             next.push((self.execute(state, index), format!("write {index} is executed")));
         }
-        for index in 0..state.answers.len() {
-            next.push((self.deliver(state, index), format!("answer {index} arrives")));
+        for index in 0..state.responses.len() {
+            next.push((self.deliver(state, index), format!("response {index} arrives")));
         }
         for index in 0..state.reports.len() {
-            for is_answered in [true, false] {
-                let event = format!("report {index} is accepted, answered: {is_answered}");
-                next.push((state.accept(index, is_answered), event));
+            for is_acknowledged in [true, false] {
+                let event = format!("report {index} is accepted, acknowledged: {is_acknowledged}");
+                next.push((state.accept(index, is_acknowledged), event));
             }
         }
         for daemon in 0..state.daemons.len() {
-            let steps = [
-                (self.propose(state, daemon), "proposes what has closed"),
-                (state.send(daemon), "sends a report"),
+            let actions = [
+                (self.propose(state, daemon), "proposes the closed windows"),
+                (state.send_report(daemon), "sends a report"),
                 (state.read(daemon), "reads the record"),
-                (state.give_up(daemon), "gives up on an answer"),
-                (state.hear(daemon), "hears of an accepted report"),
+                (state.give_up(daemon), "gives up on a response"),
+                (state.learn_of_report(daemon), "learns of an accepted report"),
                 (self.restart(state, daemon), "restarts"),
             ];
-            for (step, what) in steps {
-                next.extend(step.map(|step| (step, format!("daemon {daemon} {what}"))));
+            for (successor, description) in actions {
+                next.extend(
+                    successor
+                        .map(|successor| (successor, format!("daemon {daemon} {description}"))),
+                );
             }
         }
         next.into_iter().map(|(state, event)| (state.sorted(), event)).collect()
     }
 
-    fn violation(&self, state: &State) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &State) -> Option<&'static str> {
         state.violation
     }
 }
--- a/spec/tests/core_protocol.rs
+++ b/spec/tests/core_protocol.rs
@@ -1,27 +1,27 @@
-//! The core protocol, checked within bounds, and every guard shown to be needed.
+//! Bounded exploration of the core protocol; without any one guard, a counterexample must exist.
 //!
-//! `cargo test -p heronbend-spec --release -- --nocapture` prints states, depth and bounds.
+//! `cargo test -p heronbend-spec --release -- --nocapture` prints the states, depths and bounds.
 
 use heronbend_spec::check::{check, Report};
 use heronbend_spec::model::{Bounds, Model, Mutation};
 use heronbend_spec::scenario::{Claims, Fences, Scenario, Steps};
 
-/// Memory bound: a state takes about 250 bytes in both maps of the checker.
+/// Limits memory use; a state takes about 250 bytes.
 const MAX_STATES: usize = 6_000_000;
-/// Where the bounds cannot be exhausted in a test's time.
+/// Limit for bounds that are too large to be exhausted.
 const SAMPLED_STATES: usize = 600_000;
 
-const NO_CHANGE: Bounds = Bounds {
-    seats: 3,
-    authors: 2,
+const NO_EPOCH_CHANGE: Bounds = Bounds {
+    hosts: 3,
+    proposers: 2,
     rounds: [2, 1, 0],
     first_round: [1, 1, 1],
     restarts: 0,
     transitions: 0,
 };
 
-/// The second author's ballot is above both of the first's.
-const SECOND_IS_LATER: Bounds = Bounds { first_round: [1, 3, 1], ..NO_CHANGE };
+/// The ballot of the second proposer is higher than both of the first.
+const SECOND_BALLOT_HIGHER: Bounds = Bounds { first_round: [1, 3, 1], ..NO_EPOCH_CHANGE };
 
 fn explore<S: Scenario>(
     scenario: S,
@@ -47,107 +47,116 @@
     report
 }
 
-fn holds<S: Scenario>(scenario: S, bounds: Bounds) {
+fn assert_invariants_hold<S: Scenario>(scenario: S, bounds: Bounds) {
     let report = explore(scenario, bounds, Mutation::None, MAX_STATES);
     assert!(report.counterexample.is_none());
     assert!(report.exhausted, "the bounds were not exhausted within {MAX_STATES} states");
 }
 
-fn fails<S: Scenario>(scenario: S, bounds: Bounds, mutation: Mutation) {
+fn assert_counterexample<S: Scenario>(scenario: S, bounds: Bounds, mutation: Mutation) {
     let report = explore(scenario, bounds, mutation, MAX_STATES);
-    assert!(report.counterexample.is_some(), "the guard is not needed within these bounds");
+    assert!(report.counterexample.is_some(), "no counterexample within the bounds");
 }
 
 #[test]
 fn claims_hold_without_epoch_changes() {
-    holds(Claims::default(), NO_CHANGE);
+    assert_invariants_hold(Claims::default(), NO_EPOCH_CHANGE);
 }
 
 #[test]
 fn claims_hold_after_a_release() {
-    holds(Claims::default(), SECOND_IS_LATER);
+    assert_invariants_hold(Claims::default(), SECOND_BALLOT_HIGHER);
 }
 
 #[test]
 fn claims_hold_with_three_attempts() {
-    holds(Claims::default(), Bounds { authors: 3, rounds: [1, 1, 1], ..NO_CHANGE });
+    assert_invariants_hold(
+        Claims::default(),
+        Bounds { proposers: 3, rounds: [1, 1, 1], ..NO_EPOCH_CHANGE },
+    );
 }
 
 #[test]
 fn claims_hold_under_restarts() {
-    holds(Claims::default(), Bounds { rounds: [1, 1, 0], restarts: 2, ..NO_CHANGE });
+    assert_invariants_hold(
+        Claims::default(),
+        Bounds { rounds: [1, 1, 0], restarts: 2, ..NO_EPOCH_CHANGE },
+    );
 }
 
 #[test]
 fn claims_hold_over_an_epoch_change() {
-    holds(
+    assert_invariants_hold(
         Claims::default(),
-        Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_CHANGE },
+        Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_EPOCH_CHANGE },
     );
 }
 
-/// Not exhausted: every state up to some depth, breadth first.
+/// Explores the states up to some depth, without exhausting the bounds.
 #[test]
-fn steps_show_no_counterexample_within_a_number_of_states() {
-    let bounds = Bounds { rounds: [2, 2, 0], first_round: [1, 2, 1], ..NO_CHANGE };
+fn steps_hold_within_a_limited_number_of_states() {
+    let bounds = Bounds { rounds: [2, 2, 0], first_round: [1, 2, 1], ..NO_EPOCH_CHANGE };
     let report = explore(Steps::default(), bounds, Mutation::None, SAMPLED_STATES);
     assert!(report.counterexample.is_none());
 }
 
 #[test]
 fn fences_hold() {
-    holds(Fences, Bounds { rounds: [2, 1, 0], ..NO_CHANGE });
+    assert_invariants_hold(Fences, Bounds { rounds: [2, 1, 0], ..NO_EPOCH_CHANGE });
 }
 
 #[test]
 fn fences_hold_over_an_epoch_change() {
-    holds(Fences, Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_CHANGE });
+    assert_invariants_hold(
+        Fences,
+        Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_EPOCH_CHANGE },
+    );
 }
 
 #[test]
-fn a_restarted_replica_must_not_vote_as_the_one_it_was() {
-    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::RestartKeepsIncarnation);
+fn a_restarted_replica_must_not_keep_its_incarnation() {
+    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::RestartKeepsIncarnation);
 }
 
 #[test]
-fn a_promise_must_be_kept() {
-    let bounds = Bounds { rounds: [1, 1, 0], ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::BreaksPromises);
+fn a_promised_ballot_must_be_respected() {
+    let bounds = Bounds { rounds: [1, 1, 0], ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::BreaksPromises);
 }
 
 #[test]
-fn a_replica_must_refuse_other_epochs() {
-    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::IgnoresEpochs);
+fn a_replica_must_reject_other_epochs() {
+    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::IgnoresEpochs);
 }
 
 #[test]
 fn a_proposal_needs_a_majority() {
-    let bounds = Bounds { rounds: [1, 1, 0], seats: 4, transitions: 1, ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::MajorityOfOne);
+    let bounds = Bounds { rounds: [1, 1, 0], hosts: 4, transitions: 1, ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::SingleMemberQuorum);
 }
 
 #[test]
-fn an_old_set_must_be_sealed_at_a_majority() {
-    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::SealsOneMember);
+fn the_old_replica_set_must_be_sealed_by_a_majority() {
+    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::SealsOneMember);
 }
 
 #[test]
-fn a_new_set_must_start_with_the_old_state() {
-    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_CHANGE };
-    fails(Claims::default(), bounds, Mutation::StagesNothing);
+fn the_new_replica_set_must_start_with_the_old_state() {
+    let bounds = Bounds { rounds: [1, 1, 0], restarts: 1, transitions: 1, ..NO_EPOCH_CHANGE };
+    assert_counterexample(Claims::default(), bounds, Mutation::SkipsStateTransfer);
 }
 
 #[test]
-fn a_request_that_was_handed_over_must_not_be_released() {
+fn a_dispatched_request_must_not_be_released() {
     let scenario = Claims { releases_after_dispatch: true };
-    fails(scenario, SECOND_IS_LATER, Mutation::None);
+    assert_counterexample(scenario, SECOND_BALLOT_HIGHER, Mutation::None);
 }
 
 #[test]
-fn a_batch_must_be_sealed_before_it_is_shown() {
-    let scenario = Steps { shows_before_sealing: true };
-    fails(scenario, NO_CHANGE, Mutation::None);
+fn a_batch_must_be_sealed_before_it_is_delivered() {
+    let scenario = Steps { delivers_before_sealing: true };
+    assert_counterexample(scenario, NO_EPOCH_CHANGE, Mutation::None);
 }
--- a/spec/tests/gateway_protocols.rs
+++ b/spec/tests/gateway_protocols.rs
@@ -1,43 +1,43 @@
-//! The gateway's protocols at the store, checked within bounds, and every guard shown to be needed.
+//! Bounded exploration of the gateway's protocols; without any one guard, a counterexample must exist.
 
 use heronbend_spec::check::Report;
 use heronbend_spec::checkpoints;
-use heronbend_spec::checkpoints::SavedTexts;
-use heronbend_spec::command_lease::{self, Bounds, OrderLease};
+use heronbend_spec::checkpoints::Checkpoints;
+use heronbend_spec::command_lease::{self, Bounds, CommandLease};
 use heronbend_spec::explore::{explore, System};
 use heronbend_spec::quarantine;
 use heronbend_spec::quarantine::Quarantine;
 use heronbend_spec::result_log::{self, SharedLog};
 use heronbend_spec::shared_rate_limit;
-use heronbend_spec::shared_rate_limit::SharedRate;
+use heronbend_spec::shared_rate_limit::SharedRateLimit;
 use heronbend_spec::update_dissemination;
-use heronbend_spec::update_dissemination::FollowedNews;
+use heronbend_spec::update_dissemination::UpdateDissemination;
 use heronbend_spec::usage_reports;
 use heronbend_spec::usage_reports::UsageReports;
 
 const MAX_STATES: usize = 4_000_000;
 
-/// Long enough for a takeover with its pause.
-const LONG: Bounds = Bounds { ticks: 5, writes: 3, restarts: 0 };
-/// A restart, within the time of a lease.
-const RESTART: Bounds = Bounds { ticks: 2, writes: 3, restarts: 1 };
-/// Two daemons that both run the job throughout.
-const LOG: SharedLog = SharedLog {
+/// Includes a takeover and its pause.
+const WITH_TAKEOVER: Bounds = Bounds { ticks: 5, writes: 3, restarts: 0 };
+/// Includes a restart while the lease is valid.
+const WITH_RESTART: Bounds = Bounds { ticks: 2, writes: 3, restarts: 1 };
+/// Two daemons that both run the job.
+const CONCURRENT_WRITERS: SharedLog = SharedLog {
     items: 2,
     writes: 4,
     restarts: 1,
     takeovers: 0,
-    ownership: false,
+    has_ownership: false,
     mutation: result_log::Mutation::None,
 };
-/// The job is taken over, also by a daemon that has just restarted.
-const TAKEN_OVER: SharedLog =
-    SharedLog { writes: 3, restarts: 1, takeovers: 1, ownership: true, ..LOG };
-/// It is taken over again and again.
-const TAKEN_BACK: SharedLog =
-    SharedLog { writes: 2, restarts: 0, takeovers: 3, ownership: true, ..LOG };
-/// Two daemons that may run a job at once.
-const TEXTS: SavedTexts = SavedTexts {
+/// One takeover, possibly by a restarted daemon.
+const ONE_TAKEOVER: SharedLog =
+    SharedLog { writes: 3, restarts: 1, takeovers: 1, has_ownership: true, ..CONCURRENT_WRITERS };
+/// Repeated takeovers.
+const REPEATED_TAKEOVERS: SharedLog =
+    SharedLog { writes: 2, restarts: 0, takeovers: 3, has_ownership: true, ..CONCURRENT_WRITERS };
+/// Two daemons that may run the job concurrently.
+const CHECKPOINTS: Checkpoints = Checkpoints {
     daemons: 2,
     events: 3,
     runs: 3,
@@ -45,15 +45,15 @@
     takeovers: 1,
     mutation: checkpoints::Mutation::None,
 };
-/// Two watchers and a follower.
-const NEWS: FollowedNews = FollowedNews {
+/// Three changes of objects, a compaction and a snapshot.
+const UPDATES: UpdateDissemination = UpdateDissemination {
     changes: 3,
     compactions: 1,
-    lists: 1,
+    snapshots: 1,
     mutation: update_dissemination::Mutation::None,
 };
 
-/// Two daemons that both report, and a restart.
+/// Two daemons that both report.
 const USAGE: UsageReports = UsageReports {
     windows: 2,
     writes: 3,
@@ -62,36 +62,39 @@
     mutation: usage_reports::Mutation::None,
 };
 
-/// Five daemons, of which two are lost within a window.
-const RATE: SharedRate = SharedRate {
+/// Five daemons, two of which are killed within a window.
+const TWO_KILLED: SharedRateLimit = SharedRateLimit {
     daemons: 5,
     ticks: 1,
     kills: 2,
-    cuts: 0,
-    asks: 3,
+    isolations: 0,
+    requests: 3,
     mutation: shared_rate_limit::Mutation::None,
 };
-/// One is lost, for long.
-const LONG_RATE: SharedRate = SharedRate { daemons: 3, ticks: 6, kills: 1, ..RATE };
-/// Daemons that are cut off from each other.
-const CUT_RATE: SharedRate = SharedRate { daemons: 3, ticks: 5, kills: 0, cuts: 3, ..RATE };
+/// Three daemons, one of which is killed, over a long time.
+const ONE_KILLED: SharedRateLimit =
+    SharedRateLimit { daemons: 3, ticks: 6, kills: 1, ..TWO_KILLED };
+/// Daemons that are isolated from each other.
+const ISOLATED: SharedRateLimit =
+    SharedRateLimit { daemons: 3, ticks: 5, kills: 0, isolations: 3, ..TWO_KILLED };
 /// Permits that are used late.
-const LATE_RATE: SharedRate = SharedRate { daemons: 2, ticks: 9, kills: 0, cuts: 0, ..RATE };
+const LATE_USE: SharedRateLimit =
+    SharedRateLimit { daemons: 2, ticks: 9, kills: 0, isolations: 0, ..TWO_KILLED };
 
-/// Two daemons, enough sends for all endings and one more than all probes.
+/// Two daemons and enough sends to exceed the threshold and the maximum number of probes.
 const QUARANTINE: Quarantine = Quarantine {
     daemons: 2,
     sends: 8,
     restarts: 0,
-    lost_answers: 1,
+    lost_responses: 1,
     mutation: quarantine::Mutation::None,
 };
-/// One of them starts anew.
+/// One of the daemons restarts.
 const RESTARTED_QUARANTINE: Quarantine =
-    Quarantine { sends: 5, restarts: 1, lost_answers: 0, ..QUARANTINE };
+    Quarantine { sends: 5, restarts: 1, lost_responses: 0, ..QUARANTINE };
 /// Three daemons.
-const THREE_QUARANTINE: Quarantine =
-    Quarantine { daemons: 3, sends: 4, lost_answers: 0, ..QUARANTINE };
+const QUARANTINE_OF_THREE: Quarantine =
+    Quarantine { daemons: 3, sends: 4, lost_responses: 0, ..QUARANTINE };
 
 fn run<S: System + std::fmt::Debug>(system: &S) -> Report {
     let report = explore(system, MAX_STATES);
@@ -105,128 +108,142 @@
     report
 }
 
-fn holds<S: System + std::fmt::Debug>(system: &S) {
+fn assert_invariants_hold<S: System + std::fmt::Debug>(system: &S) {
     let report = run(system);
     assert!(report.counterexample.is_none());
     assert!(report.exhausted, "the bounds were not exhausted within {MAX_STATES} states");
 }
 
-fn fails<S: System + std::fmt::Debug>(system: &S) {
+fn assert_counterexample<S: System + std::fmt::Debug>(system: &S) {
     let report = run(system);
-    assert!(report.counterexample.is_some(), "the guard is not needed within these bounds");
+    assert!(report.counterexample.is_some(), "no counterexample within the bounds");
 }
 
 #[test]
-fn two_holders_never_act_within_the_pause() {
-    for bounds in [LONG, RESTART] {
-        holds(&OrderLease { bounds, mutation: command_lease::Mutation::None });
+fn command_lease_holders_keep_the_takeover_pause() {
+    for bounds in [WITH_TAKEOVER, WITH_RESTART] {
+        assert_invariants_hold(&CommandLease { bounds, mutation: command_lease::Mutation::None });
     }
 }
 
 #[test]
-fn every_guard_of_the_lease_is_needed() {
+fn every_guard_of_the_command_lease_is_needed() {
     use command_lease::Mutation::{
-        CountsFromAnswer, NoPause, RestartSettles, SameRenewals, Unconditional,
+        ConstantRenewalCounter, CountsFromResponse, SkipsTakeoverPause, TrustsLeaseAfterRestart,
+        UnconditionalWrites,
     };
-    for mutation in [NoPause, CountsFromAnswer, Unconditional, SameRenewals] {
-        fails(&OrderLease { bounds: LONG, mutation });
+    for mutation in
+        [SkipsTakeoverPause, CountsFromResponse, UnconditionalWrites, ConstantRenewalCounter]
+    {
+        assert_counterexample(&CommandLease { bounds: WITH_TAKEOVER, mutation });
     }
-    fails(&OrderLease { bounds: RESTART, mutation: RestartSettles });
+    assert_counterexample(&CommandLease {
+        bounds: WITH_RESTART,
+        mutation: TrustsLeaseAfterRestart,
+    });
 }
 
 #[test]
-fn two_daemons_that_append_never_list_an_item_twice_or_show_what_is_not_stored() {
-    holds(&LOG);
+fn concurrent_writers_never_store_an_item_twice_or_show_unstored_results() {
+    assert_invariants_hold(&CONCURRENT_WRITERS);
 }
 
 #[test]
-fn an_owner_that_answers_knows_all_that_was_ever_shown() {
-    holds(&TAKEN_OVER);
-    holds(&TAKEN_BACK);
+fn an_owner_that_serves_readers_has_all_results_ever_shown() {
+    assert_invariants_hold(&ONE_TAKEOVER);
+    assert_invariants_hold(&REPEATED_TAKEOVERS);
 }
 
 #[test]
-fn every_guard_of_the_log_is_needed() {
+fn every_guard_of_the_result_log_is_needed() {
     use result_log::Mutation::{
-        NoDoubt, NoInDoubt, NoSeal, Overwrites, SkipsReading, TakesUnknownForDone,
+        AssumesWriteSucceeded, OverwritesChunks, ServesWhileUncertain, SkipsOwnerCheck,
+        SkipsReadingAfterRestart, SkipsSealing,
     };
-    for mutation in [Overwrites, TakesUnknownForDone, SkipsReading] {
-        fails(&SharedLog { mutation, ..LOG });
+    for mutation in [OverwritesChunks, AssumesWriteSucceeded, SkipsReadingAfterRestart] {
+        assert_counterexample(&SharedLog { mutation, ..CONCURRENT_WRITERS });
     }
-    for mutation in [NoSeal, NoDoubt, NoInDoubt] {
-        fails(&SharedLog { mutation, ..TAKEN_OVER });
+    for mutation in [SkipsSealing, SkipsOwnerCheck, ServesWhileUncertain] {
+        assert_counterexample(&SharedLog { mutation, ..ONE_TAKEOVER });
     }
 }
 
 #[test]
-fn a_text_that_is_restored_joins_no_runs_that_do_not_follow_each_other() {
-    holds(&TEXTS);
-    holds(&SavedTexts { daemons: 1, takeovers: 2, ..TEXTS });
+fn restored_texts_are_consistent_sequences_of_runs() {
+    assert_invariants_hold(&CHECKPOINTS);
+    assert_invariants_hold(&Checkpoints { daemons: 1, takeovers: 2, ..CHECKPOINTS });
 }
 
 #[test]
 fn every_guard_of_the_checkpoints_is_needed() {
-    use checkpoints::Mutation::{GoesByLength, JoinsByNumber, SavedWhenSent};
-    for mutation in [JoinsByNumber, GoesByLength, SavedWhenSent] {
-        fails(&SavedTexts { mutation, ..TEXTS });
+    use checkpoints::Mutation::{ComparesLengthOnly, JoinsByEventNumber, SavedOnSend};
+    for mutation in [JoinsByEventNumber, ComparesLengthOnly, SavedOnSend] {
+        assert_counterexample(&Checkpoints { mutation, ..CHECKPOINTS });
     }
 }
 
 #[test]
-fn what_a_follower_knows_is_what_the_store_held_and_never_goes_back() {
-    holds(&NEWS);
+fn a_follower_matches_the_store_and_its_revision_never_decreases() {
+    assert_invariants_hold(&UPDATES);
 }
 
 #[test]
-fn every_guard_of_followed_news_is_needed() {
+fn every_guard_of_update_dissemination_is_needed() {
     use update_dissemination::Mutation::{
-        ForgetsRemovals, TakesLate, TakesOlderList, TakesUnchecked, WatchesOn,
+        AcceptsOlderSnapshot, AppliesLateResponses, OmitsRemovals, ResumesAfterCompaction,
+        SkipsDigestCheck,
     };
-    for mutation in [WatchesOn, TakesLate, TakesOlderList, ForgetsRemovals, TakesUnchecked] {
-        fails(&FollowedNews { mutation, ..NEWS });
+    for mutation in [
+        ResumesAfterCompaction,
+        AppliesLateResponses,
+        AcceptsOlderSnapshot,
+        OmitsRemovals,
+        SkipsDigestCheck,
+    ] {
+        assert_counterexample(&UpdateDissemination { mutation, ..UPDATES });
     }
 }
 
 #[test]
-fn no_two_reports_of_a_window_differ_whoever_sends_them() {
-    holds(&USAGE);
-    holds(&UsageReports { windows: 1, writes: 2, restarts: 1, ..USAGE });
+fn reports_of_a_window_never_differ() {
+    assert_invariants_hold(&USAGE);
+    assert_invariants_hold(&UsageReports { windows: 1, writes: 2, restarts: 1, ..USAGE });
 }
 
 #[test]
-fn every_guard_of_the_reports_is_needed() {
-    use usage_reports::Mutation::{KeepsOwn, SendsBeforeSettled, Unconditional};
-    for mutation in [KeepsOwn, SendsBeforeSettled, Unconditional] {
-        fails(&UsageReports { mutation, ..USAGE });
+fn every_guard_of_the_usage_reports_is_needed() {
+    use usage_reports::Mutation::{KeepsOwnProposal, SettledOnSend, UnconditionalWrites};
+    for mutation in [KeepsOwnProposal, SettledOnSend, UnconditionalWrites] {
+        assert_counterexample(&UsageReports { mutation, ..USAGE });
     }
 }
 
 #[test]
-fn a_shared_rate_is_kept_whoever_is_lost_or_late() {
-    for system in [RATE, LONG_RATE, CUT_RATE, LATE_RATE] {
-        holds(&system);
+fn the_shared_rate_limit_holds_under_failures_and_late_use() {
+    for system in [TWO_KILLED, ONE_KILLED, ISOLATED, LATE_USE] {
+        assert_invariants_hold(&system);
     }
 }
 
 #[test]
-fn every_guard_of_the_shared_rate_is_needed() {
-    use shared_rate_limit::Mutation::{CountsFromAnswer, MinorityLends, TakesOverAtOnce};
-    fails(&SharedRate { mutation: TakesOverAtOnce, ..RATE });
-    fails(&SharedRate { mutation: MinorityLends, ..CUT_RATE });
-    fails(&SharedRate { mutation: CountsFromAnswer, ..LATE_RATE });
+fn every_guard_of_the_shared_rate_limit_is_needed() {
+    use shared_rate_limit::Mutation::{CountsFromResponse, MinorityIssues, SkipsTakeoverWait};
+    assert_counterexample(&SharedRateLimit { mutation: SkipsTakeoverWait, ..TWO_KILLED });
+    assert_counterexample(&SharedRateLimit { mutation: MinorityIssues, ..ISOLATED });
+    assert_counterexample(&SharedRateLimit { mutation: CountsFromResponse, ..LATE_USE });
 }
 
 #[test]
-fn a_quarantined_request_ends_few_servers_whatever_news_is_lost() {
-    for system in [QUARANTINE, RESTARTED_QUARANTINE, THREE_QUARANTINE] {
-        holds(&system);
+fn quarantine_bounds_the_crashes_of_a_request() {
+    for system in [QUARANTINE, RESTARTED_QUARANTINE, QUARANTINE_OF_THREE] {
+        assert_invariants_hold(&system);
     }
 }
 
 #[test]
 fn every_guard_of_the_quarantine_is_needed() {
-    use quarantine::Mutation::{ForgetsEndings, GrantsUnconditionally, ProbesUngranted};
-    for mutation in [ForgetsEndings, GrantsUnconditionally, ProbesUngranted] {
-        fails(&Quarantine { mutation, ..QUARANTINE });
+    use quarantine::Mutation::{ForgetsCrashes, GrantsUnconditionally, ProbesWithoutGrant};
+    for mutation in [ForgetsCrashes, GrantsUnconditionally, ProbesWithoutGrant] {
+        assert_counterexample(&Quarantine { mutation, ..QUARANTINE });
     }
 }
--- a/spec/tests/quarantine_fleet.rs
+++ b/spec/tests/quarantine_fleet.rs
@@ -1,5 +1,5 @@
-//! How many servers a few requests end that come again at any daemon, by how much daemons tell each other,
-//! with fleets of the sizes to design for.
+//! Simulation of fleets of different sizes: the number of servers that repeated requests crash, with and
+//! without crash reports between daemons.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,41 +14,42 @@
 use rapidhash::v3::rapidhash_v3;
 
 const MILLI: Duration = Duration::from_millis(1);
-/// Time from a server's end until the daemon that lost it knows, and tells the others.
-const FOUND: Duration = Duration::from_millis(20);
-/// Tries of one call at servers.
-const ATTEMPTS: usize = 2;
-/// Each request comes again so often, for so long.
-const AGAIN: Duration = Duration::from_millis(500);
-const LENGTH: Duration = Duration::from_secs(60);
+/// Time from a crash until the daemon detects and reports it.
+const DETECTION_DELAY: Duration = Duration::from_millis(20);
+/// Attempts per call.
+const ATTEMPTS_PER_CALL: usize = 2;
+/// Interval at which each request is repeated.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Duration of the simulation.
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
-/// Who knows of a request.
+/// Whether daemons exchange crash reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// Each daemon what it found itself.
-    Alone,
-    /// All daemons what one of them found.
-    Told,
+enum Reporting {
+    /// Each daemon only knows the crashes that it detected.
+    Disabled,
+    /// All daemons receive the reports of the others.
+    Enabled,
 }
 
-/// What a run came to.
+/// Result of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcome {
-    /// Servers that the worst of the requests ended.
-    most_ended: usize,
-    /// Messages in all.
+    /// Largest number of servers that one request crashed.
+    max_crashes: usize,
+    /// Messages in total.
     messages: usize,
-    /// Longest time from a request's third end until all daemons refused it.
-    known_after: Duration,
+    /// Longest time from the third crash of a request until a daemon quarantines it.
+    quarantine_delay: Duration,
 }
 
-/// Draws that a seed repeats.
-struct Draw {
+/// Deterministic pseudo-random numbers.
+struct Random {
     seed: u64,
     count: u64,
 }
 
-impl Draw {
+impl Random {
     fn below(&mut self, bound: usize) -> usize {
         self.count += 1;
         let bytes = [self.seed.to_le_bytes(), self.count.to_le_bytes()].concat();
@@ -73,102 +74,108 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The request comes at some daemon.
-    Comes { number: usize },
-    /// A daemon finds out that a server ended under it; attempts of its call that are left.
-    Found { daemon: usize, number: usize, server: usize, left: usize },
-    /// News arrives at a daemon.
-    Heard { daemon: usize, number: usize, server: usize },
+    /// A request arrives at a random daemon.
+    Arrives { number: usize },
+    /// A daemon detects the crash of a server; its call has `attempts_left` attempts left.
+    CrashDetected { daemon: usize, number: usize, server: usize, attempts_left: usize },
+    /// A crash report arrives at a daemon.
+    ReportReceived { daemon: usize, number: usize, server: usize },
 }
 
-/// Requests come at daemons in turn by chance; each that is let through ends a server, and is tried once
-/// more as long as its call may be.
-fn play(seed: u64, daemons: usize, requests: usize, way: Way) -> Outcome {
-    let mut draw = Draw { seed, count: 0 };
+/// Sends repeated requests to random daemons. Each admitted attempt crashes a server and is retried while
+/// its call has attempts left.
+fn simulate(seed: u64, daemons: usize, requests: usize, reporting: Reporting) -> Outcome {
+    let mut random = Random { seed, count: 0 };
     let mut tables = vec![Table::default(); daemons];
     let mut queue = BinaryHeap::new();
     for number in 0..requests {
-        let first = draw.millis(500);
-        queue.push(Reverse((first, Event::Comes { number })));
+        let first = random.millis(500);
+        queue.push(Reverse((first, Event::Arrives { number })));
     }
     let mut outcome = Outcome::default();
-    let mut ended = vec![0; requests];
-    let mut third = vec![Moment::MAX; requests];
+    let mut crashes = vec![0; requests];
+    let mut third_crash_at = vec![Moment::MAX; requests];
     let mut servers = 0;
     while let Some(Reverse((now, event))) = queue.pop() {
         match event {
-            Event::Comes { number } => {
-                if now + AGAIN < LENGTH {
-                    queue.push(Reverse((now + AGAIN, Event::Comes { number })));
+            Event::Arrives { number } => {
+                if now + REPEAT_INTERVAL < SIMULATED_TIME {
+                    queue.push(Reverse((now + REPEAT_INTERVAL, Event::Arrives { number })));
                 }
-                let daemon = draw.below(daemons);
-                if is_let_through(&tables[daemon], now, number) {
+                let daemon = random.below(daemons);
+                if is_admitted(&tables[daemon], now, number) {
                     servers += 1;
-                    let left = ATTEMPTS - 1;
-                    let found = Event::Found { daemon, number, server: servers, left };
-                    queue.push(Reverse((now + FOUND, found)));
+                    let attempts_left = ATTEMPTS_PER_CALL - 1;
+                    let detected =
+                        Event::CrashDetected { daemon, number, server: servers, attempts_left };
+                    queue.push(Reverse((now + DETECTION_DELAY, detected)));
                 }
             }
-            Event::Found { daemon, number, server, left } => {
-                ended[number] += 1;
-                if ended[number] == 3 {
-                    third[number] = now;
+            Event::CrashDetected { daemon, number, server, attempts_left } => {
+                crashes[number] += 1;
+                if crashes[number] == 3 {
+                    third_crash_at[number] = now;
                 }
                 let name = format!("s{server}");
                 tables[daemon].note_broken_connection(now, request(number), &name);
                 tables[daemon].note_server_gone(now, &name);
-                if way == Way::Told {
+                if reporting == Reporting::Enabled {
                     for other in (0..daemons).filter(|other| *other != daemon) {
-                        let delay = draw.millis(60);
-                        let heard = Event::Heard { daemon: other, number, server };
-                        queue.push(Reverse((now + delay, heard)));
+                        let delay = random.millis(60);
+                        let report = Event::ReportReceived { daemon: other, number, server };
+                        queue.push(Reverse((now + delay, report)));
                         outcome.messages += 1;
                     }
                 }
-                if left > 0 && is_let_through(&tables[daemon], now, number) {
+                if attempts_left > 0 && is_admitted(&tables[daemon], now, number) {
                     servers += 1;
-                    let found = Event::Found { daemon, number, server: servers, left: left - 1 };
-                    queue.push(Reverse((now + FOUND, found)));
+                    let detected = Event::CrashDetected {
+                        daemon,
+                        number,
+                        server: servers,
+                        attempts_left: attempts_left - 1,
+                    };
+                    queue.push(Reverse((now + DETECTION_DELAY, detected)));
                 }
             }
-            Event::Heard { daemon, number, server } => {
-                let ending = heronbend::quarantine::Crash {
+            Event::ReportReceived { daemon, number, server } => {
+                let crash = heronbend::quarantine::Crash {
                     server: format!("s{server}"),
                     is_excused: false,
                 };
-                let change = tables[daemon].merge(now, request(number), &[ending]);
+                let change = tables[daemon].merge(now, request(number), &[crash]);
                 if matches!(change, Change::Quarantined(_)) {
-                    let after = now.saturating_sub(third[number]);
-                    outcome.known_after = outcome.known_after.max(after);
+                    let after = now.saturating_sub(third_crash_at[number]);
+                    outcome.quarantine_delay = outcome.quarantine_delay.max(after);
                 }
             }
         }
     }
-    outcome.most_ended = ended.into_iter().max().unwrap_or(0);
+    outcome.max_crashes = crashes.into_iter().max().unwrap_or(0);
     outcome
 }
 
-fn is_let_through(table: &Table, now: Moment, number: usize) -> bool {
+fn is_admitted(table: &Table, now: Moment, number: usize) -> bool {
     matches!(table.admission(now, request(number)), Admission::Allowed | Admission::Isolated)
 }
 
 #[test]
-fn told_to_all_few_servers_end_whatever_the_size_of_the_fleet() {
-    println!("daemons requests way most_ended messages known_after_ms");
+fn crash_reports_bound_the_crashes_at_any_fleet_size() {
+    println!("daemons requests reporting max_crashes messages quarantine_delay_ms");
     for daemons in [9, 65, 300] {
         for requests in [1, 3, 10] {
-            for way in [Way::Alone, Way::Told] {
-                let outcomes = (0..20).map(|seed| play(seed, daemons, requests, way));
-                let worst = outcomes.max_by_key(|outcome| outcome.most_ended).unwrap();
+            for reporting in [Reporting::Disabled, Reporting::Enabled] {
+                let outcomes = (0..20).map(|seed| simulate(seed, daemons, requests, reporting));
+                let worst = outcomes.max_by_key(|outcome| outcome.max_crashes).unwrap();
                 println!(
-                    "{daemons} {requests} {way:?} {} {} {}",
-                    worst.most_ended,
+                    "{daemons} {requests} {reporting:?} {} {} {}",
+                    worst.max_crashes,
                     worst.messages,
-                    worst.known_after.as_millis()
+                    worst.quarantine_delay.as_millis()
                 );
-                if way == Way::Told {
-                    assert!(worst.most_ended <= 4, "{worst:?}");
-                    assert!(worst.known_after < Duration::from_secs(1), "{worst:?}");
+                if reporting == Reporting::Enabled {
+                    assert!(worst.max_crashes <= 4, "{worst:?}");
+                    assert!(worst.quarantine_delay < Duration::from_secs(1), "{worst:?}");
                 }
             }
         }
