--- a/crates/heronbend-gateway/src/http/server.rs
+++ b/crates/heronbend-gateway/src/http/server.rs
@@ -213,7 +213,7 @@
     pub idle_timeout: Duration,
 }
 
-/// Reads the complete body of a request, and accounts its memory in `hold`.
+/// Reads the complete body of a request, and accounts its memory in `reservation`.
 ///
 /// # Errors
 ///
@@ -221,13 +221,13 @@
 pub async fn read_body(
     mut body: Incoming,
     limits: BodyLimits,
-    hold: &mut Reservation,
+    reservation: &mut Reservation,
 ) -> Result<Bytes, BodyError> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > limits.max_bytes {
         return Err(BodyError::TooLarge(limits.max_bytes));
     }
-    if !hold.grow(announced) {
+    if !reservation.grow(announced) {
         return Err(BodyError::OutOfMemory);
     }
     let mut bytes = BytesMut::new();
@@ -238,7 +238,7 @@
             return Err(BodyError::TooLarge(limits.max_bytes));
         }
         let unannounced = length.saturating_sub(announced.max(bytes.len()));
-        if !hold.grow(unannounced) {
+        if !reservation.grow(unannounced) {
             return Err(BodyError::OutOfMemory);
         }
         bytes.extend_from_slice(&data);
--- a/crates/heronbend-gateway/src/peers/membership.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -292,9 +292,9 @@
 
 /// Handles a call of a peer.
 pub async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> HttpResponse {
-    let mut memory = gateway.memory.reserve();
+    let mut reservation = gateway.memory.reserve();
     let limits = BodyLimits { max_bytes: MAX_REQUEST_BYTES, idle_timeout: REQUEST_IDLE_TIMEOUT };
-    let Ok(body) = read_body(request.into_body(), limits, &mut memory).await else {
+    let Ok(body) = read_body(request.into_body(), limits, &mut reservation).await else {
         return text_response(StatusCode::BAD_REQUEST, "incomplete body");
     };
     let Ok(request) = musli::wire::from_slice::<PeerRequest>(&body) else {
