--- a/crates/heronbend-gateway/tests/dissemination.rs
+++ b/crates/heronbend-gateway/tests/dissemination.rs
@@ -48,7 +48,8 @@
     assert_eq!(
         (names(&update.objects), update.removed, update.at),
         (vec!["c"], vec!["a".to_owned()], 5)
-    ); // A follower that is ahead of this replica gets no update.
+    );
+    // A follower that is ahead of this replica gets no update.
     assert_eq!(replica.update_since(6, Unverified), None);
 }
 
@@ -131,10 +132,12 @@
 
 #[test]
 fn removals_reach_followers_from_an_upstream_that_never_held_the_object() {
-    let mut replica = Replica::default(); // An object was created at 1 and removed at 2, before this replica's list.
+    let mut replica = Replica::default();
+    // An object was created at 1 and removed at 2, before this replica's list.
     replica.reset(&[listed("b", 3)], 3);
     let update = replica.update_since(1, Unverified).unwrap();
-    assert!(update.is_snapshot, "removals before the list are unknown"); // The same after another list that follows a gap in the history.
+    assert!(update.is_snapshot, "removals before the list are unknown");
+    // The same after another list that follows a gap in the history.
     replica.reset(&[listed("b", 3), listed("c", 9)], 9);
     assert!(replica.update_since(5, Unverified).unwrap().is_snapshot);
     replica.apply(&[Change::Removed("c".to_owned())], 10);
@@ -162,13 +165,14 @@
 fn a_verifying_follower_gets_changes_and_detects_missed_ones() {
     let mut upstream = Replica::default();
     upstream.reset(&[listed("a", 1), listed("b", 2)], 2);
-    let mut follower = upstream.clone(); // The upstream lists again, as after the store compacted its history.
+    let mut follower = upstream.clone();
+    // The upstream lists again, as after the store compacted its history.
     upstream.reset(&[listed("b", 2), listed("c", 8)], 9);
     let update = upstream.update_since(2, Digest).unwrap();
     assert!(!update.is_snapshot);
     assert_eq!((names(&update.objects), &update.removed), (vec!["c"], &vec!["a".to_owned()]));
-    assert!(follower.accepts(&update)); // Another upstream sent an object that was created and removed before the list.
-
+    assert!(follower.accepts(&update));
+    // Another upstream sent an object that was created and removed before the list.
     follower.apply(&[set("x", 4)], 4);
     let update = upstream.update_since(4, Digest).unwrap();
     assert!(!update.is_snapshot && !follower.accepts(&update));
--- a/crates/heronbend-gateway/tests/versions.rs
+++ b/crates/heronbend-gateway/tests/versions.rs
@@ -208,8 +208,9 @@
     };
     // A step starts soon after its version is published, and needs the servers that can run it.
     assert_eq!(urgencies(STEP_START_DELAY - Duration::from_millis(1), false), []);
-    assert_eq!(urgencies(STEP_START_DELAY, false), [Urgency::Soon; 4]); // If loads interrupt generation, half of the hosts wait until they are idle. The others load
-                                                                        // immediately, so that not all hosts of a busy model become too old at the same time.
+    assert_eq!(urgencies(STEP_START_DELAY, false), [Urgency::Soon; 4]);
+    // If loads interrupt generation, half of the hosts wait until they are idle. The others load
+    // immediately, so that not all hosts of a busy model become too old at the same time.
     let expected = [Urgency::Soon, Urgency::Soon, Urgency::WhenIdle, Urgency::WhenIdle];
     assert_eq!(urgencies(STEP_START_DELAY, true), expected);
 }
