--- a/crates/heronbend-gateway/src/attempt.rs
+++ b/crates/heronbend-gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use crate::duties::billing::Billing;
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::http::client::{Exchange, ExchangeError, WholeAnswer};
+use crate::http::client::{Exchange, ExchangeError, FullResponse};
 use crate::memory::Reservation;
 use crate::ports::HeaderNames;
 use crate::quarantine::crash_detection;
@@ -137,19 +137,19 @@
 ) -> Result<Exchange, AttemptFailure> {
     let names = gateway.dialect.headers();
     if exchange.header(&names.request_id) != Some(outgoing.id.as_str()) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("foreign answer"));
     }
     let is_rejected = exchange.status == StatusCode::MISDIRECTED_REQUEST
         || exchange.headers.contains_key(&names.not_run);
     if is_rejected {
-        gateway.server_connections.reuse(exchange);
+        gateway.server_connections.drain(exchange);
         return Err(AttemptFailure::NotRun);
     }
     let is_unsigned = !exchange.headers.contains_key(&names.signature);
     let is_encoded = exchange.headers.contains_key(http::header::CONTENT_ENCODING);
     if exchange.status.is_success() && (is_unsigned || is_encoded) {
-        gateway.metrics.foreign_answers.inc();
+        gateway.metrics.invalid_responses.inc();
         return Err(AttemptFailure::Unknown("unsigned answer"));
     }
     Ok(exchange)
@@ -200,13 +200,13 @@
         let metrics = &self.gateway.metrics;
         let outcome = match failure {
             AttemptFailure::NotRun => {
-                metrics.refusals.inc();
+                metrics.rejected_attempts.inc();
                 AttemptOutcome::Rejected
             }
             AttemptFailure::NotSent => AttemptOutcome::Unreachable,
             AttemptFailure::Held => AttemptOutcome::Abandoned,
             AttemptFailure::BrokenOff | AttemptFailure::Unknown(_) => {
-                metrics.failures.inc();
+                metrics.failed_attempts.inc();
                 AttemptOutcome::Failed
             }
         };
@@ -234,8 +234,8 @@
 }
 
 /// Reads the complete response.
-pub async fn read_response(exchange: Exchange) -> Result<WholeAnswer, AttemptFailure> {
-    exchange.read_whole(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
+pub async fn read_response(exchange: Exchange) -> Result<FullResponse, AttemptFailure> {
+    exchange.read_full(MAX_RESPONSE_BYTES).await.map_err(|error| match error {
         ExchangeError::TooLarge(_) => AttemptFailure::Unknown("too large"),
         _ => AttemptFailure::BrokenOff,
     })
--- a/crates/heronbend-gateway/src/batch/appender.rs
+++ b/crates/heronbend-gateway/src/batch/appender.rs
@@ -11,8 +11,8 @@
 use super::registry::{chunk_name, results_kind, Job, OWNERSHIPS};
 use super::result_log::{Chunk, ItemResult};
 use crate::gateway::Gateway;
-use crate::mirror::{backoff, list_all};
 use crate::ports::{Object, ObjectStore, StoreError};
+use crate::reflector::{backoff, list_all};
 use crate::wait;
 
 /// Delay before ownership is checked again.
@@ -142,7 +142,7 @@
     let required_uncommitted = required.iter().filter(|item| !log.is_committed(item)).count();
     let age = gateway.now().saturating_sub(job.first_seen);
     let deadline = gateway.configuration().and_then(|configuration| {
-        configuration.route(&specification.host, &specification.path)?.result_deadline
+        configuration.match_route(&specification.host, &specification.path)?.result_deadline
     });
     let deadline = deadline.map(|deadline| match deadline.checked_sub(age) {
         Some(left) => batching_window::Deadline::Remaining(left),
@@ -203,7 +203,7 @@
 fn commit(gateway: &Gateway, job: &Job, number: u32, results: Vec<Rc<ItemResult>>) {
     let age = gateway.now().saturating_sub(job.first_seen);
     for _ in &results {
-        gateway.metrics.items_listed.inc();
+        gateway.metrics.items_committed.inc();
         gateway.metrics.item_age.observe(age.as_secs_f64());
     }
     let mut log = job.log.borrow_mut();
--- a/crates/heronbend-gateway/src/batch/item_run.rs
+++ b/crates/heronbend-gateway/src/batch/item_run.rs
@@ -275,9 +275,11 @@
     /// The current route of the item, or `None` if it has been removed.
     fn route(&self, configuration: &Configuration) -> Option<Rc<Route>> {
         let path = self.item.path.split('?').next().unwrap_or_default();
-        let route = configuration.route(&self.specification.host, path);
+        let route = configuration.match_route(&self.specification.host, path);
         route
-            .or_else(|| configuration.route(&self.specification.host, &self.specification.path))
+            .or_else(|| {
+                configuration.match_route(&self.specification.host, &self.specification.path)
+            })
             .cloned()
     }
 
@@ -526,7 +528,7 @@
             *self.text.borrow_mut() = ItemText::default();
         }
         if outcome.is_ok() {
-            exchange.keep();
+            exchange.return_to_pool();
         }
         outcome
     }
--- a/crates/heronbend-gateway/src/batch/submission.rs
+++ b/crates/heronbend-gateway/src/batch/submission.rs
@@ -23,9 +23,9 @@
 use super::specification::{is_base64, JobSpecification};
 use crate::access;
 use crate::gateway::Gateway;
-use crate::mirror::backoff;
 use crate::peers::{client, PeerReply, PeerRequest};
 use crate::ports::{Condition, Object, ObjectStore, Revision, StoreError};
+use crate::reflector::backoff;
 use crate::region_policy;
 
 /// Bytes reserved in an object for metadata besides the specification.
@@ -125,14 +125,14 @@
 fn validate(specification: &JobSpecification) -> Result<(), SubmitError> {
     let mut problems = Vec::new();
     if specification.items.is_empty() {
-        problems.push("the job has no items".to_owned());
+        problems.push("there are no items".to_owned());
     }
     for item in &specification.items {
         if !is_base64(&item.body) {
             problems.push(format!("item {}: the body is not base64", item.id));
         }
         if item.path.parse::<http::Uri>().is_err() {
-            problems.push(format!("item {}: the path is not a valid URI", item.id));
+            problems.push(format!("item {}: the path is malformed", item.id));
         }
     }
     if problems.is_empty() {
@@ -229,7 +229,7 @@
     specification: JobSpecification,
     is_submitted_here: bool,
 ) -> PeerReply {
-    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reached();
+    let accepts_jobs = !gateway.draining.get() && gateway.store.is_reachable();
     if ownership.owner != gateway.identity.node || !(accepts_jobs || is_submitted_here) {
         return PeerReply::NotOwner;
     }
@@ -265,7 +265,7 @@
     specification: &JobSpecification,
 ) -> Option<BTreeSet<String>> {
     let configuration = gateway.configuration()?;
-    let route = configuration.route(&specification.host, &specification.path)?;
+    let route = configuration.match_route(&specification.host, &specification.path)?;
     let owner = access::job_caller(&configuration, specification.tenant.as_deref());
     region_policy::allowed_regions(&configuration, route, &owner)
 }
--- a/crates/heronbend-gateway/src/calls.rs
+++ b/crates/heronbend-gateway/src/calls.rs
@@ -23,9 +23,9 @@
 use crate::forward::{forward, retry_after, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
 use crate::headers;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
 use crate::http::server::{read_body, BodyError, BodyLimits};
-use crate::http::{bytes_answer, text_answer, Answer, AnswerBody};
+use crate::http::{bytes_response, text_response, HttpResponse, ResponseBody};
 use crate::memory::Reservation;
 use crate::ports::Call;
 use crate::quarantine::Refused;
@@ -38,7 +38,7 @@
 const MAX_LONG_POLL: Duration = Duration::from_secs(1);
 
 /// Handles a call and adds the request id to its response.
-pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> HttpResponse {
     let arrived = gateway.now();
     let (head, body) = request.into_parts();
     let id = headers::text(&head.headers, &gateway.dialect.headers().request_id);
@@ -47,7 +47,7 @@
     let (name, mut response) = match call {
         Call::Forward => handle_routed_request(&gateway, &id, head, body, arrived).await,
         Call::Malformed(problem) => {
-            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, problem))
+            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, problem))
         }
         call => handle_job_call(&gateway, call, &head, arrived).await,
     };
@@ -58,7 +58,7 @@
         }
     }
     let latency = gateway.now().saturating_sub(arrived);
-    gateway.metrics.answered(&name, response.status().as_u16(), latency);
+    gateway.metrics.record_response(&name, response.status().as_u16(), latency);
     response
 }
 
@@ -68,7 +68,7 @@
     call: Call,
     head: &Parts,
     arrived: Moment,
-) -> (String, Answer) {
+) -> (String, HttpResponse) {
     let Some(configuration) = gateway.configuration() else {
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
@@ -101,7 +101,7 @@
             ("end_job".to_owned(), end_job_response(ended))
         }
         Call::Forward | Call::Malformed(_) => {
-            ("malformed".to_owned(), text_answer(StatusCode::BAD_REQUEST, "not a batch job call"))
+            ("malformed".to_owned(), text_response(StatusCode::BAD_REQUEST, "not a call of a job"))
         }
     }
 }
@@ -112,13 +112,13 @@
     head: Parts,
     body: Incoming,
     arrived: Moment,
-) -> (String, Answer) {
+) -> (String, HttpResponse) {
     let Some(configuration) = gateway.configuration() else {
         log::warn!("event=refused id={id} reason=\"no configuration yet\"");
         return ("unknown".to_owned(), not_run("no configuration yet"));
     };
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
-    let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
+    let Some(route) = configuration.match_route(host, head.uri.path()).cloned() else {
         if gateway.is_configuration_behind() {
             return ("none".to_owned(), reject_outdated(gateway, id));
         }
@@ -127,7 +127,7 @@
             head.uri.path(),
             configuration.version
         );
-        return ("none".to_owned(), text_answer(StatusCode::NOT_FOUND, "no matching route"));
+        return ("none".to_owned(), text_response(StatusCode::NOT_FOUND, "no such route"));
     };
     let name = route.name.clone();
     let identified = route_caller(gateway, &configuration, &route, &head);
@@ -140,7 +140,7 @@
     };
     let limits = BodyLimits {
         max_bytes: configuration.limits.max_body_bytes,
-        idle: configuration.limits.idle_timeout.min(route.timeout),
+        idle_timeout: configuration.limits.idle_timeout.min(route.timeout),
     };
     let mut reservation = gateway.memory.reserve();
     let bytes = match read_body(body, limits, &mut reservation).await {
@@ -192,7 +192,7 @@
 }
 
 /// Response to a denied call. `id` identifies the call in the log and `context` describes it.
-fn denial_response(gateway: &Gateway, denial: Denial, id: &str, context: &str) -> Answer {
+fn denial_response(gateway: &Gateway, denial: Denial, id: &str, context: &str) -> HttpResponse {
     match denial {
         Denial::StaleKeys => reject_stale_keys(gateway, id),
         Denial::OutdatedConfiguration => reject_outdated(gateway, id),
@@ -207,23 +207,23 @@
 }
 
 /// Rejects a call that a newer configuration, announced by a peer, may allow.
-fn reject_outdated(gateway: &Gateway, id: &str) -> Answer {
+fn reject_outdated(gateway: &Gateway, id: &str) -> HttpResponse {
     log::info!(
         "event=refused id={id} reason=\"the configuration is behind\" version={} peer_version={}",
         gateway.configuration_version(),
         gateway.newest_peer_configuration.get()
     );
-    not_run("the configuration is outdated")
+    not_run("the configuration is behind")
 }
 
 /// Rejects a caller whose key may have been revoked.
-fn reject_stale_keys(gateway: &Gateway, id: &str) -> Answer {
+fn reject_stale_keys(gateway: &Gateway, id: &str) -> HttpResponse {
     log::info!(
         "event=refused id={id} reason=\"no news of keys\" configuration={} age_ms={}",
         gateway.configuration_version(),
         gateway.configuration_age().as_millis()
     );
-    not_run("API keys cannot be verified because the configuration is stale")
+    not_run("it cannot be told whether the key is still held")
 }
 
 /// Identifies the caller of a routed request.
@@ -255,11 +255,11 @@
     request: AcceptedRequest,
     route: &Route,
     configuration: &Configuration,
-) -> Answer {
+) -> HttpResponse {
     let AcceptedRequest { head, body, reservation, caller, arrived } = request;
     let service = gateway.splitter.borrow_mut().pick(route).map(str::to_owned);
     let Some(service) = service else {
-        return not_run("the route has no destination");
+        return not_run("the route has no service");
     };
     let names = gateway.dialect.headers();
     let client_timeout = headers::millis(&head.headers, &names.deadline_millis);
@@ -297,7 +297,7 @@
         Ok(response) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
-        Err(error) => text_answer(error.status(), "no response from a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
@@ -314,7 +314,7 @@
     outgoing: OutgoingRequest,
     limits: RequestLimits,
     route: &Route,
-) -> Answer {
+) -> HttpResponse {
     let (id, started_at) = (outgoing.id.clone(), gateway.now());
     let opened = stream::open(gateway, service, outgoing, limits, route.resumable).await;
     let outcome = match &opened {
@@ -329,7 +329,7 @@
     );
     match opened {
         Ok(StreamResponse::Events { status, headers, body }) => {
-            let mut response = Answer::new(body);
+            let mut response = HttpResponse::new(body);
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
@@ -337,71 +337,69 @@
         Ok(StreamResponse::Complete(response)) => server_response(response, route),
         Err(ForwardError::NotRun(rejection)) => unplaced_response(gateway, &rejection),
         Err(ForwardError::Quarantined(refused)) => quarantined_response(refused),
-        Err(error) => text_answer(error.status(), "no response from a server"),
+        Err(error) => text_response(error.status(), "no answer of a server"),
     }
 }
 
 /// Converts a server's response for the client. For requests that are not idempotent, statuses that
 /// imply that nothing was run are replaced, since another attempt may have run the request.
-fn server_response(upstream: WholeAnswer, route: &Route) -> Answer {
+fn server_response(upstream: FullResponse, route: &Route) -> HttpResponse {
     let not_run_statuses = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if !route.is_repeatable() && not_run_statuses.contains(&upstream.status) {
-        return text_answer(StatusCode::BAD_GATEWAY, "the outcome is unknown");
+    if !route.is_idempotent() && not_run_statuses.contains(&upstream.status) {
+        return text_response(StatusCode::BAD_GATEWAY, "the outcome is unknown");
     }
-    let mut response = Answer::new(AnswerBody::whole(upstream.body));
+    let mut response = HttpResponse::new(ResponseBody::full(upstream.body));
     *response.status_mut() = upstream.status;
     *response.headers_mut() = headers::end_to_end(&upstream.headers);
     response
 }
 
 /// Response to a request whose body could not be read.
-fn body_error_response(error: &BodyError) -> Answer {
+fn body_error_response(error: &BodyError) -> HttpResponse {
     match error {
         BodyError::TooLarge(_) => {
-            text_answer(StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large")
+            text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
         }
-        BodyError::NoRoom => not_run("no memory available for the request body"),
-        BodyError::Slow => {
-            text_answer(StatusCode::REQUEST_TIMEOUT, "timed out reading the request body")
-        }
-        BodyError::Cut(_) => text_answer(StatusCode::BAD_REQUEST, "the request body is incomplete"),
+        BodyError::OutOfMemory => not_run("no memory for the body"),
+        BodyError::Timeout => text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+        BodyError::Aborted(_) => text_response(StatusCode::BAD_REQUEST, "the body was cut"),
     }
 }
 
 /// Response to a call without a valid key.
-fn unauthorized_response(error: AuthError) -> Answer {
-    let mut response = text_answer(StatusCode::UNAUTHORIZED, error.message());
+fn unauthorized_response(error: AuthError) -> HttpResponse {
+    let mut response = text_response(StatusCode::UNAUTHORIZED, error.message());
     let scheme = http::HeaderValue::from_static("Bearer");
     response.headers_mut().insert(http::header::WWW_AUTHENTICATE, scheme);
     response
 }
 
 /// Response to a request that was not run and may be retried.
-fn not_run(reason: &'static str) -> Answer {
+fn not_run(reason: &'static str) -> HttpResponse {
     not_run_retry_after(reason, DEFAULT_RETRY_AFTER)
 }
 
-fn not_run_retry_after(reason: &'static str, delay: Duration) -> Answer {
-    let mut response = text_answer(StatusCode::SERVICE_UNAVAILABLE, reason);
+fn not_run_retry_after(reason: &'static str, delay: Duration) -> HttpResponse {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, reason);
     response.headers_mut().insert(http::header::RETRY_AFTER, retry_after(delay));
     response
 }
 
 /// Response to a request for which no server was available.
-fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> Answer {
-    gateway.metrics.unplaced(rejection.reason);
-    not_run_retry_after("no server available", rejection.retry_after)
+fn unplaced_response(gateway: &Gateway, rejection: &Unplaced) -> HttpResponse {
+    gateway.metrics.record_unplaced(rejection.reason);
+    not_run_retry_after("no server took it", rejection.retry_after)
 }
 
 /// Response to a quarantined request.
-fn quarantined_response(refused: Refused) -> Answer {
+fn quarantined_response(refused: Refused) -> HttpResponse {
     not_run_retry_after(
-        "the request is quarantined because similar requests crashed servers",
+        "requests like this one ended the servers that ran them",
         refused.retry_after,
     )
 }
@@ -413,12 +411,12 @@
     head: &Parts,
     body: &[u8],
     arrived: Moment,
-) -> Answer {
+) -> HttpResponse {
     let mut specification = match gateway.dialect.job(id, body) {
         Ok(specification) => specification,
         Err(error) => {
             log::warn!("event=job_malformed job={id} error=\"{error}\"");
-            return text_answer(StatusCode::BAD_REQUEST, "the batch job is malformed");
+            return text_response(StatusCode::BAD_REQUEST, "the batch job is malformed");
         }
     };
     let host = headers::text(&head.headers, &http::header::HOST).unwrap_or_default();
@@ -440,9 +438,9 @@
         gateway.now().saturating_sub(arrived).as_millis()
     );
     match submitted {
-        Ok(()) => text_answer(StatusCode::ACCEPTED, "accepted"),
-        Err(SubmitError::Unavailable) => not_run("the job could not be stored"),
-        Err(error) => text_answer(error.status(), "the job was rejected"),
+        Ok(()) => text_response(StatusCode::ACCEPTED, "accepted"),
+        Err(SubmitError::Unavailable) => not_run("not taken"),
+        Err(error) => text_response(error.status(), "not accepted"),
     }
 }
 
@@ -451,10 +449,10 @@
     job: &str,
     from: usize,
     page: Result<crate::batch::ResultsPage, ReadError>,
-) -> Answer {
+) -> HttpResponse {
     match page {
         Ok(page) => {
-            bytes_answer(StatusCode::OK, "application/json", gateway.dialect.results(&page))
+            bytes_response(StatusCode::OK, "application/json", gateway.dialect.results(&page))
         }
         Err(error) => {
             log::info!("event=results_refused job={job} from={from} reason={error:?}");
@@ -463,9 +461,9 @@
     }
 }
 
-fn item_response(job: &str, item: &str, body: Result<Bytes, ReadError>) -> Answer {
+fn item_response(job: &str, item: &str, body: Result<Bytes, ReadError>) -> HttpResponse {
     match body {
-        Ok(body) => bytes_answer(StatusCode::OK, "application/octet-stream", body),
+        Ok(body) => bytes_response(StatusCode::OK, "application/octet-stream", body),
         Err(error) => {
             log::info!("event=item_refused job={job} item={item} reason={error:?}");
             read_error_response(error)
@@ -473,17 +471,17 @@
     }
 }
 
-fn read_error_response(error: ReadError) -> Answer {
+fn read_error_response(error: ReadError) -> HttpResponse {
     match error {
-        ReadError::NotFound => text_answer(StatusCode::NOT_FOUND, "not found"),
-        ReadError::Unavailable => not_run("temporarily unavailable"),
+        ReadError::NotFound => text_response(StatusCode::NOT_FOUND, "there is no such thing"),
+        ReadError::Unavailable => not_run("it cannot be told now"),
     }
 }
 
-fn end_job_response(ended: Result<(), EndError>) -> Answer {
+fn end_job_response(ended: Result<(), EndError>) -> HttpResponse {
     match ended {
-        Ok(()) => text_answer(StatusCode::OK, "ended"),
-        Err(EndError::NoSuchJob) => text_answer(StatusCode::NOT_FOUND, "job not found"),
-        Err(EndError::Unavailable) => not_run("the end of the job could not be stored"),
+        Ok(()) => text_response(StatusCode::OK, "ended"),
+        Err(EndError::NoSuchJob) => text_response(StatusCode::NOT_FOUND, "there is no such job"),
+        Err(EndError::Unavailable) => not_run("the end could not be recorded"),
     }
 }
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -12,10 +12,9 @@
 use super::takeover;
 use super::usage::UsageTracker;
 use crate::gateway::Gateway;
-use crate::lease_keeper::LeaseKeeper;
-use crate::mirror::backoff;
+use crate::lease_manager::LeaseManager;
 use crate::peers::Hint;
-use crate::peers::INTRODUCTION;
+use crate::peers::MEMBERSHIP_GRACE;
 use crate::ports::Actor;
 use crate::ports::Condition;
 use crate::ports::Object;
@@ -23,6 +22,7 @@
 use crate::ports::Provider;
 use crate::ports::ProviderError;
 use crate::ports::StoreError;
+use crate::reflector::backoff;
 use crate::versions::lease::LEASE_DURATION;
 
 /// Kind and name of the record of settled windows.
@@ -45,7 +45,7 @@
     gateway: Rc<Gateway>,
     usage: Rc<UsageTracker>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
     failures: u32,
     failing_since: Moment,
     yielded_until: Moment,
@@ -56,9 +56,9 @@
     gateway: Rc<Gateway>,
     usage: Rc<UsageTracker>,
     provider: Rc<dyn Provider>,
-    lease: Rc<LeaseKeeper>,
+    lease: Rc<LeaseManager>,
 ) {
-    gateway.members.introduction.wait().await;
+    gateway.members.bootstrap.wait().await;
     let mut reporter = Reporter {
         gateway,
         usage,
@@ -98,7 +98,7 @@
     fn is_my_turn(&self) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        if !gateway.store.is_reached() || now < INTRODUCTION {
+        if !gateway.store.is_reachable() || now < MEMBERSHIP_GRACE {
             return false;
         }
         let order = takeover::current_order(gateway);
@@ -112,7 +112,7 @@
         }
         // A new holder waits until the former one may no longer act. Taking the lease from it in the
         // meantime would restart the wait.
-        let holder_active = gateway.duty_lease.last_renewal().unwrap_or_default()
+        let holder_active = gateway.duty_lease.last_renewal_at().unwrap_or_default()
             + LEASE_DURATION
             + gateway.tuning().lease_pause;
         now >= since.max(holder_active)
@@ -144,7 +144,7 @@
     }
 
     async fn try_step(&self) -> bool {
-        if !self.lease.ensure().await {
+        if !self.lease.acquire_or_renew().await {
             return false;
         }
         if !self.settle().await {
@@ -221,7 +221,7 @@
         let actor = Actor { holder: self.gateway.identity.node.name.clone(), fence };
         let started = self.gateway.now();
         let sent = self.provider.report_usage(report, &actor).await;
-        self.gateway.metrics.duty_called("usage", sent.is_ok());
+        self.gateway.metrics.record_provider_call("usage", sent.is_ok());
         log::info!(
             "event=usage_reported window={} requests={} fence={fence} ms={} outcome={}",
             report.window.0,
@@ -234,13 +234,13 @@
             // A retry would be rejected too, and must not block later windows.
             Err(ProviderError::Refused(_)) => {}
             Err(ProviderError::Fenced) => {
-                self.lease.lost_track();
+                self.lease.invalidate();
                 return false;
             }
             Err(_) => return false,
         }
         self.usage.mark_reported(report.window);
-        self.gateway.members.tell_all(Hint::UsageReported { window: report.window });
+        self.gateway.members.broadcast(Hint::UsageReported { window: report.window });
         true
     }
 }
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use crate::gateway::Gateway;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
 use crate::ports::Object;
+use crate::reflector;
+use crate::reflector::ObjectHandler;
+use crate::reflector::Source;
 
 /// Evacuations that arrive within this time are read in one call.
 const BATCHING_DELAY: Duration = Duration::from_millis(100);
@@ -24,7 +24,7 @@
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
-    mirror::follow(gateway, kind, Source::Watchers, BATCHING_DELAY, sink).await;
+    reflector::run(gateway, kind, Source::Peers, BATCHING_DELAY, sink).await;
 }
 
 impl EvacuationSink {
@@ -42,7 +42,7 @@
             }
         }
         log::info!("event=zone_evacuated zone={zone} connections_closed={closed}");
-        gateway.metrics.zone_evacuated(zone, true);
+        gateway.metrics.set_zone_evacuated(zone, true);
     }
 
     fn end(&self, zone: &str) {
@@ -52,17 +52,17 @@
         }
         gateway.directory.borrow_mut().placer.end_evacuation(gateway.now(), zone);
         log::info!("event=zone_readmitted zone={zone}");
-        gateway.metrics.zone_evacuated(zone, false);
+        gateway.metrics.set_zone_evacuated(zone, false);
     }
 }
 
-impl MirrorSink for EvacuationSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for EvacuationSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let before = self.0.evacuated.borrow().clone();
         before.difference(names).for_each(|zone| self.end(zone));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.begin(&object.name);
     }
 
@@ -70,11 +70,11 @@
         self.end(zone);
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         self.0.directory.borrow_mut().placer.mark_evacuations_loaded();
     }
 
-    fn applied(&self) {
+    fn on_batch(&self) {
         self.0.slot_queue.changed.notify(usize::MAX);
         self.0.versions.changed.notify(usize::MAX);
     }
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -106,7 +106,7 @@
         Some(grant) => (0, Some(grant.retry_after)),
         None => (0, Some(RETRY_DELAY)),
     };
-    gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
+    gateway.metrics.permits_received.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
         placer.record_permit_grant(now, demand.server, permits, valid_until, retry_after);
@@ -122,7 +122,7 @@
     if issuer == gateway.identity.node.name {
         return issue(gateway, server, permits).ok();
     }
-    let issuer = gateway.members.named(&issuer)?;
+    let issuer = gateway.members.find_by_name(&issuer)?;
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
     match client::call(gateway, &issuer, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
@@ -169,6 +169,6 @@
     };
     let limit = gateway.tuning().cold_margin.rate_limit(cold_limit);
     let grant = gateway.permits.issuer.borrow_mut().issue(now, server, permits, limit);
-    gateway.metrics.permits_lent.inc_by(u64::from(grant.permits));
+    gateway.metrics.permits_issued.inc_by(u64::from(grant.permits));
     Ok(grant)
 }
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -103,7 +103,7 @@
     if name == gateway.identity.node.name {
         return None;
     }
-    gateway.members.named(&name)
+    gateway.members.find_by_name(&name)
 }
 
 async fn reserve(gateway: &Gateway, server: &str) -> bool {
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -23,13 +23,13 @@
 use super::Origin;
 use super::Refused;
 use crate::gateway::Gateway;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
 use crate::ports::Condition;
 use crate::ports::Object;
 use crate::ports::ObjectStore;
 use crate::ports::StoreError;
+use crate::reflector;
+use crate::reflector::ObjectHandler;
+use crate::reflector::Source;
 
 /// Kind of the records in the store.
 pub const KIND: &str = "heronbend-quarantine";
@@ -62,7 +62,7 @@
 /// Whether this daemon should do work that any daemon could do. True with a probability of one over
 /// the number of live daemons.
 pub(super) fn is_randomly_chosen(gateway: &Gateway) -> bool {
-    let daemons = u32::try_from(gateway.members.count_alive() + 1).unwrap_or(u32::MAX);
+    let daemons = u32::try_from(gateway.members.alive_count() + 1).unwrap_or(u32::MAX);
     rand::rng().random_ratio(1, daemons)
 }
 
@@ -261,7 +261,7 @@
 /// Watches the records until the daemon stops.
 pub async fn follow(gateway: Rc<Gateway>) {
     let sink = RecordSink { gateway: gateway.clone(), seen: RefCell::default() };
-    mirror::follow(gateway, KIND, Source::Watchers, BATCHING_WINDOW, sink).await;
+    reflector::run(gateway, KIND, Source::Peers, BATCHING_WINDOW, sink).await;
 }
 
 struct RecordSink {
@@ -282,15 +282,15 @@
     }
 }
 
-impl MirrorSink for RecordSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for RecordSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let named: BTreeSet<Fingerprint> =
             names.iter().filter_map(|name| name.parse().ok()).collect();
         let known = self.seen.borrow().clone();
         known.difference(&named).for_each(|request| self.release(*request));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if let Some(request) = apply_record(&self.gateway, object) {
             self.seen.borrow_mut().insert(request);
         }
--- a/crates/heronbend-gateway/src/retirement.rs
+++ b/crates/heronbend-gateway/src/retirement.rs
@@ -12,8 +12,8 @@
 use smol::{LocalExecutor, Timer};
 
 use crate::gateway::{Gateway, Identity, Tuning};
-use crate::mirror::{self, MirrorSink, Source};
 use crate::ports::{Condition, Object, ObjectStore, Ports};
+use crate::reflector::{self, ObjectHandler, Source};
 use crate::service::StartError;
 
 const BATCHING_DELAY: Duration = Duration::from_millis(200);
@@ -65,7 +65,7 @@
         let kind = gateway.dialect.kinds().retirements;
         let sink = RetirementSink { gateway: gateway.clone(), pending: RefCell::default() };
         executor
-            .spawn(mirror::follow(gateway.clone(), kind, Source::Store, BATCHING_DELAY, sink))
+            .spawn(reflector::run(gateway.clone(), kind, Source::Store, BATCHING_DELAY, sink))
             .detach();
         executor.spawn(log_reloads(reload)).detach();
         stop.wait().await;
@@ -110,12 +110,12 @@
     }
 }
 
-impl MirrorSink for RetirementSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for RetirementSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         self.pending.borrow_mut().retain(|pending| names.contains(pending));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if self.gateway.dialect.is_retired(&object.status) {
             return;
         }
--- a/crates/heronbend-gateway/src/versions/published.rs
+++ b/crates/heronbend-gateway/src/versions/published.rs
@@ -9,7 +9,7 @@
 use heronbend::identity::NodeName;
 use heronbend::Moment;
 
-use crate::lease_news::LeaseNews;
+use crate::lease_state::LeaseState;
 
 /// Steps that take longer, including training, need more than half of the model's servers.
 const SLOW_STEP_THRESHOLD: Duration = Duration::from_millis(4200);
@@ -25,7 +25,7 @@
     /// Durations of the newest steps by model, from submission to the publication of the version.
     step_times: RefCell<HashMap<String, VecDeque<Duration>>>,
     /// The lease for commands.
-    pub lease: LeaseNews,
+    pub lease: LeaseState,
     /// Notified when a version is published or a command is accepted.
     pub changed: Event,
 }
