--- a/crates/heronbend-http/src/framing.rs
+++ b/crates/heronbend-http/src/framing.rs
@@ -279,15 +279,15 @@
             let mut state = self.lock();
             state.has_written = true;
             let starts_message = state.pending_head.is_empty() && is_head_with_body_length(bytes);
-            let completes_head =
+            let joins_pending_head =
                 !state.pending_head.is_empty() && bytes.len() <= MAX_COALESCED_BYTES;
-            if starts_message || completes_head {
+            if starts_message || joins_pending_head {
                 state.pending_head.extend_from_slice(bytes);
             }
             if starts_message {
                 return Poll::Ready(Ok(bytes.len()));
             }
-            completes_head
+            joins_pending_head
         };
         if is_buffered {
             // All bytes are buffered; what the socket does not accept now is sent by the next write.
--- a/spec/src/model.rs
+++ b/spec/src/model.rs
@@ -569,9 +569,9 @@
             return;
         };
         for (from, reply) in replies {
-            let builder = transition.on_reply(from, reply.clone());
+            let step = transition.on_reply(from, reply.clone());
             let mut next = self.from;
-            match builder {
+            match step {
                 TransitionStep::Waiting => continue,
                 TransitionStep::Superseded => return,
                 TransitionStep::Stage(mut request) => {
