--- a/crates/heronbend-http/src/client.rs
+++ b/crates/heronbend-http/src/client.rs
@@ -17,7 +17,7 @@
 use crate::framing::{FramedStream, HeadError};
 
 /// Idle connections older than this are closed; shorter than the idle timeout of any server.
-const MAX_IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Idle connections kept per address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -121,7 +121,7 @@
         let mut pool = self.pool.borrow_mut();
         let idle = pool.get_mut(&address)?;
         while let Some(connection) = idle.pop() {
-            if connection.idle_since.elapsed() < MAX_IDLE && is_reusable(&connection.stream) {
+            if connection.idle_since.elapsed() < IDLE_TIMEOUT && is_reusable(&connection.stream) {
                 return Some(connection.stream);
             }
         }
