--- a/spec/src/model.rs
+++ b/spec/src/model.rs
@@ -135,7 +135,7 @@
 }
 
 fn host_node(host: usize, incarnation: u64) -> NodeId {
-    NodeId::new(&format!("host-{host}"), incarnation)
+    NodeId::new(&format!("seat-{host}"), incarnation)
 }
 
 impl<S: Scenario> Model<S> {
--- a/spec/src/scenario.rs
+++ b/spec/src/scenario.rs
@@ -45,7 +45,7 @@
 }
 
 fn proposer_node(proposer: usize) -> NodeId {
-    NodeId::new(&format!("proposer-{proposer}"), 1)
+    NodeId::new(&format!("author-{proposer}"), 1)
 }
 
 fn attempt_of(proposer: usize) -> u64 {
