--- a/crates/heronbend-emulator/tests/crashing.rs
+++ b/crates/heronbend-emulator/tests/crashing.rs
@@ -1,4 +1,4 @@
-//! A request that ends each back end that begins to run it, before real processes.
+//! Quarantine of a request that crashes every backend that executes it.
 
 mod support;
 
@@ -9,30 +9,37 @@
 use support::wait_until;
 use support::Cluster;
 
-const TOWN: (&str, &str) = ("authorization", "Bearer municipality-token");
-const FATAL: &str = "/stations/13/reading";
-/// Endings from which on a request is quarantined.
-const MOST_ENDS: usize = 3;
+const AUTHORIZATION: (&str, &str) = ("authorization", "Bearer municipality-token");
+const CRASHING_PATH: &str = "/stations/13/reading";
+/// Number of crashes after which a request is quarantined.
+const MAX_CRASHES: usize = 3;
 
-/// What the standalone daemon learnt of a request ended with the one try: each time that its caller came
-/// again it ended one more server.
+/// Guards against the standalone daemon forgetting a request's crashes after one attempt, so that each
+/// retry by the caller crashes one more server.
 #[test]
-fn a_request_that_ends_its_servers_is_soon_sent_no_more() {
+fn request_that_crashes_its_servers_is_quarantined() {
     let mut cluster = Cluster::start();
     let daemon = cluster.daemons[0].http;
-    let get = |path| request(Method::Get, daemon, path, &[TOWN], "").map(|(status, _)| status);
+    let get =
+        |path| request(Method::Get, daemon, path, &[AUTHORIZATION], "").map(|(status, _)| status);
     let (server, address) = &mut cluster.applications[0];
-    let mut ends = 0;
+    let mut crashes = 0;
     for _ in 0..8 {
-        wait_until("others are served", || get("/stations/1/reading") == Some(StatusCode::Ok));
-        post(*address, "/faults", &format!(r#"{{"ends_on":"{FATAL}"}}"#));
-        let status = get(FATAL).expect("an answer");
+        wait_until("other requests are served", || {
+            get("/stations/1/reading") == Some(StatusCode::Ok)
+        });
+        post(*address, "/faults", &format!(r#"{{"ends_on":"{CRASHING_PATH}"}}"#));
+        let status = get(CRASHING_PATH).expect("a response");
         assert!(status.is_server_error(), "{status}");
         if status == StatusCode::BadGateway {
-            wait_until("the server has ended", || server.has_ended());
-            ends += 1;
+            wait_until("the server has exited", || server.has_exited());
+            crashes += 1;
             server.restart();
         }
     }
-    assert!(ends <= MOST_ENDS, "{ends} servers ended\n{}", cluster.daemons[0].process.log());
+    assert!(
+        crashes <= MAX_CRASHES,
+        "{crashes} servers crashed\n{}",
+        cluster.daemons[0].process.log()
+    );
 }
--- a/crates/heronbend-emulator/tests/faults.rs
+++ b/crates/heronbend-emulator/tests/faults.rs
@@ -1,4 +1,5 @@
-//! The promises under failure, on real processes. The stand-ins' ledgers give the verdict.
+//! Fault injection on real processes. The load generator checks responses against the ledgers of the
+//! emulated backends.
 
 mod support;
 
@@ -11,21 +12,21 @@
 use serde_json::Value;
 use support::{get_json, post, request, wait_until, Cluster, Daemon};
 
-const TOWN: (&str, &str) = ("authorization", "Bearer municipality-token");
+const AUTHORIZATION: (&str, &str) = ("authorization", "Bearer municipality-token");
 
-fn pause(seconds: u64) {
+fn sleep_seconds(seconds: u64) {
     std::thread::sleep(Duration::from_secs(seconds));
 }
 
 #[test]
-fn a_killed_daemon_costs_no_promise() {
+fn killing_a_daemon_violates_no_guarantee() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(8, true, 1);
-    pause(2);
+    sleep_seconds(2);
     cluster.daemons[0].process.kill();
-    pause(2);
+    sleep_seconds(2);
     cluster.daemons[0].process.restart();
     let verdict = load.finish();
     assert!(verdict["answers_whole"].as_u64() > Some(500));
@@ -34,22 +35,22 @@
 }
 
 #[test]
-fn a_frozen_daemon_that_wakes_does_no_harm() {
+fn resuming_a_suspended_daemon_violates_no_guarantee() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(14, true, 2);
-    pause(1);
-    cluster.daemons[0].process.freeze();
-    pause(9);
-    cluster.daemons[0].process.wake();
+    sleep_seconds(1);
+    cluster.daemons[0].process.suspend();
+    sleep_seconds(9);
+    cluster.daemons[0].process.resume();
     load.finish();
     cluster.wait_steps(2);
     cluster.wait_ready();
 }
 
 #[test]
-fn with_the_platform_down_requests_go_on() {
+fn requests_succeed_while_the_platform_is_down() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn with_the_platform_slow_requests_go_on() {
+fn requests_succeed_while_the_platform_is_slow() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_list_that_forgets_machines_does_not_stop_the_work() {
+fn requests_succeed_while_the_machine_list_is_empty() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_rolling_restart_cuts_nothing_off() {
+fn rolling_restart_loses_no_response() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -105,12 +106,12 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new_and_its_streams_finish() {
+fn draining_engine_gets_no_new_requests_and_finishes_its_streams() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(7, false, 5);
-    pause(1);
+    sleep_seconds(1);
     post(cluster.engines[0].1, "/leave", "");
     let verdict = load.finish();
     assert_eq!(verdict["new_work_while_leaving"], 0);
@@ -118,12 +119,12 @@
 }
 
 #[test]
-fn an_operators_drain_reaches_every_daemon() {
+fn drain_command_reaches_every_daemon() {
     let cluster = Cluster::start();
     let (code, text) = cluster.command(1, &["drain", "engine-2"]);
     assert_eq!(code, 0, "{text}");
     for daemon in &cluster.daemons {
-        wait_until("the engine is known to leave", || {
+        wait_until("the engine is known to be leaving", || {
             let status = get_json(daemon.admin, "/admin/status").unwrap_or_default();
             let backends = status["backends"].as_array().cloned().unwrap_or_default();
             backends
@@ -134,33 +135,33 @@
 }
 
 #[test]
-fn a_weight_swap_that_fails_partway_taints_no_sample() {
+fn failed_weight_load_corrupts_no_sample() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(6, true, 6);
-    pause(1);
+    sleep_seconds(1);
     post(cluster.engines[1].1, "/faults", r#"{"failing_loads":3}"#);
     load.finish();
     cluster.wait_steps(2);
 }
 
 #[test]
-fn a_killed_engine_costs_no_promise() {
+fn killing_an_engine_violates_no_guarantee() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(6, true, 7);
-    pause(1);
+    sleep_seconds(1);
     cluster.engines[1].0.kill();
-    pause(1);
+    sleep_seconds(1);
     cluster.engines[1].0.restart();
     load.finish();
     cluster.wait_steps(2);
 }
 
 #[test]
-fn a_killed_trainer_goes_on_where_it_was() {
+fn killed_trainer_continues_after_its_last_step() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -177,51 +178,51 @@
 }
 
 #[test]
-fn daemons_cut_off_from_each_other_keep_the_promises() {
+fn network_partition_violates_no_guarantee() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     let load = cluster.start_load(12, true, 8);
-    pause(1);
-    // Both ways between the first and the others, then one way only.
-    cluster.cut(0, &[1, 2]);
-    cluster.cut(1, &[0]);
-    cluster.cut(2, &[0]);
-    pause(4);
-    cluster.cut(0, &[]);
-    pause(3);
-    cluster.cut(1, &[]);
-    cluster.cut(2, &[]);
+    sleep_seconds(1);
+    // A symmetric partition between the first daemon and the others, then an asymmetric one.
+    cluster.drop_datagrams(0, &[1, 2]);
+    cluster.drop_datagrams(1, &[0]);
+    cluster.drop_datagrams(2, &[0]);
+    sleep_seconds(4);
+    cluster.drop_datagrams(0, &[]);
+    sleep_seconds(3);
+    cluster.drop_datagrams(1, &[]);
+    cluster.drop_datagrams(2, &[]);
     load.finish();
     cluster.wait_steps(2);
     cluster.wait_ready();
 }
 
 #[test]
-fn a_request_whose_daemon_died_is_unknown_and_never_runs_again() {
+fn request_of_a_killed_daemon_has_unknown_outcome_and_is_not_retried() {
     let mut cluster = Cluster::start();
-    cluster.applications[0].0.freeze();
+    cluster.applications[0].0.suspend();
     let address = cluster.daemons[0].http;
-    let headers = [TOWN, ("idempotency-key", "once")];
+    let headers = [AUTHORIZATION, ("idempotency-key", "once")];
     let first =
         std::thread::spawn(move || request(Method::Post, address, "/alerts", &headers, "{}"));
     let other = cluster.daemons[1].http;
-    // Only once the first daemon has dispatched does it surely hold the claim.
+    // The first daemon holds the claim once it has dispatched the request.
     let admin = cluster.daemons[0].admin;
     wait_until("the first daemon has dispatched", || {
         let page = request(Method::Get, admin, "/metrics", &[], "").map(|(_, page)| page);
         page.is_some_and(|page| page.lines().any(|line| line == "heronbend_attempts_total 1"))
     });
     wait_until("the claim is held", || {
-        let answer = request(Method::Post, other, "/alerts", &headers, "{}");
-        answer.is_some_and(|(status, _)| status == StatusCode::Conflict)
+        let response = request(Method::Post, other, "/alerts", &headers, "{}");
+        response.is_some_and(|(status, _)| status == StatusCode::Conflict)
     });
     cluster.daemons[0].process.kill();
-    cluster.applications[0].0.wake();
+    cluster.applications[0].0.resume();
     assert!(first.join().expect("no panic").is_none());
     wait_until("the holder is known to be dead", || {
-        let answer = request(Method::Post, other, "/alerts", &headers, "{}");
-        answer.is_some_and(|(status, body)| {
+        let response = request(Method::Post, other, "/alerts", &headers, "{}");
+        response.is_some_and(|(status, body)| {
             status == StatusCode::BadGateway && body.contains("outcome_unknown")
         })
     });
@@ -230,8 +231,8 @@
     assert!(runs <= 1, "{ledger}");
 }
 
-/// The runs of the other daemons that a daemon knows, as it names its own.
-fn member_runs(status: &Value) -> impl Iterator<Item = String> + '_ {
+/// The other daemons that a daemon knows, formatted as `name#incarnation`.
+fn peer_incarnations(status: &Value) -> impl Iterator<Item = String> + '_ {
     let members = status["members"].as_array().into_iter().flatten();
     members.filter_map(|member| {
         let (name, run) = (&member["id"]["name"], &member["id"]["incarnation"]);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn when_all_daemons_are_lost_an_operator_opens_the_shards_again() {
+fn operator_rebuilds_shards_after_all_daemons_are_lost() {
     let mut cluster = Cluster::start();
     cluster.start_trainer(1);
     cluster.wait_steps(1);
@@ -255,18 +256,18 @@
     let runs: BTreeSet<String> = cluster.daemons.iter().filter_map(run).collect();
     assert_eq!(runs.len(), 3);
     for daemon in &cluster.daemons {
-        // The list of machines shows the former runs for a moment, and while these are believed in no
-        // shard has lost its majority.
-        wait_until("the daemons know each other's runs and the map", || {
+        // The machine list lags and still contains the earlier incarnations; until they are replaced no
+        // shard counts as having lost its majority.
+        wait_until("the daemons know each other's incarnations and the shard map", || {
             let status = status(daemon);
-            let mut known: BTreeSet<String> = member_runs(&status).collect();
+            let mut known: BTreeSet<String> = peer_incarnations(&status).collect();
             let others = known.len();
             known.extend(status["node"].as_str().map(str::to_owned));
             others == 2 && known == runs && status["shard_epochs"].as_u64() > Some(0)
         });
     }
     let (code, text) = cluster.command(0, &["shards", "rebuild"]);
-    assert_eq!(code, 2, "the loss must be accepted: {text}");
+    assert_eq!(code, 2, "the command must require --accept-loss: {text}");
     let (code, text) = cluster.command(0, &["shards", "rebuild", "--accept-loss"]);
     assert_eq!((code, text.as_str()), (0, "8 shards rebuilt\n"));
     cluster.wait_steps(2);
@@ -276,7 +277,7 @@
 }
 
 #[test]
-fn two_operators_at_once_lose_no_edit() {
+fn concurrent_settings_edits_are_both_applied() {
     let cluster = Cluster::start();
     let set = |daemon: usize, node: &str, field: &str| {
         cluster.command(daemon, &["settings", "set", node, field])
@@ -290,7 +291,7 @@
         }
     });
     for daemon in &cluster.daemons {
-        wait_until("both edits are in force", || daemon.revision() == 3);
+        wait_until("both edits are applied", || daemon.revision() == 3);
     }
     let (_, history) = cluster.command(2, &["settings", "history"]);
     assert_eq!(history.lines().count(), 3, "{history}");
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn an_edit_whose_answer_was_lost_is_accepted_once() {
+fn settings_edit_with_lost_response_is_applied_once() {
     let cluster = Cluster::start();
     cluster.set_platform_fault(r#"{"fault":"lose_answers"}"#);
     let (code, text) = cluster.command(0, &["settings", "set", "/pools/gauge", "max_in_flight=99"]);
@@ -308,32 +309,33 @@
     assert!(text.contains("revision 2"), "{text}");
     cluster.set_platform_fault(r#"{"fault":"none"}"#);
     for daemon in &cluster.daemons {
-        wait_until("the edit is in force", || daemon.revision() == 2);
+        wait_until("the edit is applied", || daemon.revision() == 2);
     }
 }
 
-/// Any two faults together, drawn from a printed seed.
+/// Injects pairs of faults chosen by the seed, which `HERONBEND_FAULT_SEED` overrides.
 #[test]
-fn two_faults_at_once_cost_no_promise() {
+fn two_concurrent_faults_violate_no_guarantee() {
     const SEEDS: [u64; 2] = [11, 12];
-    let given = std::env::var("HERONBEND_FAULT_SEED").ok().and_then(|text| text.parse().ok());
-    for seed in given.map_or(SEEDS.to_vec(), |seed| vec![seed]) {
+    let seed_override =
+        std::env::var("HERONBEND_FAULT_SEED").ok().and_then(|text| text.parse().ok());
+    for seed in seed_override.map_or(SEEDS.to_vec(), |seed| vec![seed]) {
         println!("seed={seed}");
         let mut random = SmallRng::seed_from_u64(seed);
         let mut cluster = Cluster::start();
         cluster.start_trainer(1);
         cluster.wait_steps(1);
         let load = cluster.start_load(10, true, seed);
-        pause(1);
+        sleep_seconds(1);
         let first = random.random_range(0..5);
         let second = (first + random.random_range(1..5)) % 5;
         println!("faults={first},{second}");
         for fault in [first, second] {
-            bring_about(&mut cluster, fault);
+            inject_fault(&mut cluster, fault);
         }
-        pause(4);
+        sleep_seconds(4);
         for fault in [first, second] {
-            mend(&mut cluster, fault);
+            clear_fault(&mut cluster, fault);
         }
         load.finish();
         cluster.wait_steps(2);
@@ -341,22 +343,22 @@
     }
 }
 
-fn bring_about(cluster: &mut Cluster, fault: usize) {
+fn inject_fault(cluster: &mut Cluster, fault: usize) {
     match fault {
         0 => cluster.daemons[0].process.kill(),
-        1 => cluster.daemons[1].process.freeze(),
+        1 => cluster.daemons[1].process.suspend(),
         2 => cluster.set_platform_fault(r#"{"fault":"down"}"#),
         3 => cluster.engines[0].0.kill(),
-        _ => cluster.cut(2, &[0, 1]),
+        _ => cluster.drop_datagrams(2, &[0, 1]),
     }
 }
 
-fn mend(cluster: &mut Cluster, fault: usize) {
+fn clear_fault(cluster: &mut Cluster, fault: usize) {
     match fault {
         0 => cluster.daemons[0].process.restart(),
-        1 => cluster.daemons[1].process.wake(),
+        1 => cluster.daemons[1].process.resume(),
         2 => cluster.set_platform_fault(r#"{"fault":"none"}"#),
         3 => cluster.engines[0].0.restart(),
-        _ => cluster.cut(2, &[]),
+        _ => cluster.drop_datagrams(2, &[]),
     }
 }
--- a/crates/heronbend-emulator/tests/processes.rs
+++ b/crates/heronbend-emulator/tests/processes.rs
@@ -1,20 +1,19 @@
-//! What the tests take for a process of their own.
+//! Tests of the helper that starts processes for the other tests.
 
 mod support;
 
 use std::net::TcpListener;
 use std::time::Duration;
 
-use support::emulator;
-use support::words;
+use support::emulator_path;
+use support::split_arguments;
 use support::Process;
 use tempfile::TempDir;
 
-/// Of test runs beside each other one drew a port that another one's engine had bound first. Whatever
-/// listened there was taken for the process, so that the ledger of the other run's engine, with requests
-/// of the same names, told of requests that this run's daemons had refused as not run.
+/// Guards against mistaking a process of a concurrent test run that holds the port for the process that
+/// was started.
 #[test]
-fn what_listens_at_a_taken_port_is_not_taken_for_the_process() {
+fn process_start_ignores_another_listener_on_its_port() {
     let taken = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = taken.local_addr().unwrap();
     let other = std::thread::spawn(move || {
@@ -22,8 +21,8 @@
         drop(taken);
     });
     let directory = TempDir::new().unwrap();
-    let arguments = words(&format!("app --name app-1 --pool gauge --listen {address}"));
-    let process = Process::serve(directory.path(), "app", &emulator(), &arguments, address);
+    let arguments = split_arguments(&format!("app --name app-1 --pool gauge --listen {address}"));
+    let process = Process::serve(directory.path(), "app", &emulator_path(), &arguments, address);
     assert!(process.log().contains("event=started"), "{}", process.log());
     other.join().unwrap();
 }
--- a/crates/heronbend-emulator/tests/support/mod.rs
+++ b/crates/heronbend-emulator/tests/support/mod.rs
@@ -1,7 +1,6 @@
-//! Real processes for tests: the platform, back ends, daemons, a trainer and load.
+//! Starts real processes for tests: the platform, backends, daemons, a trainer and the load generator.
 //!
-//! Every process is a child of the test, on loopback ports that were free a moment before, and is
-//! killed by its identifier when the test ends.
+//! Every process is a child of the test, listens on loopback ports, and is killed when dropped.
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
 use std::collections::BTreeSet;
@@ -19,22 +18,22 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// Names and zones of the gauge team's daemons.
+/// Zones of the daemons, by daemon index.
 pub const ZONES: [&str; 3] = ["shawinigan", "la-tuque", "trois-rivieres"];
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const WAIT_POLL: Duration = Duration::from_millis(50);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a condition; a test that waits too long fails.
+/// Polls a condition and panics when it does not hold within [`WAIT_LIMIT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_LIMIT;
     while !condition() {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(WAIT_POLL);
     }
 }
 
-/// Sends one request; `None` when there was no whole answer.
+/// Sends one request; `None` without a complete response.
 pub fn request(
     method: Method,
     address: SocketAddr,
@@ -49,37 +48,37 @@
     }
     request.set_body(body);
     let client = Client::new();
-    let answer = client.fetch(address, request, REQUEST_TIMEOUT, 1 << 26);
-    let (status, bytes) = smol::block_on(answer).ok()?;
-    Some((status, String::from_utf8(bytes).expect("answers are UTF-8")))
+    let response = client.fetch(address, request, REQUEST_TIMEOUT, 1 << 26);
+    let (status, bytes) = smol::block_on(response).ok()?;
+    Some((status, String::from_utf8(bytes).expect("the response is UTF-8")))
 }
 
-/// Fetches a JSON document.
+/// Fetches a JSON document; `None` without a successful response.
 pub fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
     let (status, body) = request(Method::Get, address, path, &[], "")?;
-    status.is_success().then(|| serde_json::from_str(&body).expect("the answer is JSON"))
+    status.is_success().then(|| serde_json::from_str(&body).expect("the response is JSON"))
 }
 
 /// Posts a JSON document and expects success.
 pub fn post(address: SocketAddr, path: &str, body: &str) {
-    let answer = request(Method::Post, address, path, &[], body);
-    let status = answer.as_ref().map(|(status, _)| *status);
-    assert!(status.is_some_and(|status| status.is_success()), "{path}: {answer:?}");
+    let response = request(Method::Post, address, path, &[], body);
+    let status = response.as_ref().map(|(status, _)| *status);
+    assert!(status.is_some_and(|status| status.is_success()), "{path}: {response:?}");
 }
 
-/// Ports that were handed out in this test run.
-static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+/// Ports already allocated by this test program.
+static ALLOCATED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// Loopback addresses that were free a moment ago, none of them twice in one test run.
+/// Returns currently unused loopback addresses, each at most once per test program.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    let mut given = GIVEN.lock().expect("no panic while the lock is held");
-    // Held until enough are found, so that the system does not offer one of them again.
+    let mut allocated = ALLOCATED_PORTS.lock().expect("no panic while the lock is held");
+    // Keeps the listeners open so that the system does not return the same port twice.
     let mut listeners = Vec::new();
     let mut addresses = Vec::new();
     while addresses.len() < count {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         let address = listener.local_addr().expect("bound");
-        if given.insert(address.port()) {
+        if allocated.insert(address.port()) {
             addresses.push(address);
         }
         listeners.push(listener);
@@ -93,12 +92,12 @@
     command: Vec<String>,
     log: PathBuf,
     address: Option<SocketAddr>,
-    /// Runs that the log told of before this one.
-    earlier_runs: usize,
+    /// Starts found in the log before the current run.
+    starts_before_restart: usize,
 }
 
 impl Process {
-    /// Starts a process that listens at an address, and waits until it does.
+    /// Starts a server process and waits until it listens at `address`.
     pub fn serve(
         directory: &Path,
         name: &str,
@@ -108,27 +107,29 @@
     ) -> Self {
         let mut process = Self::start(directory, name, program, arguments);
         process.address = Some(address);
-        process.wait_listening();
+        process.wait_until_listening();
         process
     }
 
-    /// Another process may have taken a port meanwhile: then it is tried again. That something listens
-    /// there shows nothing, it may be that process. This one says that it has started once it has bound.
-    fn wait_listening(&mut self) {
+    /// Waits until the process listens, and starts it again while it exits because its port is taken.
+    ///
+    /// A successful connection is not enough, since another process may hold the port: the process
+    /// logs `event=started` only after it has bound the port.
+    fn wait_until_listening(&mut self) {
         let Some(address) = self.address else {
             return;
         };
         let name = self.log.display().to_string();
-        wait_until(&format!("{name} shows a process that listens"), || {
-            if self.has_ended() {
+        wait_until(&format!("{name} reports a listening process"), || {
+            if self.has_exited() {
                 self.child = spawn(&self.command, &self.log);
             }
-            self.runs() > self.earlier_runs && TcpStream::connect(address).is_ok()
+            self.start_count() > self.starts_before_restart && TcpStream::connect(address).is_ok()
         });
     }
 
-    /// Runs that the log tells of.
-    fn runs(&self) -> usize {
+    /// Number of starts found in the log.
+    fn start_count(&self) -> usize {
         self.log().matches("event=started").count()
     }
 
@@ -137,49 +138,50 @@
         let mut command = vec![program.display().to_string()];
         command.extend_from_slice(arguments);
         let child = spawn(&command, &log);
-        Self { child, command, log, address: None, earlier_runs: 0 }
+        Self { child, command, log, address: None, starts_before_restart: 0 }
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = Pid::from_raw(i32::try_from(self.child.id()).expect("a small identifier"));
-        kill(pid, signal).expect("the child is there");
+        let pid =
+            Pid::from_raw(i32::try_from(self.child.id()).expect("the process identifier fits"));
+        kill(pid, signal).expect("the child is running");
     }
 
-    /// Ends it without warning.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
-        self.child.kill().expect("the child is there");
+        self.child.kill().expect("the child is running");
         self.child.wait().expect("the child can be waited for");
     }
 
-    /// Asks it to stop, and waits for it.
+    /// Sends SIGTERM and waits for the process to exit.
     pub fn terminate(&mut self) -> ExitStatus {
         self.signal(Signal::SIGTERM);
         self.child.wait().expect("the child can be waited for")
     }
 
-    /// Pauses it.
-    pub fn freeze(&self) {
+    /// Suspends the process with SIGSTOP.
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
-    pub fn wake(&self) {
+    /// Resumes the process with SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Whether it has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Starts it again after it ended.
+    /// Starts the process again after it has exited.
     pub fn restart(&mut self) {
-        self.earlier_runs = self.runs();
+        self.starts_before_restart = self.start_count();
         self.child = spawn(&self.command, &self.log);
-        self.wait_listening();
+        self.wait_until_listening();
     }
 
-    /// What it logged.
+    /// Everything the process has logged.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -203,107 +205,106 @@
     }
 }
 
-/// A daemon and where it listens.
+/// A daemon process and its addresses.
 pub struct Daemon {
-    /// Its process.
     pub process: Process,
-    /// Its name.
+    /// Node name.
     pub name: String,
-    /// For callers.
+    /// Address for callers.
     pub http: SocketAddr,
-    /// For operators.
+    /// Admin address.
     pub admin: SocketAddr,
 }
 
 impl Daemon {
-    /// Whether it takes requests.
+    /// Whether the daemon reports that it is ready.
     pub fn is_ready(&self) -> bool {
         request(Method::Get, self.admin, "/readyz", &[], "")
             .is_some_and(|(status, _)| status.is_success())
     }
 
-    /// Revision of its settings; 0 when it does not answer.
+    /// Revision of the daemon's settings, or 0 if it does not respond.
     pub fn revision(&self) -> u64 {
         let status = get_json(self.admin, "/admin/status");
         status.and_then(|status| status["settings_revision"].as_u64()).unwrap_or(0)
     }
 }
 
-/// Clusters that run at the same time in one test program: more would only wait for each other.
+/// Maximum number of concurrent clusters per test program.
 const MAX_CLUSTERS: usize = 4;
-static CLUSTERS: Mutex<usize> = Mutex::new(0);
-static CLUSTER_ENDED: Condvar = Condvar::new();
+static RUNNING_CLUSTERS: Mutex<usize> = Mutex::new(0);
+static CLUSTER_STOPPED: Condvar = Condvar::new();
 
-/// The right to run a cluster.
-struct Place;
+/// Permit to run one cluster, released on drop.
+struct ClusterPermit;
 
-impl Place {
+impl ClusterPermit {
     fn wait() -> Self {
-        let running = CLUSTERS.lock().expect("no panic while the lock is held");
+        let running = RUNNING_CLUSTERS.lock().expect("no panic while the lock is held");
         let is_full = |running: &mut usize| *running >= MAX_CLUSTERS;
-        let running = CLUSTER_ENDED.wait_while(running, is_full);
+        let running = CLUSTER_STOPPED.wait_while(running, is_full);
         *running.expect("no panic while the lock is held") += 1;
         Self
     }
 }
 
-impl Drop for Place {
+impl Drop for ClusterPermit {
     fn drop(&mut self) {
-        *CLUSTERS.lock().expect("no panic while the lock is held") -= 1;
-        CLUSTER_ENDED.notify_one();
+        *RUNNING_CLUSTERS.lock().expect("no panic while the lock is held") -= 1;
+        CLUSTER_STOPPED.notify_one();
     }
 }
 
-/// The whole path: three daemons in three zones before back ends, a platform and a trainer.
+/// Three daemons in three zones, with backends, a platform and an optional trainer.
 pub struct Cluster {
     directory: TempDir,
-    /// The platform's process.
+    /// Platform process.
     pub platform: Process,
     /// The platform's address.
     pub platform_address: SocketAddr,
     /// Engines with their addresses.
     pub engines: Vec<(Process, SocketAddr)>,
-    /// Application server and scorer with their addresses.
+    /// The application server and the scorer, with their addresses.
     pub applications: Vec<(Process, SocketAddr)>,
-    /// Daemons.
+    /// Daemons, in the order of [`ZONES`].
     pub daemons: Vec<Daemon>,
-    /// The trainer with its address, once started.
+    /// The trainer and its address, once started.
     pub trainer: Option<(Process, SocketAddr)>,
-    /// Given back last, after every process has ended.
-    _place: Place,
+    /// Last field, so that it is released after every process has been killed.
+    _permit: ClusterPermit,
 }
 
-/// The program of the stand-ins.
-pub fn emulator() -> PathBuf {
+/// Path of the emulator binary.
+pub fn emulator_path() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_heronbend-emulator"))
 }
 
-/// The daemon's program, which a workspace build puts beside the emulator's.
-pub fn heronbend() -> PathBuf {
-    emulator().with_file_name("heronbend")
+/// Path of the daemon binary, which a workspace build puts next to the emulator's.
+pub fn heronbend_path() -> PathBuf {
+    emulator_path().with_file_name("heronbend")
 }
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The arguments that a line of text states.
-pub fn words(text: &str) -> Vec<String> {
+/// Splits a command line at whitespace.
+pub fn split_arguments(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_owned).collect()
 }
 
 impl Cluster {
-    /// Starts everything but the trainer, and waits until all daemons are ready.
+    /// Starts all processes except the trainer and waits until every daemon is ready.
     pub fn start() -> Self {
-        let place = Place::wait();
+        let permit = ClusterPermit::wait();
         let directory = TempDir::new().expect("a writable temporary folder");
         let path = directory.path();
         let platform_address = free_addresses(1)[0];
         let platform = Process::serve(
             path,
             "platform",
-            &emulator(),
-            &words(&format!("platform --listen {platform_address}")),
+            &emulator_path(),
+            &split_arguments(&format!("platform --listen {platform_address}")),
             platform_address,
         );
         let engines = free_addresses(2)
@@ -316,7 +317,16 @@
                      --listen {address} --platform {platform_address} --zone {}",
                     ZONES[index]
                 );
-                (Process::serve(path, &name, &emulator(), &words(&arguments), address), address)
+                (
+                    Process::serve(
+                        path,
+                        &name,
+                        &emulator_path(),
+                        &split_arguments(&arguments),
+                        address,
+                    ),
+                    address,
+                )
             })
             .collect();
         let applications = [("app", "gauge"), ("scorer", "scorer")]
@@ -328,7 +338,16 @@
                      --platform {platform_address} --zone {}",
                     ZONES[0]
                 );
-                (Process::serve(path, kind, &emulator(), &words(&arguments), address), address)
+                (
+                    Process::serve(
+                        path,
+                        kind,
+                        &emulator_path(),
+                        &split_arguments(&arguments),
+                        address,
+                    ),
+                    address,
+                )
             })
             .collect();
         let daemons =
@@ -341,14 +360,14 @@
             daemons,
             trainer: None,
             directory,
-            _place: place,
+            _permit: permit,
         };
         cluster.apply_settings();
         cluster.wait_ready();
         cluster
     }
 
-    /// Puts the gauge team's settings in force.
+    /// Applies the example settings.
     fn apply_settings(&self) {
         let file = repository().join("examples/gauge/settings.toml");
         let file = file.display().to_string();
@@ -357,9 +376,9 @@
         });
     }
 
-    /// Runs the command line towards a daemon: exit code and output.
+    /// Runs `heronbend` against a daemon; returns the exit code and the output.
     pub fn command(&self, daemon: usize, arguments: &[&str]) -> (i32, String) {
-        let output = Command::new(heronbend())
+        let output = Command::new(heronbend_path())
             .args(arguments)
             .args(["--admin", &self.daemons[daemon].admin.to_string()])
             .output()
@@ -369,14 +388,14 @@
         (output.status.code().unwrap_or(-1), text)
     }
 
-    /// Waits until every daemon takes requests.
+    /// Waits until every daemon is ready.
     pub fn wait_ready(&self) {
         for daemon in &self.daemons {
             wait_until(&format!("{} is ready", daemon.name), || daemon.is_ready());
         }
     }
 
-    /// Starts the trainer.
+    /// Starts the trainer at a step.
     pub fn start_trainer(&mut self, first_step: u64) {
         let address = free_addresses(1)[0];
         let arguments = format!(
@@ -386,18 +405,23 @@
             self.platform_address
         );
         let directory = self.directory.path();
-        let process =
-            Process::serve(directory, "trainer", &emulator(), &words(&arguments), address);
+        let process = Process::serve(
+            directory,
+            "trainer",
+            &emulator_path(),
+            &split_arguments(&arguments),
+            address,
+        );
         self.trainer = Some((process, address));
     }
 
-    /// The trainer's report.
+    /// Fetches the trainer's report.
     pub fn report(&self) -> Value {
         let (_, address) = self.trainer.as_ref().expect("the trainer was started");
         get_json(*address, "/report").unwrap_or_default()
     }
 
-    /// Waits until the trainer has received this many more steps.
+    /// Waits until the trainer has received `more` further steps.
     pub fn wait_steps(&self, more: u64) {
         let goal = self.report()["steps"].as_u64().unwrap_or(0) + more;
         wait_until(&format!("the trainer has received {goal} steps"), || {
@@ -405,7 +429,7 @@
         });
     }
 
-    /// Starts load; with `faults` lost and unknown answers are no failure.
+    /// Starts the load generator; with `faults`, lost responses and unknown outcomes are tolerated.
     pub fn start_load(&self, seconds: u64, faults: bool, seed: u64) -> Load {
         let path = self.directory.path().join(format!("verdict-{seed}.json"));
         let list = |addresses: Vec<SocketAddr>| {
@@ -426,17 +450,22 @@
             if faults { "--faults" } else { "" },
         );
         let name = format!("load-{seed}");
-        let process = Process::start(self.directory.path(), &name, &emulator(), &words(&arguments));
+        let process = Process::start(
+            self.directory.path(),
+            &name,
+            &emulator_path(),
+            &split_arguments(&arguments),
+        );
         Load { process, verdict: path }
     }
 
-    /// Makes the platform fail, or work again.
+    /// Sets the platform's fault, allocated as JSON.
     pub fn set_platform_fault(&self, fault: &str) {
         post(self.platform_address, "/control", fault);
     }
 
-    /// Cuts daemons off from each other: `from` sends nothing to `to`.
-    pub fn cut(&self, from: usize, to: &[usize]) {
+    /// Drops the datagrams that daemon `from` sends to the daemons `to`; an empty list ends the fault.
+    pub fn drop_datagrams(&self, from: usize, to: &[usize]) {
         let names: Vec<&str> = to.iter().map(|index| self.daemons[*index].name.as_str()).collect();
         let faults = serde_json::json!({ "drop_to": names });
         post(self.daemons[from].admin, "/admin/failpoints", &faults.to_string());
@@ -447,7 +476,7 @@
         addresses.join(",")
     }
 
-    /// Everything that was logged, for a failed test.
+    /// Prints the logs of the daemons and the trainer.
     pub fn print_logs(&self) {
         for daemon in &self.daemons {
             println!("== {}\n{}", daemon.name, daemon.process.log());
@@ -475,21 +504,27 @@
         ZONES[index], addresses[0], addresses[1], addresses[2]
     );
     Daemon {
-        process: Process::serve(directory, &name, &heronbend(), &words(&arguments), addresses[0]),
+        process: Process::serve(
+            directory,
+            &name,
+            &heronbend_path(),
+            &split_arguments(&arguments),
+            addresses[0],
+        ),
         name,
         http: addresses[0],
         admin: addresses[2],
     }
 }
 
-/// Load that is under way.
+/// A running load generator.
 pub struct Load {
     process: Process,
     verdict: PathBuf,
 }
 
 impl Load {
-    /// Waits for its end; the verdict, which must not name a broken promise.
+    /// Waits for the load generator to exit and returns its report; panics if it reports a violation.
     pub fn finish(mut self) -> Value {
         let status = self.process.child.wait().expect("the child can be waited for");
         let verdict = std::fs::read_to_string(&self.verdict).unwrap_or_default();
