--- a/crates/heronbend-emulator/src/application.rs
+++ b/crates/heronbend-emulator/src/application.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for application servers and scorers.
+//! Emulated application servers and scorers.
 //!
-//! An answer names the path and the caller's nonce, so that the load can tell its own answer from
-//! anybody else's.
+//! Each response echoes the path and the caller's nonce, so that the load generator detects responses
+//! delivered to the wrong caller.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,78 +22,78 @@
 
 use crate::ledger::{Execution, Ledger};
 use crate::model_text::reward_milli;
-use crate::registration::keep_registered;
+use crate::registration::run_registration;
 use crate::service::{read_json, serve, MAX_BODY_BYTES};
 
-/// Work that arrives this long after a server began to leave is noted in its ledger.
+/// Requests received later than this after a server started leaving are counted in its ledger.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 /// Flags of `app` and `scorer`.
 #[derive(Args)]
 pub struct ApplicationArguments {
-    /// Name in the list of machines.
+    /// Name in the machine list.
     #[arg(long)]
     name: String,
-    /// Pool in the settings.
+    /// Name of the pool in the settings.
     #[arg(long)]
     pool: String,
-    /// Where to listen.
+    /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The platform.
+    /// Address of the platform; without it the server does not register.
     #[arg(long)]
     platform: Option<SocketAddr>,
-    /// Zone.
+    /// Zone of the server.
     #[arg(long, default_value = "shawinigan")]
     zone: String,
-    /// Time to serve a request, in microseconds.
+    /// Service time of a request, in microseconds.
     #[arg(long, default_value_t = 0)]
     service_micros: u64,
-    /// Keep no ledger, for measuring speed.
+    /// Disable the ledger.
     #[arg(long)]
     no_ledger: bool,
 }
 
-/// What the process stands in for.
+/// Role of the emulated server.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
-    /// An application server.
+pub enum Role {
+    /// Application server.
     Serve,
-    /// A scorer of samples.
+    /// Scorer of samples.
     Score,
 }
 
-/// A sample to be scored.
+/// Body of `POST /score`.
 #[derive(Serialize, Deserialize)]
 pub struct ScoreRequest {
-    /// Its text.
+    /// Text of the sample.
     pub text: String,
 }
 
-/// The answer of an application server.
+/// Body of an application server's response.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ApplicationAnswer {
+pub struct ApplicationResponse {
     /// Path of the request.
     pub path: String,
-    /// Nonce of the caller.
+    /// Value of the request's [`NONCE_HEADER`].
     pub nonce: String,
     /// Number of bytes in the request's body.
     pub received: usize,
-    /// The server.
+    /// Name of the server.
     pub server: String,
 }
 
-/// Header with which a caller marks its request.
+/// Request header whose value the response echoes.
 pub const NONCE_HEADER: &str = "x-nonce";
 
 /// Faults of an application server, set by `POST /faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ApplicationFaults {
-    /// Its process ends when it begins a request with this path.
+    /// The process exits when it receives a request with this path.
     pub ends_on: Option<String>,
 }
 
-struct Server {
+struct ApplicationServer {
     name: String,
     faults: RefCell<ApplicationFaults>,
     incarnation: Incarnation,
@@ -105,10 +105,10 @@
     ledger: RefCell<Ledger>,
 }
 
-/// Runs the stand-in until the process is ended.
-pub fn run(arguments: ApplicationArguments, duty: Duty) -> anyhow::Result<()> {
+/// Runs the server until the process exits.
+pub fn run(arguments: ApplicationArguments, role: Role) -> anyhow::Result<()> {
     serve(arguments.listen, move |executor, address| {
-        let server = Rc::new(Server {
+        let server = Rc::new(ApplicationServer {
             name: arguments.name.clone(),
             faults: RefCell::default(),
             incarnation: Incarnation::starting_now(),
@@ -133,13 +133,13 @@
                 phase: Phase::Live,
             };
             let phase = server.phase.clone();
-            executor.spawn(keep_registered(platform, machine, phase)).detach();
+            executor.spawn(run_registration(platform, machine, phase)).detach();
         }
-        Ok(move |request| handle(server.clone(), request, duty))
+        Ok(move |request| handle(server.clone(), request, role))
     })
 }
 
-async fn handle(server: Rc<Server>, mut request: Request, duty: Duty) -> Response {
+async fn handle(server: Rc<ApplicationServer>, mut request: Request, role: Role) -> Response {
     match (request.method(), request.url().path()) {
         (Method::Get, "/ledger") => json_response(StatusCode::Ok, &*server.ledger.borrow()),
         (Method::Get, "/status") => json_response(StatusCode::Ok, &server.status()),
@@ -159,8 +159,8 @@
             log::info!("event=ended_by_fault path={path}");
             std::process::exit(1)
         }
-        _ if server.phase.get() != Phase::Live => server.refuse_leaving(),
-        (Method::Post, "/score") if duty == Duty::Score => {
+        _ if server.phase.get() != Phase::Live => server.reject_while_leaving(),
+        (Method::Post, "/score") if role == Role::Score => {
             match read_json::<ScoreRequest>(&mut request).await {
                 Ok(sample) => {
                     let reward = reward_milli(&sample.text);
@@ -173,7 +173,7 @@
     }
 }
 
-impl Server {
+impl ApplicationServer {
     fn status(&self) -> EngineStatus {
         EngineStatus {
             incarnation: self.incarnation,
@@ -185,9 +185,9 @@
         }
     }
 
-    fn refuse_leaving(&self) -> Response {
-        let late = |since: Instant| since.elapsed() > LEAVING_GRACE;
-        if self.leaving_since.get().is_some_and(late) {
+    fn reject_while_leaving(&self) -> Response {
+        let is_late = |since: Instant| since.elapsed() > LEAVING_GRACE;
+        if self.leaving_since.get().is_some_and(is_late) {
             self.ledger.borrow_mut().new_work_while_leaving += 1;
         }
         error_response(
@@ -206,7 +206,7 @@
         let attempt = header(ATTEMPT_HEADER);
         let nonce = header(NONCE_HEADER);
         let key = header("idempotency-key");
-        let execution = Execution {
+        let record = Execution {
             attempt: attempt.clone(),
             caller_request: header(CALLER_REQUEST_HEADER),
             idempotency_key: (!key.is_empty()).then_some(key),
@@ -217,16 +217,16 @@
             Err(error) => return error.response(),
         };
         if self.keeps_ledger {
-            self.ledger.borrow_mut().executions.push(execution);
+            self.ledger.borrow_mut().executions.push(record);
         }
         self.running.set(self.running.get() + 1);
         if !self.service_time.is_zero() {
             Timer::after(self.service_time).await;
         }
         self.running.set(self.running.get() - 1);
-        let answer =
-            ApplicationAnswer { path, nonce, received: body.len(), server: self.name.clone() };
-        let mut response = json_response(StatusCode::Ok, &answer);
+        let payload =
+            ApplicationResponse { path, nonce, received: body.len(), server: self.name.clone() };
+        let mut response = json_response(StatusCode::Ok, &payload);
         response.insert_header(ATTEMPT_HEADER, attempt.as_str());
         response
     }
--- a/crates/heronbend-emulator/src/engine/batch.rs
+++ b/crates/heronbend-emulator/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: each iteration draws one token for every running sequence.
+//! Continuous batching: each iteration generates one token for every running sequence.
 
 use heronbend::external::engine::{
     ChunkChoice, ChunkStamp, ExportResponse, GenerateChunk, GenerateRequest,
@@ -9,13 +9,13 @@
 
 use super::prefix_cache::PrefixCache;
 use crate::ledger::Run;
-use crate::model_text::{natural_length, prompt_digest, push_token};
+use crate::model_text::{prompt_digest, push_token, unlimited_length};
 
-/// Work of computing a prompt that is not in the cache, counted in sequences of one iteration.
-const PREFILL_WORK: usize = 8;
+/// Cost of prefilling an uncached prompt, as a number of sequences in one iteration.
+const PREFILL_COST: usize = 8;
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 
-/// One generation.
+/// A generation in progress.
 pub struct Sequence {
     attempt: String,
     caller_request: String,
@@ -23,16 +23,16 @@
     digest: u64,
     seed: u64,
     priority: i32,
-    first: u32,
+    start: u32,
     position: u32,
     end: u32,
     finish_reason: FinishReason,
-    has_kv: bool,
+    has_kv_cache: bool,
     sender: BodySender,
 }
 
 impl Sequence {
-    /// A generation that feeds `sender`.
+    /// Creates a generation that streams its chunks to `sender`.
     pub fn new(
         attempt: &str,
         caller_request: &str,
@@ -40,9 +40,9 @@
         sender: BodySender,
     ) -> Self {
         let digest = prompt_digest(&request.prompt);
-        let natural = natural_length(digest, request.seed);
+        let full_length = unlimited_length(digest, request.seed);
         let resumed = request.resume.as_ref();
-        let first = resumed.map_or(0, |resume| resume.tokens);
+        let start = resumed.map_or(0, |resume| resume.tokens);
         Self {
             attempt: attempt.to_owned(),
             caller_request: caller_request.to_owned(),
@@ -50,24 +50,24 @@
             digest,
             seed: request.seed,
             priority: request.priority,
-            first,
-            position: first,
-            end: natural.min(request.max_tokens).max(first),
-            finish_reason: if natural <= request.max_tokens {
+            start,
+            position: start,
+            end: full_length.min(request.max_tokens).max(start),
+            finish_reason: if full_length <= request.max_tokens {
                 FinishReason::Stop
             } else {
                 FinishReason::Length
             },
-            has_kv: resumed.is_some_and(|resume| resume.kv_handle.is_some()),
+            has_kv_cache: resumed.is_some_and(|resume| resume.kv_handle.is_some()),
             sender,
         }
     }
 
-    fn note(&self, finished: bool) -> Run {
+    fn to_run(&self, finished: bool) -> Run {
         Run {
             attempt: self.attempt.clone(),
             caller_request: self.caller_request.clone(),
-            tokens: self.position - self.first,
+            tokens: self.position - self.start,
             finished,
         }
     }
@@ -79,19 +79,19 @@
     Cancelled,
 }
 
-/// The running and waiting sequences of an engine.
+/// Running and waiting sequences of an engine.
 pub struct Batch {
     engine: String,
     incarnation: Incarnation,
     max_running: usize,
     running: Vec<Sequence>,
     waiting: Vec<Sequence>,
-    /// Prefix cache.
+    /// Prefix cache of the engine.
     pub cache: PrefixCache,
 }
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch with at most `max_running` running sequences.
     pub fn new(engine: String, incarnation: Incarnation, max_running: usize) -> Self {
         Self {
             engine,
@@ -103,22 +103,24 @@
         }
     }
 
-    /// Sequences that are drawn from.
+    /// Number of running sequences.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Sequences that wait for a place.
+    /// Number of sequences that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds a sequence.
+    /// Adds a waiting sequence.
     pub fn enqueue(&mut self, sequence: Sequence) {
         self.waiting.push(sequence);
     }
 
-    /// Draws one token a sequence from `version`; the work done, counted in sequences.
+    /// Generates one token per running sequence with `version` and appends ended generations to `runs`.
+    ///
+    /// Returns the cost of the iteration, in sequences.
     pub fn iterate(&mut self, version: u64, runs: &mut Vec<Run>) -> usize {
         let prefill = self.admit(runs);
         let mut index = 0;
@@ -127,28 +129,28 @@
                 advance(&mut self.running[index], version, &self.engine, self.incarnation);
             match advance {
                 Advance::Continue => index += 1,
-                Advance::Finished => runs.push(self.running.swap_remove(index).note(true)),
-                Advance::Cancelled => runs.push(self.running.swap_remove(index).note(false)),
+                Advance::Finished => runs.push(self.running.swap_remove(index).to_run(true)),
+                Advance::Cancelled => runs.push(self.running.swap_remove(index).to_run(false)),
             }
         }
         self.running.len() + prefill
     }
 
-    /// Ends a sequence and hands its KV cache out.
+    /// Returns a handle to the KV cache of a running sequence, or `None` if there is none for `attempt`.
     pub fn export(&mut self, attempt: &str) -> Option<ExportResponse> {
         let index = self.running.iter().position(|sequence| sequence.attempt == attempt)?;
         let sequence = &self.running[index];
         let kv_handle = format!("{}/{attempt}", self.engine);
         let tokens = sequence.position;
-        // The ledger notes the sequence when its reader closes the stream.
+        // The sequence is recorded in the ledger once the reader closes the stream.
         Some(ExportResponse { kv_handle, tokens })
     }
 
-    /// Breaks every sequence off.
+    /// Aborts all sequences and appends them to `runs`.
     pub fn abort_all(&mut self, runs: &mut Vec<Run>) {
         for sequence in self.running.drain(..).chain(self.waiting.drain(..)) {
-            sequence.sender.try_abort("the weights were torn");
-            runs.push(sequence.note(false));
+            sequence.sender.try_abort("the weight load failed");
+            runs.push(sequence.to_run(false));
         }
     }
 
@@ -158,11 +160,11 @@
         while self.running.len() < self.max_running && !self.waiting.is_empty() {
             let sequence = self.waiting.remove(0);
             if sequence.sender.is_client_disconnected() {
-                runs.push(sequence.note(false));
+                runs.push(sequence.to_run(false));
                 continue;
             }
-            if !self.cache.touch(&sequence.prompt) && !sequence.has_kv {
-                work += PREFILL_WORK;
+            if !self.cache.touch(&sequence.prompt) && !sequence.has_kv_cache {
+                work += PREFILL_COST;
             }
             self.running.push(sequence);
         }
--- a/crates/heronbend-emulator/src/engine/mod.rs
+++ b/crates/heronbend-emulator/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in for a model engine.
+//! Emulated model engine.
 //!
-//! It batches continuously, so that a token takes longer in a larger batch; keeps a limited prefix
-//! cache; runs lower priorities first; streams, resumes and cancels; exports KV cache; reports its
-//! load and cache events late; and takes fenced orders. Each chunk is stamped with the version that
-//! truly drew it.
+//! The engine batches continuously, so that an iteration takes longer with more sequences. It has a
+//! limited prefix cache, runs sequences with lower priority values first, streams, resumes and cancels
+//! generations, exports KV caches, reports its status and cache events with a delay, and executes
+//! fenced commands. Each chunk carries the weight version that generated it.
 
 mod batch;
 mod prefix_cache;
@@ -28,49 +28,49 @@
 
 use crate::application::LEAVING_GRACE;
 use crate::ledger::Ledger;
-use crate::registration::{get_json, keep_registered};
+use crate::registration::{get_json, run_registration};
 use crate::service::{bad_request, not_found, query_value, read_json, serve, Executor};
 use batch::{Batch, Sequence};
 
-/// How late the engine reports its load.
-const REPORT_LAG: Duration = Duration::from_millis(200);
-/// How long the swap of loaded weights takes.
+/// Delay of the reported status.
+const STATUS_DELAY: Duration = Duration::from_millis(200);
+/// Time to swap loaded weights in, during which no tokens are generated.
 const SWAP_TIME: Duration = Duration::from_millis(20);
 
 /// Flags of `engine`.
 #[derive(Args)]
 pub struct EngineArguments {
-    /// Name in the list of machines.
+    /// Name in the machine list.
     #[arg(long)]
     name: String,
-    /// Pool in the settings.
+    /// Name of the pool in the settings.
     #[arg(long)]
     pool: String,
-    /// Model that it serves.
+    /// Name of the served model.
     #[arg(long)]
     model: String,
-    /// Weight version that it starts with; none when left out.
+    /// Initial weight version; without it the engine starts without weights.
     #[arg(long)]
     version: Option<u64>,
-    /// Where to listen.
+    /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The platform.
+    /// Address of the platform; without it the engine does not register.
     #[arg(long)]
     platform: Option<SocketAddr>,
-    /// Zone.
+    /// Zone of the engine.
     #[arg(long, default_value = "shawinigan")]
     zone: String,
-    /// Most sequences in a batch.
+    /// Maximum number of running sequences.
     #[arg(long, default_value_t = 16)]
     max_batch: usize,
-    /// Most sequences that wait; beyond it the engine refuses.
+    /// Maximum number of waiting sequences; further requests are rejected.
     #[arg(long, default_value_t = 256)]
     max_waiting: usize,
-    /// Time of one decoding iteration, in microseconds, before what each sequence adds.
+    /// Base time of a decoding iteration, in microseconds.
     #[arg(long, default_value_t = 2000)]
     iteration_micros: u64,
-    /// Time that each sequence of the batch adds to an iteration, in microseconds.
+    /// Additional time per sequence in an iteration, in microseconds.
     #[arg(long, default_value_t = 100)]
     sequence_micros: u64,
 }
@@ -78,10 +78,10 @@
 /// Faults of an engine, set by `POST /faults`.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct EngineFaults {
-    /// This many of the next weight loads fail partway.
+    /// Number of following weight loads that fail during the swap.
     #[serde(default)]
     pub failing_loads: u32,
-    /// Iterations take this many times as long.
+    /// Factor by which iterations take longer.
     #[serde(default = "one")]
     pub slowdown: f64,
 }
@@ -111,7 +111,7 @@
     client: Client,
 }
 
-/// Runs the stand-in until the process is ended.
+/// Runs the engine until the process exits.
 pub fn run(arguments: EngineArguments) -> anyhow::Result<()> {
     serve(arguments.listen, move |executor, address| {
         let engine = Rc::new(Engine::new(arguments));
@@ -132,7 +132,7 @@
             json_response(StatusCode::Ok, &events)
         }
         (Method::Post, "/orders") => match read_json(&mut request).await {
-            Ok(order) => engine.obey(order).await,
+            Ok(command) => engine.execute_command(command).await,
             Err(response) => response,
         },
         (Method::Post, "/kv/export") => match read_json::<ExportRequest>(&mut request).await {
@@ -200,13 +200,13 @@
                 phase: Phase::Live,
             };
             let phase = self.phase.clone();
-            executor.spawn(keep_registered(platform, machine, phase)).detach();
+            executor.spawn(run_registration(platform, machine, phase)).detach();
         }
-        executor.spawn(self.clone().keep_reporting()).detach();
-        executor.spawn(self.keep_iterating()).detach();
+        executor.spawn(self.clone().run_status_reports()).detach();
+        executor.spawn(self.run_iterations()).detach();
     }
 
-    async fn keep_reporting(self: Rc<Self>) {
+    async fn run_status_reports(self: Rc<Self>) {
         loop {
             let status = {
                 let batch = self.batch.borrow();
@@ -219,14 +219,14 @@
                     version: self.version.get(),
                 }
             };
-            Timer::after(REPORT_LAG).await;
+            Timer::after(STATUS_DELAY).await;
             *self.reported.borrow_mut() = status;
         }
     }
 
-    async fn keep_iterating(self: Rc<Self>) {
+    async fn run_iterations(self: Rc<Self>) {
         let base = Duration::from_micros(self.arguments.iteration_micros);
-        let each = Duration::from_micros(self.arguments.sequence_micros);
+        let per_sequence = Duration::from_micros(self.arguments.sequence_micros);
         let mut due = Instant::now();
         loop {
             let version = self.version.get().filter(|_| !self.swapping.get());
@@ -234,7 +234,7 @@
                 let mut batch = self.batch.borrow_mut();
                 batch.iterate(version, &mut self.ledger.borrow_mut().runs)
             });
-            let time = (base + each * work as u32).mul_f64(self.faults.get().slowdown);
+            let time = (base + per_sequence * work as u32).mul_f64(self.faults.get().slowdown);
             due = (due + time).max(Instant::now());
             Timer::at(due).await;
         }
@@ -250,8 +250,8 @@
             Ok(generation) => generation,
             Err(response) => return response,
         };
-        if let Some(refusal) = self.refusal(&generation) {
-            return refusal;
+        if let Some(rejection) = self.rejection(&generation) {
+            return rejection;
         }
         let (sender, body) = stream_body();
         let sequence = Sequence::new(&attempt, &caller_request, &generation, sender);
@@ -263,43 +263,43 @@
         response
     }
 
-    fn refusal(&self, generation: &GenerateRequest) -> Option<Response> {
+    fn rejection(&self, generation: &GenerateRequest) -> Option<Response> {
         if self.phase.get() != Phase::Live {
-            let late = |since: Instant| since.elapsed() > LEAVING_GRACE;
-            if self.leaving_since.get().is_some_and(late) {
+            let is_late = |since: Instant| since.elapsed() > LEAVING_GRACE;
+            if self.leaving_since.get().is_some_and(is_late) {
                 self.ledger.borrow_mut().new_work_while_leaving += 1;
             }
-            return Some(refuse(StatusCode::ServiceUnavailable, CODE_LEAVING));
+            return Some(reject(StatusCode::ServiceUnavailable, CODE_LEAVING));
         }
         if generation.model != self.arguments.model {
-            return Some(refuse(StatusCode::NotFound, "unknown_model"));
+            return Some(reject(StatusCode::NotFound, "unknown_model"));
         }
         if !generation.stream {
             return Some(bad_request("stream_only", "this engine answers as a stream only"));
         }
         if self.version.get().is_none() {
-            return Some(refuse(StatusCode::ServiceUnavailable, "no_weights"));
+            return Some(reject(StatusCode::ServiceUnavailable, "no_weights"));
         }
         if self.batch.borrow().waiting() >= self.arguments.max_waiting {
-            return Some(refuse(StatusCode::TooManyRequests, CODE_FULL));
+            return Some(reject(StatusCode::TooManyRequests, CODE_FULL));
         }
         None
     }
 
-    async fn obey(&self, order: EngineCommand) -> Response {
-        if order.fence < self.fence.get() {
-            return refuse(StatusCode::Conflict, CODE_FENCED);
+    async fn execute_command(&self, command: EngineCommand) -> Response {
+        if command.fence < self.fence.get() {
+            return reject(StatusCode::Conflict, CODE_FENCED);
         }
-        self.fence.set(order.fence);
-        match order.action {
-            CommandAction::LoadVersion { version } => self.load(order.fence, version).await,
+        self.fence.set(command.fence);
+        match command.action {
+            CommandAction::LoadVersion { version } => self.load(command.fence, version).await,
             CommandAction::LoadAdapter { .. } | CommandAction::ChangeRole { .. } => {
-                self.order_done()
+                self.command_response()
             }
         }
     }
 
-    /// Fetches a version from the store and swaps it in, while generation goes on up to the swap.
+    /// Fetches a weight version from the store and swaps it in; generation pauses only for the swap.
     async fn load(&self, fence: u64, version: u64) -> Response {
         if let Some(platform) = self.arguments.platform {
             let path = format!("/weights/{}/{version}", self.arguments.model);
@@ -307,11 +307,11 @@
                 get_json(&self.client, platform, &path).await;
             if let Err(error) = fetched {
                 log::warn!("event=load_failed version={version} error={error:?}");
-                return refuse(StatusCode::BadGateway, "store_failed");
+                return reject(StatusCode::BadGateway, "store_failed");
             }
         }
         if fence < self.fence.get() {
-            return refuse(StatusCode::Conflict, CODE_FENCED);
+            return reject(StatusCode::Conflict, CODE_FENCED);
         }
         self.swapping.set(true);
         Timer::after(SWAP_TIME).await;
@@ -322,20 +322,20 @@
             self.faults.set(faults);
             self.version.set(None);
             self.batch.borrow_mut().abort_all(&mut self.ledger.borrow_mut().runs);
-            return refuse(StatusCode::InternalServerError, "swap_failed");
+            return reject(StatusCode::InternalServerError, "swap_failed");
         }
         self.version.set(Some(version));
         self.reported.borrow_mut().version = Some(version);
         log::info!("event=version_loaded version={version}");
-        self.order_done()
+        self.command_response()
     }
 
-    fn order_done(&self) -> Response {
+    fn command_response(&self) -> Response {
         let version = self.version.get();
         json_response(StatusCode::Ok, &CommandResponse { version })
     }
 }
 
-fn refuse(status: StatusCode, code: &str) -> Response {
+fn reject(status: StatusCode, code: &str) -> Response {
     error_response(status, code, code.replace('_', " "), Outcome::NotRun)
 }
--- a/crates/heronbend-emulator/src/engine/prefix_cache.rs
+++ b/crates/heronbend-emulator/src/engine/prefix_cache.rs
@@ -1,32 +1,32 @@
-//! A prefix cache of limited size, and its late events.
+//! Emulated LRU prefix cache whose events are delayed and partly lost.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 
-/// Prefixes that fit.
-const CAPACITY: usize = 64;
-/// Bytes of a prompt that count as its prefix.
+/// Maximum number of cached prefixes.
+const MAX_PREFIXES: usize = 64;
+/// Number of leading bytes of a prompt that form its prefix.
 const PREFIX_BYTES: usize = 64;
-/// How late an event shows.
-const EVENT_LAG: Duration = Duration::from_millis(500);
-/// One event in this many is never shown.
-const GAP_EVERY: u64 = 10;
-const KEPT_EVENTS: usize = 1000;
+/// Delay until an event becomes visible.
+const EVENT_DELAY: Duration = Duration::from_millis(500);
+/// One in this many events is lost.
+const LOST_EVENT_INTERVAL: u64 = 10;
+const MAX_EVENTS: usize = 1000;
 
-/// A change of the cache.
+/// An insertion into or an eviction from the cache.
 #[derive(Debug, Clone, Serialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps mean lost events.
+    /// Sequence number; gaps indicate lost events.
     pub sequence: u64,
     /// Digest of the prefix.
     pub prefix: u64,
-    /// Whether it came in or went out.
+    /// True for an insertion, false for an eviction.
     pub added: bool,
 }
 
-/// Least recently used prefixes go first.
+/// LRU cache of prompt prefixes and its recent events.
 #[derive(Default)]
 pub struct PrefixCache {
     recent: VecDeque<u64>,
@@ -35,41 +35,41 @@
 }
 
 impl PrefixCache {
-    /// Looks a prompt's prefix up and keeps it; whether it was there.
+    /// Marks a prompt's prefix as most recently used, inserting it if needed; returns whether it was cached.
     pub fn touch(&mut self, prompt: &str) -> bool {
         let bytes = prompt.as_bytes();
         let prefix = rapidhash::v3::rapidhash_v3(&bytes[..bytes.len().min(PREFIX_BYTES)]);
-        let position = self.recent.iter().position(|known| *known == prefix);
+        let position = self.recent.iter().position(|cached| *cached == prefix);
         match position {
             Some(position) => drop(self.recent.remove(position)),
-            None => self.note(prefix, true),
+            None => self.record_event(prefix, true),
         }
         self.recent.push_back(prefix);
-        if self.recent.len() > CAPACITY {
+        if self.recent.len() > MAX_PREFIXES {
             if let Some(evicted) = self.recent.pop_front() {
-                self.note(evicted, false);
+                self.record_event(evicted, false);
             }
         }
         position.is_some()
     }
 
-    /// Events after a sequence number that are old enough to show.
+    /// Returns the visible events after a sequence number.
     pub fn events_after(&self, sequence: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
-            .filter(|(since, event)| event.sequence > sequence && since.elapsed() >= EVENT_LAG)
+            .filter(|(since, event)| event.sequence > sequence && since.elapsed() >= EVENT_DELAY)
             .map(|(_, event)| event.clone())
             .collect()
     }
 
-    fn note(&mut self, prefix: u64, added: bool) {
+    fn record_event(&mut self, prefix: u64, added: bool) {
         self.next_sequence += 1;
-        if self.next_sequence.is_multiple_of(GAP_EVERY) {
+        if self.next_sequence.is_multiple_of(LOST_EVENT_INTERVAL) {
             return;
         }
         let event = CacheEvent { sequence: self.next_sequence, prefix, added };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/heronbend-emulator/src/ledger.rs
+++ b/crates/heronbend-emulator/src/ledger.rs
@@ -1,41 +1,41 @@
-//! What back ends note of everything they ran.
+//! Records of the requests that emulated backends executed.
 
 use serde::{Deserialize, Serialize};
 
-/// One execution at an application server.
+/// A request executed by an application server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Execution {
     /// Identifier of the attempt.
     pub attempt: String,
-    /// The caller's own identifier of the request.
+    /// Request identifier chosen by the caller.
     pub caller_request: String,
-    /// The idempotency key, where the request had one.
+    /// Idempotency key of the request, if any.
     pub idempotency_key: Option<String>,
 }
 
-/// One generation at an engine.
+/// A generation executed by an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Run {
     /// Identifier of the attempt.
     pub attempt: String,
-    /// The caller's own identifier of the request.
+    /// Request identifier chosen by the caller.
     pub caller_request: String,
-    /// Tokens that this engine drew.
+    /// Number of tokens that this engine generated.
     pub tokens: u32,
-    /// Whether it reached the end of the text.
+    /// Whether the generation reached the end of the text.
     pub finished: bool,
 }
 
-/// Answer of `GET /ledger`.
+/// Response to `GET /ledger`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Executions of application requests.
+    /// Executed application requests.
     #[serde(default)]
     pub executions: Vec<Execution>,
-    /// Generations.
+    /// Executed generations.
     #[serde(default)]
     pub runs: Vec<Run>,
-    /// Requests that came in more than a grace period after the back end had begun to leave.
+    /// Number of requests received later than a grace period after the backend started leaving.
     #[serde(default)]
     pub new_work_while_leaving: u64,
 }
--- a/crates/heronbend-emulator/src/load/generation.rs
+++ b/crates/heronbend-emulator/src/load/generation.rs
@@ -1,4 +1,4 @@
-//! Generation requests, and the check that a text is whole and true.
+//! Generation requests and validation of the generated texts.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use serde::Deserialize;
 use smol::Timer;
 
-use super::request::{copy_of, note_failure, Sender, TIMEOUT};
+use super::request::{copy_request, record_failure, Sender, TIMEOUT};
 use crate::registration::url;
-use crate::trainer::is_genuine;
+use crate::trainer::is_valid_sample;
 
 const TOKEN: &str = "municipality-token";
 const CALLER: &str = "municipality";
 const MAX_TOKENS: u32 = 256;
 
-/// A whole completion.
+/// Body of a non-streamed completion.
 #[derive(Deserialize)]
 struct Completion {
     choices: [Choice; 1],
@@ -32,7 +32,7 @@
     finish_reason: Option<FinishReason>,
 }
 
-/// One event of a streamed completion.
+/// Event of a streamed completion.
 #[derive(Deserialize)]
 struct Event {
     choices: [EventChoice; 1],
@@ -55,31 +55,31 @@
 }
 
 impl Sender {
-    /// A completion that is answered whole.
+    /// Sends a non-streamed completion request and records the outcome.
     pub async fn complete(&self, identifier: &str, daemon: SocketAddr) {
         let prompt = format!("bulletin {identifier}");
         let body = serde_json::json!({
             "model": self.model, "prompt": prompt, "max_tokens": MAX_TOKENS,
         });
-        let request = generation("/v1/completions", identifier, daemon);
-        let answer = self.fetch(daemon, &request, &body.to_string()).await;
-        let mut seen = self.observations.borrow_mut();
-        seen.requests += 1;
-        match &answer {
+        let request = generation_request("/v1/completions", identifier, daemon);
+        let response = self.fetch(daemon, &request, &body.to_string()).await;
+        let mut observations = self.observations.borrow_mut();
+        observations.requests += 1;
+        match &response {
             Ok((status, bytes)) if status.is_success() => {
                 let sample = serde_json::from_slice::<Completion>(bytes).ok().and_then(to_sample);
-                if sample.is_some_and(|sample| is_genuine(&sample, &prompt, MAX_TOKENS)) {
-                    seen.whole += 1;
+                if sample.is_some_and(|sample| is_valid_sample(&sample, &prompt, MAX_TOKENS)) {
+                    observations.complete += 1;
                 } else {
                     log::error!("event=wrong_completion request={identifier}");
-                    seen.wrong += 1;
+                    observations.invalid += 1;
                 }
             }
-            _ => note_failure(&mut seen, CALLER, identifier, &answer),
+            _ => record_failure(&mut observations, CALLER, identifier, &response),
         }
     }
 
-    /// A completion that is streamed.
+    /// Sends a streamed completion or chat completion request and records the outcome.
     pub async fn stream(&self, identifier: &str, daemon: SocketAddr, chat: bool) {
         let prompt = format!("bulletin {identifier}");
         let (path, body) = if chat {
@@ -94,28 +94,30 @@
             });
             ("/v1/completions", body)
         };
-        let drawn_from = if chat { format!("user: {prompt}\n") } else { prompt };
-        let request = generation(path, identifier, daemon);
+        let effective_prompt = if chat { format!("user: {prompt}\n") } else { prompt };
+        let request = generation_request(path, identifier, daemon);
         let outcome = self.read_stream(daemon, &request, &body.to_string()).await;
-        let mut seen = self.observations.borrow_mut();
-        seen.requests += 1;
+        let mut observations = self.observations.borrow_mut();
+        observations.requests += 1;
         match outcome {
-            Ok(Streamed::Sample(sample)) if is_genuine(&sample, &drawn_from, MAX_TOKENS) => {
-                seen.whole += 1;
+            Ok(StreamResult::Sample(sample))
+                if is_valid_sample(&sample, &effective_prompt, MAX_TOKENS) =>
+            {
+                observations.complete += 1;
             }
-            Ok(Streamed::Sample(_) | Streamed::Unreadable) => {
+            Ok(StreamResult::Sample(_) | StreamResult::Invalid) => {
                 log::error!("event=wrong_stream request={identifier}");
-                seen.wrong += 1;
+                observations.invalid += 1;
             }
-            Ok(Streamed::Refused(status, bytes)) => {
-                note_failure(&mut seen, CALLER, identifier, &Ok((status, bytes)));
+            Ok(StreamResult::Rejected(status, bytes)) => {
+                record_failure(&mut observations, CALLER, identifier, &Ok((status, bytes)));
             }
-            Err(error) => note_failure(&mut seen, CALLER, identifier, &Err(error)),
+            Err(error) => record_failure(&mut observations, CALLER, identifier, &Err(error)),
         }
     }
 
-    /// Sends a request; one that found no connection goes to the next daemon.
-    async fn begin(
+    /// Sends a request, trying the next daemon while no connection can be opened.
+    async fn open_stream(
         &self,
         daemon: SocketAddr,
         request: &Request,
@@ -123,7 +125,7 @@
     ) -> Result<ClientResponse, ClientError> {
         let mut result = Err(ClientError::Timeout);
         for address in std::iter::once(&daemon).chain(&self.daemons) {
-            let copy = copy_of(request, *address, body);
+            let copy = copy_request(request, *address, body);
             result = self.client.send(*address, copy, TIMEOUT).await;
             if !matches!(&result, Err(error) if error.is_not_sent()) {
                 break;
@@ -137,16 +139,16 @@
         daemon: SocketAddr,
         request: &Request,
         body: &str,
-    ) -> Result<Streamed, ClientError> {
-        let mut reply = self.begin(daemon, request, body).await?;
-        if !reply.status().is_success() {
-            let status = reply.status();
-            return Ok(Streamed::Refused(status, reply.read_full(1 << 22).await?));
+    ) -> Result<StreamResult, ClientError> {
+        let mut response = self.open_stream(daemon, request, body).await?;
+        if !response.status().is_success() {
+            let status = response.status();
+            return Ok(StreamResult::Rejected(status, response.read_full(1 << 22).await?));
         }
-        let reading = async {
+        let read_events = async {
             let mut sample = empty_sample();
             let mut finished = false;
-            let mut lines = reply.body_mut().lines();
+            let mut lines = response.body_mut().lines();
             while let Some(line) = lines.next().await {
                 let line = line.map_err(ClientError::Exchange)?;
                 let Some(data) = line.strip_prefix("data: ") else {
@@ -156,7 +158,7 @@
                     continue;
                 }
                 let Ok(event) = serde_json::from_str::<Event>(data) else {
-                    return Ok(broken_off(data));
+                    return Ok(parse_error_event(data));
                 };
                 let [choice] = event.choices;
                 sample.text += &choice.text;
@@ -164,36 +166,36 @@
                 sample.seed = event.seed;
                 finished |= choice.finish_reason.is_some();
                 if !append_segment(&mut sample.segments, event.segment) {
-                    return Ok(Streamed::Unreadable);
+                    return Ok(StreamResult::Invalid);
                 }
             }
-            Ok(if finished { Streamed::Sample(sample) } else { Streamed::Unreadable })
+            Ok(if finished { StreamResult::Sample(sample) } else { StreamResult::Invalid })
         };
-        let streamed = reading
+        let result = read_events
             .or(async {
                 Timer::after(TIMEOUT).await;
                 Err(ClientError::Timeout)
             })
             .await?;
-        reply.return_to_pool();
-        Ok(streamed)
+        response.return_to_pool();
+        Ok(result)
     }
 }
 
-enum Streamed {
+enum StreamResult {
     Sample(Sample),
-    Unreadable,
-    Refused(StatusCode, Vec<u8>),
+    Invalid,
+    Rejected(StatusCode, Vec<u8>),
 }
 
-/// A stream may end with an error as its last event: that is an answer, if not a whole one.
-fn broken_off(data: &str) -> Streamed {
+/// Interprets an event that is not a chunk: a stream may end with an error event.
+fn parse_error_event(data: &str) -> StreamResult {
     match serde_json::from_str::<ErrorBody>(data) {
         Ok(body) => {
             log::info!("event=stream_broken_off error={:?}", body.error);
-            Streamed::Refused(StatusCode::BadGateway, data.as_bytes().to_vec())
+            StreamResult::Rejected(StatusCode::BadGateway, data.as_bytes().to_vec())
         }
-        Err(_) => Streamed::Unreadable,
+        Err(_) => StreamResult::Invalid,
     }
 }
 
@@ -219,7 +221,7 @@
     })
 }
 
-fn generation(path: &str, identifier: &str, daemon: SocketAddr) -> Request {
+fn generation_request(path: &str, identifier: &str, daemon: SocketAddr) -> Request {
     let target = url(daemon, path).expect("a socket address makes a valid URL");
     let mut request = Request::new(Method::Post, target);
     request.insert_header("authorization", format!("Bearer {TOKEN}"));
--- a/crates/heronbend-emulator/src/load/mod.rs
+++ b/crates/heronbend-emulator/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Sends load, then checks every answer against the stand-ins' ledgers.
+//! Load generator: sends a mix of requests, then checks the responses against the backends' ledgers.
 
 mod generation;
+mod report;
 mod request;
-mod verdict;
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,69 +16,72 @@
 use rand::{Rng, SeedableRng};
 use smol::{LocalExecutor, Timer};
 
-use request::{Kind, Sender};
-use verdict::{Observations, Verdict};
+use report::{LoadReport, Observations};
+use request::{RequestKind, Sender};
 
 /// Flags of `load`.
 #[derive(Args, Clone)]
 pub struct LoadArguments {
-    /// Daemons to send to.
+    /// Addresses of the daemons to send to.
     #[arg(long, value_delimiter = ',', required = true)]
     daemons: Vec<SocketAddr>,
-    /// Application servers whose ledgers are read; the first is also sent to directly.
+    /// Addresses of the application servers whose ledgers are read; the first also gets direct requests
+    /// for latency comparison.
     #[arg(long, value_delimiter = ',')]
     apps: Vec<SocketAddr>,
-    /// Engines whose ledgers are read.
+    /// Addresses of the engines whose ledgers are read.
     #[arg(long, value_delimiter = ',')]
     engines: Vec<SocketAddr>,
-    /// Trainers whose reports are read.
+    /// Addresses of the trainers whose reports are read.
     #[arg(long, value_delimiter = ',')]
     trainers: Vec<SocketAddr>,
-    /// How long to send.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Requests a second, all workers together.
+    /// Total request rate, in requests per second.
     #[arg(long, default_value_t = 400)]
     rate: u64,
-    /// Requests under way at most.
+    /// Maximum number of requests in flight.
     #[arg(long, default_value_t = 32)]
     workers: u64,
-    /// Model to generate with.
+    /// Model that generation requests name.
     #[arg(long, default_value = "flood-bulletin")]
     model: String,
-    /// Seed of the mix.
+    /// Seed of the request mix.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Leave refusals that a fault explains out of the exit code.
+    /// Tolerate lost responses and unknown outcomes, for runs with injected faults.
     #[arg(long)]
     faults: bool,
-    /// Steps that the trainers must have received for success.
+    /// Minimum number of steps that the trainers must have received.
     #[arg(long, default_value_t = 1)]
     min_steps: u64,
-    /// Also write the verdict to this file.
+    /// File to write the JSON report to, in addition to standard output.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Sends the load and prints the verdict as one line of JSON; an error when a promise was broken.
+/// Sends the load and prints the report as one line of JSON.
+///
+/// Fails if the report contains a violation.
 pub fn run(arguments: &LoadArguments) -> anyhow::Result<()> {
     log::info!("event=load_started seed={} seconds={}", arguments.seed, arguments.seconds);
     let executor = Rc::new(LocalExecutor::new());
-    let verdict = smol::block_on(executor.run(send_and_judge(executor.clone(), arguments)))?;
-    let line = serde_json::to_string(&verdict)?;
+    let report = smol::block_on(executor.run(send_and_check(executor.clone(), arguments)))?;
+    let line = serde_json::to_string(&report)?;
     if let Some(path) = &arguments.json {
         std::fs::write(path, &line)?;
     }
     println!("{line}");
-    let broken = verdict.broken_promises(arguments.min_steps, arguments.faults);
-    anyhow::ensure!(broken.is_empty(), "broken promises: {}", broken.join(", "));
+    let violations = report.violations(arguments.min_steps, arguments.faults);
+    anyhow::ensure!(violations.is_empty(), "violations: {}", violations.join(", "));
     Ok(())
 }
 
-async fn send_and_judge(
+async fn send_and_check(
     executor: Rc<LocalExecutor<'static>>,
     arguments: &LoadArguments,
-) -> anyhow::Result<Verdict> {
+) -> anyhow::Result<LoadReport> {
     let observations = Rc::new(RefCell::new(Observations::default()));
     let end = Instant::now() + Duration::from_secs(arguments.seconds);
     let workers: Vec<_> = (0..arguments.workers)
@@ -89,14 +92,15 @@
                 observations: observations.clone(),
                 end,
             };
-            executor.spawn(worker.work())
+            executor.spawn(worker.run())
         })
         .collect();
     for worker in workers {
         worker.await;
     }
     let observations = observations.take();
-    Verdict::judge(&observations, &arguments.engines, &arguments.apps, &arguments.trainers).await
+    LoadReport::evaluate(&observations, &arguments.engines, &arguments.apps, &arguments.trainers)
+        .await
 }
 
 struct Worker {
@@ -107,8 +111,8 @@
 }
 
 impl Worker {
-    /// Sends at an even pace until the time is over; waits for its answers.
-    async fn work(self) {
+    /// Sends requests at a constant rate until `end`, waiting for each response.
+    async fn run(self) {
         let Self { arguments, number, observations, end } = self;
         let mut random = SmallRng::seed_from_u64(arguments.seed * 1000 + number);
         let sender = Sender {
@@ -118,18 +122,18 @@
             observations,
         };
         let interval = Duration::from_secs_f64(arguments.workers as f64 / arguments.rate as f64);
-        let mut due = Instant::now() + interval.mul_f64(random.random());
+        let mut send_at = Instant::now() + interval.mul_f64(random.random());
         let mut sent = 0_u64;
         while Instant::now() < end {
-            Timer::at(due).await;
-            due = (due + interval).max(Instant::now());
+            Timer::at(send_at).await;
+            send_at = (send_at + interval).max(Instant::now());
             sent += 1;
             let identifier = format!("load-{}-{number}-{sent}", arguments.seed);
-            let first = random.random_range(0..arguments.daemons.len());
-            let daemon = arguments.daemons[first];
-            let other = arguments.daemons[(first + 1) % arguments.daemons.len()];
+            let index = random.random_range(0..arguments.daemons.len());
+            let daemon = arguments.daemons[index];
+            let other = arguments.daemons[(index + 1) % arguments.daemons.len()];
             let direct = arguments.apps.first().copied();
-            let kind = Kind::draw(&mut random);
+            let kind = RequestKind::random(&mut random);
             sender.send(kind, &identifier, daemon, other, direct).await;
         }
     }
--- a/crates/heronbend-emulator/src/load/verdict.rs
+++ b/crates/heronbend-emulator/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What the load saw, held against what the stand-ins noted.
+//! Outcomes recorded by the load generator, and the report that compares them with the ledgers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,31 +11,31 @@
 use crate::registration::get_json;
 use crate::trainer::TrainerReport;
 
-/// Highest latency that is told apart, in microseconds.
+/// Maximum recorded latency, in microseconds; longer ones are clamped.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
-/// What the load saw.
+/// Outcomes of the requests sent by the load generator.
 pub struct Observations {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Whole and right answers.
-    pub whole: u64,
-    /// Requests without an answer.
+    /// Number of complete and valid responses.
+    pub complete: u64,
+    /// Number of requests without a response.
     pub lost: u64,
-    /// Whole answers that are not the request's own, or not true.
-    pub wrong: u64,
-    /// Requests refused as not run, by identifier.
-    pub refused_not_run: BTreeSet<String>,
-    /// Requests answered with an unknown outcome.
+    /// Number of invalid responses, such as one that belongs to another request.
+    pub invalid: u64,
+    /// Identifiers of the requests rejected with the outcome `not_run`.
+    pub rejected_not_run: BTreeSet<String>,
+    /// Number of error responses that do not rule out execution.
     pub unknown: u64,
-    /// Requests with a forbidden caller that were not answered 403.
-    pub forbidden_passed: u64,
-    /// Latency through a daemon, in microseconds.
-    pub through: Histogram<u64>,
-    /// Latency of the same request sent directly, in microseconds.
-    pub direct: Histogram<u64>,
-    /// Refusals by code.
-    pub codes: BTreeMap<String, u64>,
+    /// Number of unauthorized requests that succeeded.
+    pub forbidden_accepted: u64,
+    /// Latency of station readings through a daemon, in microseconds.
+    pub daemon_latency: Histogram<u64>,
+    /// Latency of station readings sent directly to a server, in microseconds.
+    pub direct_latency: Histogram<u64>,
+    /// Number of error responses by error code.
+    pub error_codes: BTreeMap<String, u64>,
 }
 
 impl Default for Observations {
@@ -43,22 +43,22 @@
         let histogram = || Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("valid bounds");
         Self {
             requests: 0,
-            whole: 0,
+            complete: 0,
             lost: 0,
-            wrong: 0,
-            refused_not_run: BTreeSet::new(),
+            invalid: 0,
+            rejected_not_run: BTreeSet::new(),
             unknown: 0,
-            forbidden_passed: 0,
-            through: histogram(),
-            direct: histogram(),
-            codes: BTreeMap::new(),
+            forbidden_accepted: 0,
+            daemon_latency: histogram(),
+            direct_latency: histogram(),
+            error_codes: BTreeMap::new(),
         }
     }
 }
 
-/// The last line of a run.
+/// Result of a load run, printed as JSON.
 #[derive(Debug, Serialize)]
-pub struct Verdict {
+pub struct LoadReport {
     requests: u64,
     answers_whole: u64,
     answers_lost: u64,
@@ -82,18 +82,20 @@
     refusal_codes: BTreeMap<String, u64>,
 }
 
-impl Verdict {
-    /// Reads the ledgers and compares.
-    pub async fn judge(
-        seen: &Observations,
+impl LoadReport {
+    /// Compares the observations with the ledgers of the backends and the reports of the trainers.
+    ///
+    /// A ledger that cannot be fetched is skipped; a missing trainer report is an error.
+    pub async fn evaluate(
+        observations: &Observations,
         engines: &[SocketAddr],
         apps: &[SocketAddr],
         trainers: &[SocketAddr],
     ) -> anyhow::Result<Self> {
         let client = Client::new();
-        let mut ran = BTreeSet::new();
-        let mut by_key: BTreeMap<String, u64> = BTreeMap::new();
-        let mut late_work = 0;
+        let mut executed = BTreeSet::new();
+        let mut executions_by_key: BTreeMap<String, u64> = BTreeMap::new();
+        let mut late_requests = 0;
         for address in engines.iter().chain(apps) {
             let ledger: Ledger = match get_json(&client, *address, "/ledger").await {
                 Ok(ledger) => ledger,
@@ -102,12 +104,12 @@
                     continue;
                 }
             };
-            late_work += ledger.new_work_while_leaving;
-            ran.extend(ledger.runs.into_iter().map(|run| run.caller_request));
+            late_requests += ledger.new_work_while_leaving;
+            executed.extend(ledger.runs.into_iter().map(|run| run.caller_request));
             for execution in ledger.executions {
-                ran.insert(execution.caller_request);
+                executed.insert(execution.caller_request);
                 if let Some(key) = execution.idempotency_key {
-                    *by_key.entry(key).or_default() += 1;
+                    *executions_by_key.entry(key).or_default() += 1;
                 }
             }
         }
@@ -117,20 +119,21 @@
             training.add(&report);
         }
         let added = |quantile: f64| {
-            let through = seen.through.value_at_quantile(quantile) as i64;
-            through - seen.direct.value_at_quantile(quantile) as i64
+            let daemon_latency = observations.daemon_latency.value_at_quantile(quantile) as i64;
+            daemon_latency - observations.direct_latency.value_at_quantile(quantile) as i64
         };
         Ok(Self {
-            requests: seen.requests,
-            answers_whole: seen.whole,
-            answers_lost: seen.lost,
-            answers_wrong: seen.wrong,
-            answers_unknown: seen.unknown,
-            refused_not_run: seen.refused_not_run.len() as u64,
-            refused_but_ran: seen.refused_not_run.intersection(&ran).count() as u64,
-            forbidden_passed: seen.forbidden_passed,
-            not_repeatable_ran_twice: by_key.values().filter(|count| **count > 1).count() as u64,
-            new_work_while_leaving: late_work,
+            requests: observations.requests,
+            answers_whole: observations.complete,
+            answers_lost: observations.lost,
+            answers_wrong: observations.invalid,
+            answers_unknown: observations.unknown,
+            refused_not_run: observations.rejected_not_run.len() as u64,
+            refused_but_ran: observations.rejected_not_run.intersection(&executed).count() as u64,
+            forbidden_passed: observations.forbidden_accepted,
+            not_repeatable_ran_twice: executions_by_key.values().filter(|count| **count > 1).count()
+                as u64,
+            new_work_while_leaving: late_requests,
             samples_delivered: training.samples,
             samples_doubled: training.doubled,
             samples_too_old: training.too_old,
@@ -141,13 +144,15 @@
             staleness_mean: training.staleness_sum as f64 / training.samples.max(1) as f64,
             latency_added_p50_us: added(0.5),
             latency_added_p99_us: added(0.99),
-            refusal_codes: seen.codes.clone(),
+            refusal_codes: observations.error_codes.clone(),
         })
     }
 
-    /// Names of the counts that must be 0 and are not. With faults a daemon may die with requests
-    /// in flight, so that lost and unknown answers are counted but are no broken promise.
-    pub fn broken_promises(&self, min_steps: u64, with_faults: bool) -> Vec<&'static str> {
+    /// Names of the violated guarantees.
+    ///
+    /// With injected faults a daemon may crash with requests in flight, so lost responses and unknown
+    /// outcomes are tolerated.
+    pub fn violations(&self, min_steps: u64, with_faults: bool) -> Vec<&'static str> {
         let counts = [
             ("answers_wrong", self.answers_wrong),
             ("refused_but_ran", self.refused_but_ran),
--- a/crates/heronbend-emulator/src/main.rs
+++ b/crates/heronbend-emulator/src/main.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for everything heronbend talks to, with load and experiments.
+//! Emulators of the services that heronbend talks to, a load generator, and experiments.
 //!
-//! Each subcommand is one process: the platform, a model engine, an application server, a scorer, a
-//! trainer, or the load. A process starts no other; `scripts/demo` puts them together.
+//! Each subcommand runs as one process and starts no other process; `scripts/demo` starts a complete
+//! system.
 
 mod application;
 mod engine;
@@ -28,23 +28,23 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Object API, list of machines and weight store.
+    /// Emulates the platform: object API, machine list and weight store.
     Platform(platform::PlatformArguments),
-    /// A model engine.
+    /// Emulates a model engine.
     Engine(engine::EngineArguments),
-    /// An application server.
+    /// Emulates an application server.
     App(application::ApplicationArguments),
-    /// A service that scores samples.
+    /// Emulates a service that scores samples.
     Scorer(application::ApplicationArguments),
-    /// A trainer.
+    /// Emulates a trainer.
     Trainer(trainer::TrainerArguments),
-    /// Sends load, then checks every answer against the stand-ins' ledgers.
+    /// Sends load, then checks the responses against the ledgers of the emulated backends.
     Load(load::LoadArguments),
-    /// Runs an experiment with arms in one process.
+    /// Runs an experiment that compares several arms with a baseline.
     Experiment(experiment::ExperimentArguments),
-    /// Runs a fleet of hollow daemons on virtual time and measures what control costs.
+    /// Simulates a fleet of daemons on virtual time and measures the cost of the control plane.
     Hollow(hollow::HollowArguments),
-    /// Prints free loopback ports, one a line.
+    /// Prints free loopback ports, one per line.
     Ports(ports::PortArguments),
 }
 
@@ -54,8 +54,8 @@
     match Arguments::parse().command {
         Command::Platform(arguments) => platform::run(&arguments),
         Command::Engine(arguments) => engine::run(arguments),
-        Command::App(arguments) => application::run(arguments, application::Duty::Serve),
-        Command::Scorer(arguments) => application::run(arguments, application::Duty::Score),
+        Command::App(arguments) => application::run(arguments, application::Role::Serve),
+        Command::Scorer(arguments) => application::run(arguments, application::Role::Score),
         Command::Trainer(arguments) => trainer::run(arguments),
         Command::Load(arguments) => load::run(&arguments),
         Command::Experiment(arguments) => experiment::run(&arguments),
--- a/crates/heronbend-emulator/src/platform.rs
+++ b/crates/heronbend-emulator/src/platform.rs
@@ -1,6 +1,6 @@
-//! Stand-in for the platform: object API, list of machines, weight store.
+//! Emulated platform: object API, machine list and weight store.
 //!
-//! `POST /control` makes it fail on purpose, see [`Fault`].
+//! `POST /control` injects a [`Fault`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,81 +18,81 @@
 
 use crate::service::{bad_request, not_found, query_value, read_json, serve};
 
-/// Longest time that a watch is held open.
+/// Maximum duration of a watch request.
 const MAX_WATCH: Duration = Duration::from_secs(20);
 const WATCH_POLL: Duration = Duration::from_millis(10);
-/// Time without a heartbeat after which a machine is dropped from the list.
+/// Time without a heartbeat after which a machine is removed from the list.
 const MACHINE_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Flags of `platform`.
 #[derive(Args)]
 pub struct PlatformArguments {
-    /// Where to listen.
+    /// Address to listen on.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// How long changes take to show in the list of machines, in milliseconds.
+    /// Delay until a change is visible in the machine list, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     list_lag_ms: u64,
-    /// Rate of the weight store, all readers together, in loads of one version a second.
+    /// Total throughput of the weight store, in version loads per second.
     #[arg(long, default_value_t = 50.0)]
     loads_per_second: f64,
 }
 
-/// A fault that the stand-in brings about until told otherwise.
+/// Injected fault, active until the next `POST /control`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "fault")]
 pub enum Fault {
-    /// Works.
+    /// No fault.
     #[default]
     None,
-    /// Answers every request with 503 and does nothing.
+    /// Rejects every request with status 503.
     Down,
-    /// Answers late.
+    /// Delays every response.
     Slow {
-        /// By this many milliseconds.
+        /// Delay in milliseconds.
         millis: u64,
     },
-    /// Shows an empty list of machines.
+    /// Returns an empty machine list.
     ForgetMachines,
-    /// Carries writes out, and closes the connection without an answer.
+    /// Applies writes but truncates their responses.
     LoseAnswers,
 }
 
-struct Listed {
+struct RegisteredMachine {
     machine: Machine,
-    seen: Instant,
+    last_heartbeat: Instant,
 }
 
 #[derive(Default)]
 struct State {
     fault: Fault,
     objects: BTreeMap<String, Versioned<Value>>,
-    machines: BTreeMap<String, Listed>,
-    /// What the list showed before, newest last, for its lag.
-    shown: Vec<(Instant, MachineList)>,
+    machines: BTreeMap<String, RegisteredMachine>,
+    /// Past machine lists with their times, newest last.
+    list_history: Vec<(Instant, MachineList)>,
     weights: BTreeMap<String, BTreeSet<u64>>,
     store_free_at: Option<Instant>,
     object_reads: u64,
 }
 
-type Shared = Rc<RefCell<State>>;
+type SharedState = Rc<RefCell<State>>;
 
-/// Runs the stand-in until the process is ended.
+/// Runs the platform until the process exits.
 pub fn run(arguments: &PlatformArguments) -> anyhow::Result<()> {
-    let lag = Duration::from_millis(arguments.list_lag_ms);
+    let list_lag = Duration::from_millis(arguments.list_lag_ms);
     let load_time = Duration::from_secs_f64(1.0 / arguments.loads_per_second);
     serve(arguments.listen, |executor, address| {
         log::info!("event=started role=platform address={address}");
-        let state = Shared::default();
-        executor.spawn(refresh_list(state.clone())).detach();
-        Ok(move |request| handle(state.clone(), request, lag, load_time))
+        let state = SharedState::default();
+        executor.spawn(record_list_history(state.clone())).detach();
+        Ok(move |request| handle(state.clone(), request, list_lag, load_time))
     })
 }
 
 async fn handle(
-    state: Shared,
+    state: SharedState,
     mut request: Request,
-    lag: Duration,
+    list_lag: Duration,
     load_time: Duration,
 ) -> Response {
     let path = request.url().path().to_owned();
@@ -113,28 +113,28 @@
         Fault::None | Fault::LoseAnswers | Fault::ForgetMachines => {}
     }
     let is_write = request.method() != Method::Get;
-    let response = dispatch(&state, request, &path, lag, load_time).await;
+    let response = dispatch(&state, request, &path, list_lag, load_time).await;
     if fault == Fault::LoseAnswers && is_write {
-        return lost_answer();
+        return truncated_response();
     }
     response
 }
 
 async fn dispatch(
-    state: &Shared,
+    state: &SharedState,
     mut request: Request,
     path: &str,
-    lag: Duration,
+    list_lag: Duration,
     load_time: Duration,
 ) -> Response {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method(), segments.as_slice()) {
         (Method::Get, ["objects", name]) => read_object(state, &request, name).await,
         (Method::Put, ["objects", name]) => write_object(state, &mut request, name).await,
-        (Method::Get, ["machines"]) => show_list(state, lag),
-        (Method::Put, ["machines", name]) => register(state, &mut request, name).await,
-        (Method::Get, ["weights", model]) => show_versions(state, model),
-        (Method::Put, ["weights", model, version]) => publish(state, model, version),
+        (Method::Get, ["machines"]) => get_machines(state, list_lag),
+        (Method::Put, ["machines", name]) => register_machine(state, &mut request, name).await,
+        (Method::Get, ["weights", model]) => get_versions(state, model),
+        (Method::Put, ["weights", model, version]) => publish_version(state, model, version),
         (Method::Get, ["weights", model, version]) => {
             load_version(state, model, version, load_time).await
         }
@@ -155,17 +155,18 @@
     )
 }
 
-/// An answer that breaks off, so that the client cannot read it.
-fn lost_answer() -> Response {
+/// Builds a response whose body is aborted, so that the client cannot read it.
+fn truncated_response() -> Response {
     let (sender, body) = heronbend_http::stream_body();
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(body);
-    smol::block_on(sender.abort("the answer is lost on purpose"));
+    smol::block_on(sender.abort("injected fault: response lost"));
     response
 }
 
-async fn read_object(state: &Shared, request: &Request, name: &str) -> Response {
-    let known: Option<u64> = query_value(request, "after").and_then(|text| text.parse().ok());
+async fn read_object(state: &SharedState, request: &Request, name: &str) -> Response {
+    let known_version: Option<u64> =
+        query_value(request, "after").and_then(|text| text.parse().ok());
     let deadline = Instant::now() + MAX_WATCH;
     loop {
         {
@@ -173,11 +174,11 @@
             if state.fault == Fault::Down {
                 return unavailable();
             }
-            state.object_reads += u64::from(known.is_none());
+            state.object_reads += u64::from(known_version.is_none());
             let current = state.objects.get(name);
-            match (current, known) {
+            match (current, known_version) {
                 (Some(object), None) => return json_response(StatusCode::Ok, object),
-                (Some(object), Some(known)) if object.version > known => {
+                (Some(object), Some(known_version)) if object.version > known_version => {
                     return json_response(StatusCode::Ok, object);
                 }
                 (None, None) => return not_found(name),
@@ -191,8 +192,8 @@
     }
 }
 
-/// Compare-and-swap: the query names the version that is to be replaced.
-async fn write_object(state: &Shared, request: &mut Request, name: &str) -> Response {
+/// Replaces an object if its version is the one in the query; 0 creates the object.
+async fn write_object(state: &SharedState, request: &mut Request, name: &str) -> Response {
     let expected: Option<u64> = query_value(request, "version").and_then(|text| text.parse().ok());
     let Some(expected) = expected else {
         return bad_request("version_missing", "the query must name the version to replace");
@@ -212,7 +213,7 @@
     json_response(StatusCode::Ok, &serde_json::json!({ "version": version }))
 }
 
-async fn register(state: &Shared, request: &mut Request, name: &str) -> Response {
+async fn register_machine(state: &SharedState, request: &mut Request, name: &str) -> Response {
     let machine: Machine = match read_json(request).await {
         Ok(machine) => machine,
         Err(response) => return response,
@@ -221,53 +222,53 @@
         return bad_request("name_mismatch", "path and body name different machines");
     }
     let mut state = state.borrow_mut();
-    let newest = state.machines.get(name).map(|listed| listed.machine.incarnation);
+    let newest = state.machines.get(name).map(|registered| registered.machine.incarnation);
     if newest.is_none_or(|newest| machine.incarnation >= newest) {
-        let seen = Instant::now();
-        state.machines.insert(name.to_owned(), Listed { machine, seen });
+        let last_heartbeat = Instant::now();
+        state.machines.insert(name.to_owned(), RegisteredMachine { machine, last_heartbeat });
     }
     Response::new(StatusCode::NoContent)
 }
 
-/// Notes the list as it is each 100 ms, so that it can be shown with a lag.
-async fn refresh_list(state: Shared) {
+/// Records the machine list every 100 ms, so that requests can get a delayed version of it.
+async fn record_list_history(state: SharedState) {
     loop {
         {
             let now = Instant::now();
             let mut state = state.borrow_mut();
-            state.machines.retain(|_, listed| listed.seen + MACHINE_EXPIRY > now);
+            state.machines.retain(|_, registered| registered.last_heartbeat + MACHINE_EXPIRY > now);
             let machines: Vec<Machine> =
-                state.machines.values().map(|listed| listed.machine.clone()).collect();
-            let last = state.shown.last().map(|(_, list)| list);
+                state.machines.values().map(|registered| registered.machine.clone()).collect();
+            let last = state.list_history.last().map(|(_, list)| list);
             if last.is_none_or(|list| list.machines != machines) {
                 let version = last.map_or(0, |list| list.version) + 1;
-                state.shown.push((now, MachineList { version, machines }));
+                state.list_history.push((now, MachineList { version, machines }));
             }
-            let surplus = state.shown.len().saturating_sub(1000);
-            state.shown.drain(..surplus);
+            let surplus = state.list_history.len().saturating_sub(1000);
+            state.list_history.drain(..surplus);
         }
         Timer::after(Duration::from_millis(100)).await;
     }
 }
 
-fn show_list(state: &Shared, lag: Duration) -> Response {
+fn get_machines(state: &SharedState, list_lag: Duration) -> Response {
     let state = state.borrow();
     if state.fault == Fault::ForgetMachines {
         return json_response(StatusCode::Ok, &MachineList::default());
     }
     let now = Instant::now();
-    let old_enough = state.shown.iter().rev().find(|(since, _)| *since + lag <= now);
+    let old_enough = state.list_history.iter().rev().find(|(since, _)| *since + list_lag <= now);
     let list = old_enough.map(|(_, list)| list.clone()).unwrap_or_default();
     json_response(StatusCode::Ok, &list)
 }
 
-fn show_versions(state: &Shared, model: &str) -> Response {
+fn get_versions(state: &SharedState, model: &str) -> Response {
     let state = state.borrow();
     let latest = state.weights.get(model).and_then(|versions| versions.last().copied());
     json_response(StatusCode::Ok, &StoredVersions { latest })
 }
 
-fn publish(state: &Shared, model: &str, version: &str) -> Response {
+fn publish_version(state: &SharedState, model: &str, version: &str) -> Response {
     let Ok(version) = version.parse() else {
         return bad_request("bad_version", "a version is a number");
     };
@@ -277,14 +278,19 @@
     Response::new(StatusCode::NoContent)
 }
 
-/// Hands a version out; loads queue up behind each other at the store's rate.
-async fn load_version(state: &Shared, model: &str, version: &str, load_time: Duration) -> Response {
+/// Responds once the version is loaded; loads are serialized at the throughput of the store.
+async fn load_version(
+    state: &SharedState,
+    model: &str,
+    version: &str,
+    load_time: Duration,
+) -> Response {
     let ready_at = {
         let mut state = state.borrow_mut();
-        let known = version.parse().is_ok_and(|version: u64| {
+        let is_published = version.parse().is_ok_and(|version: u64| {
             state.weights.get(model).is_some_and(|versions| versions.contains(&version))
         });
-        if !known {
+        if !is_published {
             return not_found(&format!("{model} {version}"));
         }
         let now = Instant::now();
--- a/crates/heronbend-emulator/src/ports.rs
+++ b/crates/heronbend-emulator/src/ports.rs
@@ -1,4 +1,4 @@
-//! Free loopback ports, for scripts that start several processes.
+//! The `ports` command: finds free loopback ports for scripts that start several processes.
 
 use std::net::TcpListener;
 
@@ -7,11 +7,11 @@
 /// Flags of `ports`.
 #[derive(Args)]
 pub struct PortArguments {
-    /// How many.
+    /// Number of ports.
     count: usize,
 }
 
-/// Prints ports that were free at the same moment.
+/// Prints distinct unused ports, one per line.
 pub fn run(arguments: &PortArguments) -> anyhow::Result<()> {
     let listeners = (0..arguments.count)
         .map(|_| TcpListener::bind(("127.0.0.1", 0)))
--- a/crates/heronbend-emulator/src/service.rs
+++ b/crates/heronbend-emulator/src/service.rs
@@ -1,4 +1,4 @@
-//! Running one stand-in: an HTTP listener on one thread.
+//! Single-threaded HTTP server and response helpers shared by the emulated services.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,14 +11,17 @@
 use smol::net::TcpListener;
 use smol::LocalExecutor;
 
-/// Largest body that a stand-in reads, in bytes.
+/// Maximum request body size in bytes.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An executor shared by the tasks of one thread.
+/// Executor shared by the tasks of one thread.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Serves requests until the process is ended. `start` runs first, on the same thread.
+/// Serves requests on `listen` until the process exits.
+///
+/// `start` gets the executor and the bound address and returns the request handler. Fails if the
+/// address cannot be bound.
 pub fn serve<H, F>(
     listen: SocketAddr,
     start: impl FnOnce(&Executor, SocketAddr) -> anyhow::Result<H>,
@@ -38,25 +41,25 @@
     }))
 }
 
-/// Reads a JSON body, or gives the answer that says why it could not be read.
+/// Reads a JSON body; on failure returns the error response to send.
 pub async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Response> {
     let bytes =
         read_body(request, MAX_BODY_BYTES, BODY_TIMEOUT).await.map_err(|error| error.response())?;
     serde_json::from_slice(&bytes).map_err(|error| bad_request("invalid_json", &error.to_string()))
 }
 
-/// A refusal with status 400.
+/// Builds an error response with status 400.
 pub fn bad_request(code: &str, message: &str) -> Response {
     error_response(StatusCode::BadRequest, code, message, Outcome::NotRun)
 }
 
-/// A refusal with status 404.
+/// Builds an error response with status 404.
 pub fn not_found(path: &str) -> Response {
     let message = format!("there is nothing at {path}");
     error_response(StatusCode::NotFound, "not_found", message, Outcome::NotRun)
 }
 
-/// A query parameter of a request.
+/// Returns the first value of a query parameter.
 pub fn query_value(request: &Request, name: &str) -> Option<String> {
     request.url().query_pairs().find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
--- a/crates/heronbend-emulator/src/trainer.rs
+++ b/crates/heronbend-emulator/src/trainer.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a trainer: posts steps, fetches numbered batches, checks every sample, publishes
+//! Emulated trainer: posts steps, fetches numbered batches, validates every sample and publishes
 //! weight versions.
 
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-use crate::model_text::{natural_length, prompt_digest, reward_milli, tokens};
+use crate::model_text::{prompt_digest, reward_milli, tokens, unlimited_length};
 use crate::registration::{put_json, url};
 use crate::service::{not_found, serve};
 
@@ -26,74 +26,73 @@
 /// Flags of `trainer`.
 #[derive(Args)]
 pub struct TrainerArguments {
-    /// Name in the settings.
+    /// Name of the trainer in the settings.
     #[arg(long)]
     name: String,
-    /// Model that it trains.
+    /// Name of the trained model.
     #[arg(long)]
     model: String,
-    /// Bearer token.
+    /// Bearer token for the daemons.
     #[arg(long)]
     token: String,
-    /// Daemons, tried in turn.
+    /// Addresses of the daemons; the trainer switches to the next one on failure.
     #[arg(long, value_delimiter = ',', required = true)]
     daemons: Vec<SocketAddr>,
-    /// The platform.
+    /// Address of the platform.
     #[arg(long)]
     platform: SocketAddr,
-    /// Where to answer `GET /report`.
+    /// Address on which `GET /report` is served.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Prompts a step.
+    /// Number of prompts per step.
     #[arg(long, default_value_t = 16)]
     prompts: u32,
-    /// Samples a prompt.
+    /// Number of samples per prompt.
     #[arg(long, default_value_t = 4)]
     samples: u32,
-    /// Most tokens of a sample.
+    /// Maximum number of tokens per sample.
     #[arg(long, default_value_t = 512)]
     max_tokens: u32,
-    /// Time to train on one step, in milliseconds.
+    /// Training time per step, in milliseconds.
     #[arg(long, default_value_t = 300)]
     train_ms: u64,
-    /// How many versions a sample may be behind; with 1 or more the next step is drawn while this
-    /// one is trained on.
+    /// Maximum staleness of a sample, in versions; from 1 on, the next step is generated during training.
     #[arg(long, default_value_t = 1)]
     bound: u64,
-    /// Stop after this many steps; 0 goes on.
+    /// Number of the last step; 0 means no limit.
     #[arg(long, default_value_t = 0)]
     steps: u64,
-    /// Where to go on after a restart: the step to post next.
+    /// Number of the first step to post.
     #[arg(long, default_value_t = 1)]
     first_step: u64,
 }
 
-/// What the trainer received, by its own count.
+/// Statistics of the received samples, served at `GET /report`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TrainerReport {
-    /// Steps received whole.
+    /// Number of completed steps.
     pub steps: u64,
-    /// Samples received.
+    /// Number of received samples.
     pub samples: u64,
-    /// Samples of a slot that was received before.
+    /// Number of samples whose slot had already been received in the step.
     pub doubled: u64,
-    /// Samples with a segment older than the fetch's floor.
+    /// Number of samples with a segment older than the requested floor.
     pub too_old: u64,
-    /// Samples whose text is not what their versions produce.
+    /// Number of samples whose text does not match the versions of their segments.
     pub wrong_version: u64,
-    /// Samples whose reward is not the scorer's.
+    /// Number of samples whose reward differs from the scorer's.
     pub wrong_reward: u64,
-    /// Sum over samples of versions behind the trainer's own.
+    /// Sum of the samples' staleness, in versions.
     pub staleness_sum: u64,
-    /// Tokens received.
+    /// Number of received tokens.
     pub tokens: u64,
     /// Time spent waiting for samples, in milliseconds.
     pub idle_ms: u64,
-    /// Time since the first step was posted, in milliseconds.
+    /// Time from the trainer's start to its last completed step, in milliseconds.
     pub total_ms: u64,
-    /// The newest version.
+    /// Newest published weight version.
     pub version: u64,
-    /// The step being received.
+    /// Number of the step being received.
     pub step: u64,
 }
 
@@ -101,12 +100,12 @@
     arguments: TrainerArguments,
     client: Client,
     report: Rc<RefCell<TrainerReport>>,
-    daemon: usize,
+    current_daemon: usize,
     idle: Duration,
-    seen: BTreeSet<SlotIndex>,
+    received_slots: BTreeSet<SlotIndex>,
 }
 
-/// Runs the stand-in until the process is ended.
+/// Runs the trainer until the process exits.
 pub fn run(arguments: TrainerArguments) -> anyhow::Result<()> {
     serve(arguments.listen, move |executor, address| {
         log::info!("event=started role=trainer name={} address={address}", arguments.name);
@@ -115,11 +114,11 @@
             arguments,
             client: Client::new(),
             report: report.clone(),
-            daemon: 0,
+            current_daemon: 0,
             idle: Duration::ZERO,
-            seen: BTreeSet::new(),
+            received_slots: BTreeSet::new(),
         };
-        executor.spawn(trainer.train()).detach();
+        executor.spawn(trainer.run()).detach();
         Ok(move |request: Request| {
             let report = report.clone();
             async move {
@@ -133,7 +132,7 @@
 }
 
 impl Trainer {
-    async fn train(mut self) {
+    async fn run(mut self) {
         let start = Instant::now();
         let mut version = self.arguments.first_step;
         let mut step = self.arguments.first_step;
@@ -142,8 +141,8 @@
         loop {
             self.receive_step(step, version).await;
             let last_step = self.arguments.steps > 0 && step >= self.arguments.steps;
-            let draws_ahead = self.arguments.bound > 0 && !last_step;
-            if draws_ahead {
+            let generates_ahead = self.arguments.bound > 0 && !last_step;
+            if generates_ahead {
                 self.post_step(step + 1, version).await;
             }
             Timer::after(Duration::from_millis(self.arguments.train_ms)).await;
@@ -160,7 +159,7 @@
                 return;
             }
             step += 1;
-            if !draws_ahead {
+            if !generates_ahead {
                 self.post_step(step, version).await;
             }
         }
@@ -180,7 +179,7 @@
         }
     }
 
-    /// Posts a step until some daemon takes it.
+    /// Posts a step until a daemon accepts it.
     async fn post_step(&mut self, step: u64, version: u64) {
         let body = StepRequest {
             prompts: self.prompts(step),
@@ -201,7 +200,7 @@
     async fn receive_step(&mut self, step: u64, version: u64) {
         let floor = version.saturating_sub(self.arguments.bound);
         let mut number = 0;
-        self.seen.clear();
+        self.received_slots.clear();
         self.report.borrow_mut().step = step;
         loop {
             let path = format!(
@@ -209,27 +208,27 @@
                 self.arguments.name
             );
             let waiting_since = Instant::now();
-            let answer = self.send(Method::Get, &path, Vec::new()).await;
+            let response = self.send(Method::Get, &path, Vec::new()).await;
             self.idle += waiting_since.elapsed();
-            match answer {
+            match response {
                 Some((StatusCode::Ok, bytes)) => {
                     let Ok(batch) = serde_json::from_slice::<Batch>(&bytes) else {
                         log::error!("event=unreadable_batch step={step} number={number}");
                         continue;
                     };
-                    self.take_batch(step, version, floor, &batch);
+                    self.check_batch(step, version, floor, &batch);
                     number += 1;
                     if batch.last {
                         break;
                     }
                 }
                 Some((StatusCode::NoContent, _)) => {}
-                // The step's record was lost and begins anew: what was received of it is discarded.
-                Some((StatusCode::Conflict, bytes)) if is_begun_anew(&bytes) => {
+                // The daemons lost the step's state and restarted it: discards the received batches.
+                Some((StatusCode::Conflict, bytes)) if is_step_restarted(&bytes) => {
                     number = 0;
-                    self.seen.clear();
+                    self.received_slots.clear();
                 }
-                // The daemon does not coordinate the step, or is gone: hand it the step again.
+                // The daemon does not coordinate the step or has failed: posts the step to the next one.
                 _ => {
                     self.try_next_daemon().await;
                     self.post_step(step, version).await;
@@ -249,20 +248,20 @@
         }
     }
 
-    fn take_batch(&mut self, step: u64, version: u64, floor: u64, batch: &Batch) {
+    fn check_batch(&mut self, step: u64, version: u64, floor: u64, batch: &Batch) {
         let prompts = self.prompts(step);
         let mut report = self.report.borrow_mut();
         for sample in &batch.samples {
             report.samples += 1;
             report.tokens += u64::from(sample.tokens());
-            report.doubled += u64::from(!self.seen.insert(sample.slot));
+            report.doubled += u64::from(!self.received_slots.insert(sample.slot));
             report.too_old += u64::from(!sample.is_fresh(floor));
             let oldest = sample.oldest_version().unwrap_or(0);
             report.staleness_sum += version.saturating_sub(oldest);
             let prompt = prompts.get((sample.slot.0 / self.arguments.samples) as usize);
-            let genuine =
-                prompt.is_some_and(|prompt| is_genuine(sample, prompt, self.arguments.max_tokens));
-            report.wrong_version += u64::from(!genuine);
+            let valid = prompt
+                .is_some_and(|prompt| is_valid_sample(sample, prompt, self.arguments.max_tokens));
+            report.wrong_version += u64::from(!valid);
             report.wrong_reward += u64::from(sample.reward_milli != reward_milli(&sample.text));
         }
     }
@@ -273,12 +272,12 @@
         path: &str,
         body: Vec<u8>,
     ) -> Option<(StatusCode, Vec<u8>)> {
-        let address = self.arguments.daemons[self.daemon];
+        let address = self.arguments.daemons[self.current_daemon];
         let mut request = Request::new(method, url(address, path).ok()?);
         request.insert_header("authorization", format!("Bearer {}", self.arguments.token));
         request.set_body(body);
-        let answer = self.client.fetch(address, request, FETCH_TIMEOUT, MAX_BATCH_BYTES).await;
-        match answer {
+        let response = self.client.fetch(address, request, FETCH_TIMEOUT, MAX_BATCH_BYTES).await;
+        match response {
             Ok((status, bytes)) => {
                 if !status.is_success() {
                     let text = String::from_utf8_lossy(&bytes);
@@ -294,18 +293,18 @@
     }
 
     async fn try_next_daemon(&mut self) {
-        self.daemon = (self.daemon + 1) % self.arguments.daemons.len();
+        self.current_daemon = (self.current_daemon + 1) % self.arguments.daemons.len();
         Timer::after(RETRY_DELAY).await;
     }
 }
 
-/// Whether a refusal says that batches are to be fetched from the first again.
-fn is_begun_anew(body: &[u8]) -> bool {
+/// Whether an error response means that the step restarts from its first batch.
+fn is_step_restarted(body: &[u8]) -> bool {
     serde_json::from_slice::<ErrorBody>(body).is_ok_and(|body| body.error.code == "step_refused")
 }
 
-/// Whether a sample's text is just what its versions produce, and whole.
-pub fn is_genuine(sample: &Sample, prompt: &str, max_tokens: u32) -> bool {
+/// Whether a sample's text is complete and matches the versions of its segments.
+pub fn is_valid_sample(sample: &Sample, prompt: &str, max_tokens: u32) -> bool {
     let digest = prompt_digest(prompt);
     let mut text = String::new();
     let mut next = 0;
@@ -316,5 +315,5 @@
         next = segment.end;
         text += &tokens(digest, sample.seed, segment.version, segment.start, segment.end);
     }
-    next == natural_length(digest, sample.seed).min(max_tokens) && text == sample.text
+    next == unlimited_length(digest, sample.seed).min(max_tokens) && text == sample.text
 }
