--- a/crates/heronbend-emulator/src/experiment/mod.rs
+++ b/crates/heronbend-emulator/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Experiments: arms against a named baseline, in one run.
+//! Experiments that compare several arms with a baseline.
 //!
-//! On virtual time where the subject is a state machine, so that one seed gives the same figures
-//! always; against real processes where it is I/O.
+//! Experiments on state machines run on virtual time and are deterministic for a seed; experiments on
+//! I/O run against real processes.
 
 mod overhead;
 mod overload;
@@ -17,50 +17,52 @@
 
 use report::Report;
 
-/// Experiments and the question that each answers.
+/// Names of the experiments and the question that each one answers.
 const EXPERIMENTS: [(&str, &str); 5] = [
-    ("rollout", "How much do order, hedging, early draw and migration cut trainer idle time and staleness?"),
-    ("routing", "Which choice of back end keeps waiting low when reports lag and back ends misbehave?"),
-    ("overload", "Which admission keeps goodput and latency at 2 and 5 times capacity?"),
-    ("weights", "How long until all servers have a version, and how many serve meanwhile?"),
-    ("overhead", "What do daemons add to latency, and what does a streamed token cost? (needs processes: scripts/overhead)"),
+    ("rollout", "How much do sampling order, hedging, early generation and migration reduce trainer idle time and staleness?"),
+    ("routing", "Which load balancing strategy keeps latency low when load reports lag and backends misbehave?"),
+    ("overload", "Which admission policy preserves goodput and latency at 2 and 5 times capacity?"),
+    ("weights", "How long until all servers have loaded a version, and how many serve in the meantime?"),
+    ("overhead", "How much latency does a daemon add, and how much CPU time does a streamed token cost? (needs processes: scripts/overhead)"),
 ];
 
 /// Flags of `experiment`.
 #[derive(Args)]
 pub struct ExperimentArguments {
-    /// Which; `list` says what each answers.
+    /// Name of the experiment; `list` prints all of them.
     name: String,
-    /// First seed.
+    /// First random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, for the spread.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Write the report to this file.
+    /// File to write the JSON report to.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write a plot to this file.
+    /// File to write an SVG plot to.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// overhead: the daemon.
+    /// overhead: address of the daemon.
     #[arg(long)]
     daemon: Option<SocketAddr>,
-    /// overhead: the daemon's process identifier.
+    /// overhead: process identifier of the daemon.
     #[arg(long)]
     daemon_pid: Option<u32>,
-    /// overhead: the application server, to be asked directly.
+    /// overhead: address of the application server, for direct requests.
     #[arg(long)]
     app: Option<SocketAddr>,
-    /// overhead: requests a second.
+    /// overhead: requests per second.
     #[arg(long, default_value_t = 5000)]
     rate: u64,
-    /// overhead: seconds a phase.
+    /// overhead: duration of each phase, in seconds.
     #[arg(long, default_value_t = 5)]
     seconds: u64,
 }
 
-/// Runs an experiment and prints its table.
+/// Runs an experiment and prints its results.
+///
+/// Fails for an unknown experiment or when a target is not met.
 pub fn run(arguments: &ExperimentArguments) -> anyhow::Result<()> {
     let seeds: Vec<u64> = (arguments.seed..arguments.seed + arguments.seeds).collect();
     let report: Report = match arguments.name.as_str() {
--- a/crates/heronbend-emulator/src/experiment/overhead.rs
+++ b/crates/heronbend-emulator/src/experiment/overhead.rs
@@ -1,7 +1,7 @@
-//! What a daemon adds, measured on real processes that `scripts/overhead` starts.
+//! Latency and CPU overhead of a daemon, measured on the real processes that `scripts/overhead` starts.
 //!
-//! In one run, in turn: requests sent directly to the application server, the same through the
-//! daemon, and streamed completions, with the daemon's processor time read from the system.
+//! Alternates between requests sent directly to the application server and the same requests through
+//! the daemon, then streams completions. The daemon's CPU time is read from `/proc`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,39 +20,41 @@
 use crate::process::resident_kilobytes;
 use crate::registration::url;
 
-const THREADS: usize = 3;
+const SENDER_THREADS: usize = 3;
 const TIMEOUT: Duration = Duration::from_secs(20);
-const MAX_BYTES: usize = 1 << 24;
-const STREAMS: usize = 64;
-/// System clock ticks a second, as Linux reports processor time.
+const MAX_RESPONSE_BYTES: usize = 1 << 24;
+const CONCURRENT_STREAMS: usize = 64;
+/// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-const MICROS_P50: f64 = 150.0;
-const MICROS_P99: f64 = 1500.0;
-const MICROS_PER_TOKEN: f64 = 10.0;
-const IDLE_MEGABYTES: f64 = 64.0;
+const MAX_ADDED_P50_MICROS: f64 = 150.0;
+const MAX_ADDED_P99_MICROS: f64 = 1500.0;
+const MAX_CPU_MICROS_PER_TOKEN: f64 = 10.0;
+const MAX_IDLE_MEGABYTES: f64 = 64.0;
 
-/// Runs the phases and compares.
+/// Runs all phases.
+///
+/// Fails if a required flag is missing or the daemon's `/proc` entries cannot be read.
 pub fn run(arguments: &ExperimentArguments) -> anyhow::Result<Report> {
     let daemon = arguments.daemon.context("--daemon is needed")?;
     let app = arguments.app.context("--app is needed")?;
     let pid = arguments.daemon_pid.context("--daemon-pid is needed")?;
     let idle_megabytes = resident_kilobytes(&pid.to_string())? / 1024.0;
-    let _warm_up = send_evenly(daemon, arguments.rate / 4, 1)?;
-    let before = processor_seconds(pid)?;
+    let _warm_up = send_at_constant_rate(daemon, arguments.rate / 4, 1)?;
+    let warmed_up_at = cpu_seconds(pid)?;
     let mut direct = latency_histogram();
-    let mut through = latency_histogram();
+    let mut via_daemon = latency_histogram();
     let mut daemon_seconds = 0.0;
-    // In turn, so that whatever else the machine does touches both.
+    // Alternates, so that other load on the machine affects both measurements.
     for _ in 0..arguments.seconds {
-        direct.add(send_evenly(app, arguments.rate, 1)?)?;
-        let start = processor_seconds(pid)?;
-        through.add(send_evenly(daemon, arguments.rate, 1)?)?;
-        daemon_seconds += processor_seconds(pid)? - start;
+        direct.add(send_at_constant_rate(app, arguments.rate, 1)?)?;
+        let start = cpu_seconds(pid)?;
+        via_daemon.add(send_at_constant_rate(daemon, arguments.rate, 1)?)?;
+        daemon_seconds += cpu_seconds(pid)? - start;
     }
-    log::info!("event=plain_phase_done processor_seconds={}", processor_seconds(pid)? - before);
-    let start = processor_seconds(pid)?;
-    let tokens = stream(daemon, arguments.seconds)?;
-    let stream_seconds = processor_seconds(pid)? - start;
+    log::info!("event=plain_phase_done processor_seconds={}", cpu_seconds(pid)? - warmed_up_at);
+    let start = cpu_seconds(pid)?;
+    let tokens = stream_completions(daemon, arguments.seconds)?;
+    let stream_seconds = cpu_seconds(pid)? - start;
     let micros =
         |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64;
     let figures = |histogram: &Histogram<u64>| {
@@ -64,8 +66,8 @@
             ("answers", histogram.len() as f64),
         ]
     };
-    let added = |quantile| micros(&through, quantile) - micros(&direct, quantile);
-    let per_request = daemon_seconds * 1e6 / through.len() as f64;
+    let added = |quantile| micros(&via_daemon, quantile) - micros(&direct, quantile);
+    let per_request = daemon_seconds * 1e6 / via_daemon.len() as f64;
     let per_token = stream_seconds * 1e6 / tokens.max(1) as f64;
     let mut report = Report {
         experiment: "overhead",
@@ -82,29 +84,37 @@
         seeds: vec![arguments.seed],
         arms: vec![
             Arm::new("direct", &[figures(&direct)]),
-            Arm::new("through a daemon", &[figures(&through)]),
+            Arm::new("through a daemon", &[figures(&via_daemon)]),
         ],
         targets: Vec::new(),
     };
-    report.demand("added p50 under 150 us", added(0.5) < MICROS_P50);
-    report.demand("added p99 under 1.5 ms", added(0.99) < MICROS_P99);
-    report.demand("a streamed token under 10 us of processor", per_token < MICROS_PER_TOKEN);
-    report.demand("under 64 MB at idle", idle_megabytes < IDLE_MEGABYTES);
+    report.add_target("added p50 under 150 us", added(0.5) < MAX_ADDED_P50_MICROS);
+    report.add_target("added p99 under 1.5 ms", added(0.99) < MAX_ADDED_P99_MICROS);
+    report.add_target(
+        "a streamed token under 10 us of processor",
+        per_token < MAX_CPU_MICROS_PER_TOKEN,
+    );
+    report.add_target("under 64 MB at idle", idle_megabytes < MAX_IDLE_MEGABYTES);
     Ok(report)
 }
 
-/// Sends at an even rate from several threads; latencies in microseconds from the moment each
-/// request was due, so that a stall counts for all that it delays.
-fn send_evenly(address: SocketAddr, rate: u64, seconds: u64) -> anyhow::Result<Histogram<u64>> {
-    let threads: Vec<_> = (0..THREADS)
+/// Sends requests at a constant rate from several threads and returns their latencies.
+///
+/// Latencies are in microseconds since each request's scheduled time, which avoids coordinated omission.
+fn send_at_constant_rate(
+    address: SocketAddr,
+    rate: u64,
+    seconds: u64,
+) -> anyhow::Result<Histogram<u64>> {
+    let threads: Vec<_> = (0..SENDER_THREADS)
         .map(|_| std::thread::spawn(move || send_from_thread(address, rate, seconds)))
         .collect();
-    let mut all = latency_histogram();
+    let mut merged = latency_histogram();
     for thread in threads {
-        let part = thread.join().map_err(|_| anyhow::anyhow!("a sender panicked"))?;
-        all.add(part?)?;
+        let thread_histogram = thread.join().map_err(|_| anyhow::anyhow!("a sender panicked"))?;
+        merged.add(thread_histogram?)?;
     }
-    Ok(all)
+    Ok(merged)
 }
 
 fn send_from_thread(
@@ -115,19 +125,21 @@
     let executor = Rc::new(LocalExecutor::new());
     let histogram = Rc::new(RefCell::new(latency_histogram()));
     let client = Client::new();
-    let interval = Duration::from_secs_f64(THREADS as f64 / rate as f64);
-    let count = rate * seconds / THREADS as u64;
+    let interval = Duration::from_secs_f64(SENDER_THREADS as f64 / rate as f64);
+    let count = rate * seconds / SENDER_THREADS as u64;
     smol::block_on(executor.run(async {
         let start = Instant::now();
         let mut tasks = Vec::new();
         for number in 0..count {
-            let due = start + interval * number as u32;
-            Timer::at(due).await;
+            let send_at = start + interval * number as u32;
+            Timer::at(send_at).await;
             let (client, histogram) = (client.clone(), histogram.clone());
             tasks.push(executor.spawn(async move {
-                let answer = client.fetch(address, reading(address), TIMEOUT, MAX_BYTES).await;
-                if answer.is_ok_and(|(status, _)| status.is_success()) {
-                    let micros = due.elapsed().as_micros() as u64;
+                let response = client
+                    .fetch(address, reading_request(address), TIMEOUT, MAX_RESPONSE_BYTES)
+                    .await;
+                if response.is_ok_and(|(status, _)| status.is_success()) {
+                    let micros = send_at.elapsed().as_micros() as u64;
                     histogram.borrow_mut().saturating_record(micros);
                 }
             }));
@@ -140,7 +152,7 @@
     Ok(histogram)
 }
 
-fn reading(address: SocketAddr) -> Request {
+fn reading_request(address: SocketAddr) -> Request {
     let target = url(address, "/stations/7/reading").expect("a valid URL");
     let mut request = Request::new(Method::Get, target);
     request.insert_header("authorization", "Bearer municipality-token");
@@ -148,23 +160,27 @@
     request
 }
 
-/// Streams completions for some seconds; the number of tokens received.
-fn stream(daemon: SocketAddr, seconds: u64) -> anyhow::Result<u64> {
+/// Streams completions concurrently for `seconds`; returns the number of tokens received.
+fn stream_completions(daemon: SocketAddr, seconds: u64) -> anyhow::Result<u64> {
     let executor = Rc::new(LocalExecutor::new());
     let client = Client::new();
     let end = Instant::now() + Duration::from_secs(seconds);
     smol::block_on(executor.run(async {
-        let tasks: Vec<_> = (0..STREAMS)
+        let tasks: Vec<_> = (0..CONCURRENT_STREAMS)
             .map(|number| {
                 let client = client.clone();
                 executor.spawn(async move {
                     let mut events = 0;
                     let mut seed = number as u64;
                     while Instant::now() < end {
-                        seed += STREAMS as u64;
-                        let answer =
-                            client.fetch(daemon, completion(daemon, seed), TIMEOUT, MAX_BYTES);
-                        if let Ok((_, bytes)) = answer.await {
+                        seed += CONCURRENT_STREAMS as u64;
+                        let response = client.fetch(
+                            daemon,
+                            completion_request(daemon, seed),
+                            TIMEOUT,
+                            MAX_RESPONSE_BYTES,
+                        );
+                        if let Ok((_, bytes)) = response.await {
                             let text = String::from_utf8_lossy(&bytes);
                             events += text.matches("\"segment\"").count() as u64;
                         }
@@ -181,7 +197,7 @@
     }))
 }
 
-fn completion(address: SocketAddr, seed: u64) -> Request {
+fn completion_request(address: SocketAddr, seed: u64) -> Request {
     let body = serde_json::json!({
         "model": "flood-bulletin", "prompt": format!("prompt {seed}"), "max_tokens": 512,
         "stream": true, "seed": seed,
@@ -193,9 +209,9 @@
     request
 }
 
-fn processor_seconds(pid: u32) -> anyhow::Result<f64> {
+fn cpu_seconds(pid: u32) -> anyhow::Result<f64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let (_, fields) = text.rsplit_once(')').context("an unusual stat file")?;
+    let (_, fields) = text.rsplit_once(')').context("no process name in the stat file")?;
     let ticks: Vec<f64> =
         fields.split_whitespace().skip(11).take(2).map(str::parse).collect::<Result<_, _>>()?;
     Ok(ticks.iter().sum::<f64>() / TICKS_PER_SECOND)
--- a/crates/heronbend-emulator/src/experiment/overload.rs
+++ b/crates/heronbend-emulator/src/experiment/overload.rs
@@ -1,8 +1,8 @@
-//! Admission at and above capacity, on virtual time.
+//! Admission control below, at and above capacity, on virtual time.
 //!
-//! One pool with continuous batching. Clients want an answer within their patience; what comes later
-//! counts as nothing. Arms: no limit; a plain limit on requests under way; and the rule of the
-//! related paper (Phala Inference Guard): a server that reports any waiting request gets no new one.
+//! Only responses within the client's deadline count as goodput. The arms are: no limit; a limit on
+//! requests in flight per server; and the rule of Phala Inference Guard, under which a server that
+//! reports a waiting request gets no new requests.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -14,44 +14,44 @@
 use super::report::{latency_histogram, Arm, Report};
 
 const SERVERS: usize = 8;
-const PLACES: usize = 16;
+const SLOTS_PER_SERVER: usize = 16;
 const SERVICE_SECONDS: f64 = 2.0;
-const PATIENCE_SECONDS: f64 = 10.0;
+const DEADLINE_SECONDS: f64 = 10.0;
 const DURATION_SECONDS: f64 = 300.0;
-const RECOVERY_WINDOW: f64 = 0.05;
-const REPORT_LAG: f64 = 0.2;
-const OVERLOADS: [f64; 4] = [0.8, 1.0, 2.0, 5.0];
-/// Requests under way at one server that the plain limit admits: its places and a short queue.
-const PLAIN_LIMIT: usize = PLACES + 4;
+const RETRY_WINDOW_SECONDS: f64 = 0.05;
+const REPORT_INTERVAL_SECONDS: f64 = 0.2;
+const LOAD_FACTORS: [f64; 4] = [0.8, 1.0, 2.0, 5.0];
+/// Maximum requests in flight per server under the plain limit: its slots and a short queue.
+const MAX_IN_FLIGHT: usize = SLOTS_PER_SERVER + 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Admission {
+enum AdmissionPolicy {
     Unlimited,
     PlainLimit,
-    NoIntakeWhileWaiting,
+    RejectWhileWaiting,
 }
 
-const ADMISSIONS: [(Admission, &str); 3] = [
-    (Admission::Unlimited, "no limit"),
-    (Admission::PlainLimit, "plain limit"),
-    (Admission::NoIntakeWhileWaiting, "no intake while waiting"),
+const ADMISSION_POLICIES: [(AdmissionPolicy, &str); 3] = [
+    (AdmissionPolicy::Unlimited, "no limit"),
+    (AdmissionPolicy::PlainLimit, "plain limit"),
+    (AdmissionPolicy::RejectWhileWaiting, "no intake while waiting"),
 ];
 
 /// Runs every arm with every seed.
 pub fn run(seeds: &[u64]) -> Report {
     let mut arms = Vec::new();
-    for overload in OVERLOADS {
-        for (admission, name) in ADMISSIONS {
+    for load_factor in LOAD_FACTORS {
+        for (admission, name) in ADMISSION_POLICIES {
             let runs: Vec<_> =
-                seeds.iter().map(|seed| simulate(admission, overload, *seed)).collect();
-            arms.push(Arm::new(&format!("{name}, load {overload}"), &runs));
+                seeds.iter().map(|seed| simulate(admission, load_factor, *seed)).collect();
+            arms.push(Arm::new(&format!("{name}, load {load_factor}"), &runs));
         }
     }
     let mut report = Report {
         experiment: "overload",
         workload: format!(
-            "{SERVERS} servers of {PLACES} places, {SERVICE_SECONDS} s a request, patience \
-             {PATIENCE_SECONDS} s"
+            "{SERVERS} servers of {SLOTS_PER_SERVER} slots, {SERVICE_SECONDS} s per request, deadline \
+             {DEADLINE_SECONDS} s"
         ),
         baseline: "no limit, load 1".to_owned(),
         seeds: seeds.to_vec(),
@@ -60,10 +60,10 @@
     };
     let goodput = |name: &str| report.arm(name).mean("goodput a second");
     let peak = goodput("plain limit, load 1").max(goodput("plain limit, load 2"));
-    let kept = OVERLOADS[2..]
+    let meets_target = LOAD_FACTORS[2..]
         .iter()
         .all(|load| goodput(&format!("plain limit, load {load}")) >= 0.9 * peak);
-    report.demand("plain limit: goodput at 2x and 5x at least 90% of the peak", kept);
+    report.add_target("plain limit: goodput at 2x and 5x at least 90% of the peak", meets_target);
     report
 }
 
@@ -83,17 +83,17 @@
     sent_since_report: usize,
 }
 
-fn simulate(admission: Admission, overload: f64, seed: u64) -> Vec<(&'static str, f64)> {
+fn simulate(admission: AdmissionPolicy, load_factor: f64, seed: u64) -> Vec<(&'static str, f64)> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let capacity = (SERVERS * PLACES) as f64 / SERVICE_SECONDS;
-    let arrivals = Exp::new(overload * capacity).expect("positive");
+    let capacity = (SERVERS * SLOTS_PER_SERVER) as f64 / SERVICE_SECONDS;
+    let arrivals = Exp::new(load_factor * capacity).expect("positive");
     let service = Exp::new(1.0 / SERVICE_SECONDS).expect("positive");
     let end = (DURATION_SECONDS * 1e6) as u64;
     let mut servers: Vec<Server> = (0..SERVERS).map(|_| Server::default()).collect();
     let mut queue =
         BinaryHeap::from([Reverse((0_u64, Event::Arrival)), Reverse((0, Event::Report))]);
     let mut latency = latency_histogram();
-    let (mut good, mut late, mut refused, mut arrived_count) = (0_u64, 0_u64, 0_u64, 0_u64);
+    let (mut on_time, mut late, mut rejected, mut arrived_count) = (0_u64, 0_u64, 0_u64, 0_u64);
     while let Some(Reverse((now, event))) = queue.pop() {
         match event {
             Event::Arrival => {
@@ -110,20 +110,20 @@
                     servers[index].sent_since_report += 1;
                     start(&mut servers, index, now, &service, &mut random, &mut queue);
                 }
-                None if now < arrived + (RECOVERY_WINDOW * 1e6) as u64 => {
+                None if now < arrived + (RETRY_WINDOW_SECONDS * 1e6) as u64 => {
                     queue.push(Reverse((now + 5_000, Event::Retry { arrived })));
                 }
-                None => refused += 1,
+                None => rejected += 1,
             },
             Event::Done { server, arrived } => {
                 servers[server].running -= 1;
-                let took = now - arrived;
-                if took <= (PATIENCE_SECONDS * 1e6) as u64 {
-                    good += 1;
+                let latency_micros = now - arrived;
+                if latency_micros <= (DEADLINE_SECONDS * 1e6) as u64 {
+                    on_time += 1;
                 } else {
                     late += 1;
                 }
-                latency.saturating_record(took);
+                latency.saturating_record(latency_micros);
                 start(&mut servers, server, now, &service, &mut random, &mut queue);
             }
             Event::Report => {
@@ -132,34 +132,37 @@
                     server.sent_since_report = 0;
                 }
                 if now < end {
-                    queue.push(Reverse((now + (REPORT_LAG * 1e6) as u64, Event::Report)));
+                    queue.push(Reverse((
+                        now + (REPORT_INTERVAL_SECONDS * 1e6) as u64,
+                        Event::Report,
+                    )));
                 }
             }
         }
     }
     vec![
-        ("goodput a second", good as f64 / DURATION_SECONDS),
+        ("goodput a second", on_time as f64 / DURATION_SECONDS),
         ("served p99 s", latency.value_at_quantile(0.99) as f64 / 1e6),
         ("too late share", late as f64 / arrived_count as f64),
-        ("refused share", refused as f64 / arrived_count as f64),
+        ("refused share", rejected as f64 / arrived_count as f64),
     ]
 }
 
-fn choose(servers: &[Server], admission: Admission, random: &mut SmallRng) -> Option<usize> {
-    let under_way = |server: &Server| server.running + server.waiting.len();
+fn choose(servers: &[Server], admission: AdmissionPolicy, random: &mut SmallRng) -> Option<usize> {
+    let in_flight = |server: &Server| server.running + server.waiting.len();
     let admits = |server: &Server| match admission {
-        Admission::Unlimited => true,
-        Admission::PlainLimit => under_way(server) < PLAIN_LIMIT,
-        Admission::NoIntakeWhileWaiting => server.reported_waiting == 0,
+        AdmissionPolicy::Unlimited => true,
+        AdmissionPolicy::PlainLimit => in_flight(server) < MAX_IN_FLIGHT,
+        AdmissionPolicy::RejectWhileWaiting => server.reported_waiting == 0,
     };
-    let open: Vec<usize> = (0..SERVERS).filter(|index| admits(&servers[*index])).collect();
-    if open.is_empty() {
+    let candidates: Vec<usize> = (0..SERVERS).filter(|index| admits(&servers[*index])).collect();
+    if candidates.is_empty() {
         return None;
     }
-    let first = open[random.random_range(0..open.len())];
-    let second = open[random.random_range(0..open.len())];
-    let lighter = under_way(&servers[second]) < under_way(&servers[first]);
-    Some(if lighter { second } else { first })
+    let first = candidates[random.random_range(0..candidates.len())];
+    let second = candidates[random.random_range(0..candidates.len())];
+    let second_is_less_loaded = in_flight(&servers[second]) < in_flight(&servers[first]);
+    Some(if second_is_less_loaded { second } else { first })
 }
 
 fn start(
@@ -171,7 +174,7 @@
     queue: &mut BinaryHeap<Reverse<(u64, Event)>>,
 ) {
     let server = &mut servers[index];
-    while server.running < PLACES {
+    while server.running < SLOTS_PER_SERVER {
         let Some(arrived) = server.waiting.pop_front() else {
             return;
         };
--- a/crates/heronbend-emulator/src/experiment/report.rs
+++ b/crates/heronbend-emulator/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! Tables, ratios against the baseline with their spread over seeds, and plots.
+//! Experiment results: tables, ratios to the baseline with their range over seeds, and plots.
 
 use std::path::Path;
 
@@ -6,60 +6,60 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-/// Longest latency that is told apart, in microseconds.
+/// Maximum recorded latency, in microseconds; longer ones are clamped.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
-/// A histogram of latencies in microseconds, to three digits.
+/// Creates a histogram of latencies in microseconds, with three significant digits.
 pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("valid bounds")
 }
 
-/// A figure of one arm, one value a seed.
+/// A metric of an arm, with one value per seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct Figure {
-    /// What was measured, with its unit.
+    /// Name of the metric, with its unit.
     pub name: &'static str,
-    /// One value a seed.
+    /// Values in the order of the seeds.
     pub values: Vec<f64>,
 }
 
-/// One way of doing it.
+/// A variant under comparison.
 #[derive(Debug, Clone, Serialize)]
 pub struct Arm {
-    /// Its name.
+    /// Name of the arm.
     pub name: String,
-    /// Its figures.
+    /// Metrics of the arm.
     pub figures: Vec<Figure>,
 }
 
-/// A bound that the run must keep, or the experiment fails.
+/// A condition that must hold for the experiment to pass.
 #[derive(Debug, Clone, Serialize)]
 pub struct Target {
-    /// What is demanded.
+    /// Description of the condition.
     pub demand: String,
-    /// Whether it was met.
+    /// Whether the condition holds.
     pub met: bool,
 }
 
-/// Result of an experiment.
+/// Results of an experiment.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Name of the experiment.
     pub experiment: &'static str,
-    /// What was fed in.
+    /// Description of the workload.
     pub workload: String,
-    /// The arm that ratios refer to.
+    /// Name of the arm that ratios refer to.
     pub baseline: String,
-    /// The seeds.
+    /// Random seeds of the runs.
     pub seeds: Vec<u64>,
-    /// The arms, the baseline among them.
+    /// Arms, including the baseline.
     pub arms: Vec<Arm>,
-    /// Bounds.
+    /// Targets of the experiment.
     pub targets: Vec<Target>,
 }
 
 impl Arm {
-    /// An arm from one set of figures a seed.
+    /// Creates an arm from one list of metrics per seed.
     pub fn new(name: &str, runs: &[Vec<(&'static str, f64)>]) -> Self {
         let names = runs.first().map(|run| run.iter().map(|(name, _)| *name).collect::<Vec<_>>());
         let figures = names
@@ -74,7 +74,7 @@
         Self { name: name.to_owned(), figures }
     }
 
-    /// Mean of a figure over the seeds.
+    /// Mean of a metric over the seeds; NaN if there is no such metric.
     pub fn mean(&self, name: &str) -> f64 {
         let figure = self.figures.iter().find(|figure| figure.name == name);
         figure.map_or(f64::NAN, |figure| mean(&figure.values))
@@ -82,24 +82,24 @@
 }
 
 impl Report {
-    /// The arm of a name.
+    /// Returns the arm with a name; panics if there is none.
     pub fn arm(&self, name: &str) -> &Arm {
         let found = self.arms.iter().find(|arm| arm.name == name);
         found.unwrap_or_else(|| panic!("there is no arm {name}"))
     }
 
-    /// Demands something of the run.
-    pub fn demand(&mut self, demand: &str, met: bool) {
+    /// Adds a target.
+    pub fn add_target(&mut self, demand: &str, met: bool) {
         self.targets.push(Target { demand: demand.to_owned(), met });
     }
 
-    /// Prints every arm's means, with the ratio to the baseline and its spread over seeds.
+    /// Prints each arm's means and their ratios to the baseline, with the range over the seeds.
     pub fn print(&self) {
         println!("experiment {}; seeds {:?}; {}", self.experiment, self.seeds, self.workload);
         let baseline = self.arm(&self.baseline);
         for arm in &self.arms {
-            let mark = if arm.name == self.baseline { " (baseline)" } else { "" };
-            println!("  {}{mark}", arm.name);
+            let suffix = if arm.name == self.baseline { " (baseline)" } else { "" };
+            println!("  {}{suffix}", arm.name);
             for (figure, base) in arm.figures.iter().zip(&baseline.figures) {
                 let ratios: Vec<f64> = figure
                     .values
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Draws each arm's first figure as a bar.
+    /// Writes an SVG bar chart of each arm's first metric.
     pub fn plot(&self, path: &Path) -> anyhow::Result<()> {
         let root =
             SVGBackend::new(path, (900, 60 + 50 * self.arms.len() as u32)).into_drawing_area();
@@ -152,8 +152,8 @@
 
     /// Fails when a target was not met.
     pub fn check(&self) -> anyhow::Result<()> {
-        let missed: Vec<_> = self.targets.iter().filter(|target| !target.met).collect();
-        anyhow::ensure!(missed.is_empty(), "{} targets were not met", missed.len());
+        let failed: Vec<_> = self.targets.iter().filter(|target| !target.met).collect();
+        anyhow::ensure!(failed.is_empty(), "{} targets were not met", failed.len());
         Ok(())
     }
 }
--- a/crates/heronbend-emulator/src/experiment/rollout.rs
+++ b/crates/heronbend-emulator/src/experiment/rollout.rs
@@ -1,10 +1,10 @@
-//! Scheduling of rollouts on virtual time, with the daemon's own coordinator and router.
+//! Rollout scheduling policies on virtual time, with the daemon's `StepCoordinator` and `Router`.
 //!
-//! One trainer, 8,192 samples a step in groups of 16. Engines batch continuously: a token takes
-//! longer in a larger batch. Lengths are log-normal between prompts and within a prompt, cut at
-//! 16,384 tokens: a median of 900 and a tail some ten times that, in keeping with the published
-//! descriptions of reasoning rollouts (APRIL, 2025; RollPacker, 2025; Seer, 2025). Training takes a
-//! fixed time; versions follow from it. Engines crash and slow down.
+//! One trainer requests 8,192 samples per step in groups of 16. Engines batch continuously, so a token
+//! takes longer in a larger batch. Sample lengths are log-normal, both across prompts and within a
+//! prompt, with a median of 900 tokens and a limit of 16,384, following published descriptions of
+//! reasoning rollouts (APRIL, 2025; RollPacker, 2025; Seer, 2025). Training takes a fixed time. Engines
+//! crash and slow down.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -33,54 +33,55 @@
 const LOG_MEDIAN: f64 = 6.8;
 const PROMPT_SIGMA: f64 = 0.8;
 const SAMPLE_SIGMA: f64 = 0.35;
-/// Time of an iteration, and what each sequence of the batch adds, in seconds.
-const ITERATION: f64 = 0.012;
-const PER_SEQUENCE: f64 = 0.0004;
-const TRAINING: f64 = 200.0;
+/// Base time of an iteration in seconds.
+const ITERATION_SECONDS: f64 = 0.012;
+/// Additional time per sequence in an iteration, in seconds.
+const SECONDS_PER_SEQUENCE: f64 = 0.0004;
+const TRAINING_SECONDS: f64 = 200.0;
 const POOL: &str = "pool";
-/// Pool of the engines that run small batches.
-const RESERVED: &str = "reserved";
-/// Engines of which one crashes, and one runs slower, in every step.
+/// Pool of the engines reserved for long samples.
+const RESERVED_POOL: &str = "reserved";
+/// Factor by which one engine is slowed down in each step.
 const SLOWDOWN: f64 = 2.0;
-/// How many times faster a token must be elsewhere for a move to be worthwhile.
-const WORTHWHILE_GAIN: f64 = 1.15;
-const MOVES_AT_ONCE: usize = 4;
-/// Iterations that a moved sample loses: export, transfer and import of its KV cache.
-const MOVE_ITERATIONS: f64 = 20.0;
-/// Iterations that a resumed sample loses: its text so far is computed anew.
+/// Minimum ratio of token times that justifies a migration.
+const MIN_MIGRATION_GAIN: f64 = 1.15;
+const MAX_MIGRATIONS_PER_EVENT: usize = 4;
+/// Iterations lost to a migration: export, transfer and import of the KV cache.
+const MIGRATION_ITERATIONS: f64 = 20.0;
+/// Iterations lost to a resumption, which prefills the existing text again.
 const RESUME_ITERATIONS: f64 = 40.0;
-/// More than the coordinator's own delay before it draws a failed slot again.
-const REDRAW_AFTER: f64 = 0.1;
+/// Delay before failed slots are scheduled again, in seconds; exceeds the coordinator's own delay.
+const RETRY_DELAY_SECONDS: f64 = 0.1;
 
-/// One way of scheduling.
+/// A scheduling policy.
 #[derive(Debug, Clone, Copy)]
 struct Policy {
     name: &'static str,
     order: SamplingOrder,
     max_copies: u32,
-    /// The next step is posted when the one before it is trained on (false) or when the version
-    /// before it is out, so that it fills places that the tail leaves idle (true).
-    draws_ahead: bool,
-    /// The next step is posted once this one is whole, and so drawn while it is trained on.
+    /// Whether the next step is posted as soon as the current one starts, so that it uses slots that
+    /// the tail of the current step leaves idle.
+    generates_ahead: bool,
+    /// Whether the next step is posted once the current one is complete, and generated during training.
     overlaps_training: bool,
-    /// A swap of weights restarts samples under way.
+    /// Whether a weight swap restarts samples in flight.
     restarts_on_swap: bool,
-    /// At the tail samples move from engines on which a token takes long to faster ones.
+    /// Whether samples migrate from slow to faster engines at the tail of a step.
     migrates: bool,
-    /// A sample whose engine is lost goes on elsewhere from its last token, as the daemon does it.
+    /// Whether samples of a lost engine resume on another engine from their last token.
     resumes: bool,
-    /// Some engines run small batches, and samples that have grown long move there.
-    reserves: Option<Reserve>,
-    /// The coordinator is told the true lengths.
-    knows_lengths: bool,
+    /// Engines with small batches to which long samples migrate.
+    reserved_engines: Option<ReservedEngines>,
+    /// Whether the coordinator knows the true sample lengths in advance.
+    has_known_lengths: bool,
 }
 
-/// Engines kept at small batches for long samples.
+/// Engines that run small batches, reserved for long samples.
 #[derive(Debug, Clone, Copy)]
-struct Reserve {
+struct ReservedEngines {
     engines: usize,
     max_batch: usize,
-    /// Tokens after which a sample may move.
+    /// Number of tokens from which a sample may migrate to a reserved engine.
     after_tokens: f64,
 }
 
@@ -88,13 +89,13 @@
     name: "fifo, next step once whole",
     order: SamplingOrder::FirstInFirstOut,
     max_copies: 1,
-    draws_ahead: false,
+    generates_ahead: false,
     overlaps_training: true,
     restarts_on_swap: false,
     migrates: false,
     resumes: false,
-    reserves: None,
-    knows_lengths: false,
+    reserved_engines: None,
+    has_known_lengths: false,
 };
 
 const LONGEST: Policy = Policy {
@@ -103,9 +104,9 @@
     ..BASELINE
 };
 
-const RESERVE: Policy = Policy {
+const RESERVED_ENGINES: Policy = Policy {
     name: "longest + reserve",
-    reserves: Some(Reserve { engines: 12, max_batch: 20, after_tokens: 1500.0 }),
+    reserved_engines: Some(ReservedEngines { engines: 12, max_batch: 20, after_tokens: 1500.0 }),
     migrates: true,
     resumes: true,
     ..LONGEST
@@ -123,7 +124,7 @@
         name: "idle-leaning without reserve",
         resumes: true,
         migrates: true,
-        draws_ahead: true,
+        generates_ahead: true,
         ..LONGEST
     },
     Policy {
@@ -133,26 +134,30 @@
         overlaps_training: false,
         ..LONGEST
     },
-    RESERVE,
+    RESERVED_ENGINES,
     Policy {
         name: "longest + small reserve",
-        reserves: Some(Reserve { engines: 8, max_batch: 16, after_tokens: 3000.0 }),
-        ..RESERVE
+        reserved_engines: Some(ReservedEngines { engines: 8, max_batch: 16, after_tokens: 3000.0 }),
+        ..RESERVED_ENGINES
     },
     Policy {
         name: "longest + large reserve",
-        reserves: Some(Reserve { engines: 16, max_batch: 24, after_tokens: 1000.0 }),
-        ..RESERVE
+        reserved_engines: Some(ReservedEngines {
+            engines: 16,
+            max_batch: 24,
+            after_tokens: 1000.0,
+        }),
+        ..RESERVED_ENGINES
     },
-    Policy { name: "fifo + reserve", order: SamplingOrder::FirstInFirstOut, ..RESERVE },
-    Policy { name: "longest + early draw", draws_ahead: true, ..LONGEST },
-    Policy { name: "idle-leaning", draws_ahead: true, ..RESERVE },
-    Policy { name: "staleness-leaning", overlaps_training: false, ..RESERVE },
+    Policy { name: "fifo + reserve", order: SamplingOrder::FirstInFirstOut, ..RESERVED_ENGINES },
+    Policy { name: "longest + early draw", generates_ahead: true, ..LONGEST },
+    Policy { name: "idle-leaning", generates_ahead: true, ..RESERVED_ENGINES },
+    Policy { name: "staleness-leaning", overlaps_training: false, ..RESERVED_ENGINES },
     Policy {
         name: "knows lengths, in turn",
         resumes: true,
         migrates: true,
-        knows_lengths: true,
+        has_known_lengths: true,
         overlaps_training: false,
         ..LONGEST
     },
@@ -170,8 +175,8 @@
     let mut report = Report {
         experiment: "rollout",
         workload: format!(
-            "{STEPS} steps of {} samples on {ENGINES} engines of {MAX_BATCH} places, training \
-             {TRAINING} s, one crash and one slow engine a step",
+            "{STEPS} steps of {} samples on {ENGINES} engines of {MAX_BATCH} slots, training \
+             {TRAINING_SECONDS} s, one crash and one slow engine a step",
             PROMPTS * SAMPLES_PER_PROMPT
         ),
         baseline: BASELINE.name.to_owned(),
@@ -181,58 +186,63 @@
     };
     let idle = |name: &str| report.arm(name).mean("idle share");
     let staleness = |name: &str| report.arm(name).mean("staleness mean");
-    let half = idle("idle-leaning") <= 0.5 * idle(BASELINE.name);
-    let fresher = staleness("staleness-leaning") < staleness(BASELINE.name);
-    let bound = report.arm("staleness-leaning").mean("step time / bound") <= 1.1;
-    report.demand("idle-leaning: idle share at most half of the baseline's", half);
-    report.demand("staleness-leaning: fresher than the baseline", fresher);
-    report.demand("staleness-leaning: step time within 10% of the lower bound", bound);
+    let meets_idle_target = idle("idle-leaning") <= 0.5 * idle(BASELINE.name);
+    let meets_staleness_target = staleness("staleness-leaning") < staleness(BASELINE.name);
+    let meets_time_target = report.arm("staleness-leaning").mean("step time / bound") <= 1.1;
+    report.add_target("idle-leaning: idle share at most half of the baseline's", meets_idle_target);
+    report.add_target("staleness-leaning: fresher than the baseline", meets_staleness_target);
+    report.add_target(
+        "staleness-leaning: step time within 10% of the lower bound",
+        meets_time_target,
+    );
     report
 }
 
-/// A sequence at an engine.
+/// A sequence that runs on an engine.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningSequence {
     step: u64,
     attempt: AttemptId,
     slot: SlotIndex,
     tokens: u32,
-    /// The engine's count of iterations at which it ends.
+    /// Iteration count of the engine at which the sequence finishes.
     ends_at: f64,
     version: u64,
 }
 
 struct SimulatedEngine {
     backend: Backend,
-    running: BTreeMap<(u64, AttemptId), Running>,
+    running: BTreeMap<(u64, AttemptId), RunningSequence>,
     iterations: f64,
-    updated: f64,
+    updated_at: f64,
     slowdown: f64,
     epoch: u64,
 }
 
 impl SimulatedEngine {
     fn iteration_time(&self) -> f64 {
-        (ITERATION + PER_SEQUENCE * self.running.len() as f64) * self.slowdown
+        (ITERATION_SECONDS + SECONDS_PER_SEQUENCE * self.running.len() as f64) * self.slowdown
     }
 
-    /// Brings the count of iterations up to a time.
+    /// Advances the iteration count to a time.
     fn advance(&mut self, now: f64) {
-        self.iterations += (now - self.updated) / self.iteration_time();
-        self.updated = now;
+        self.iterations += (now - self.updated_at) / self.iteration_time();
+        self.updated_at = now;
     }
 
-    fn next_end(&self) -> Option<(f64, Running)> {
-        let first =
-            self.running.values().min_by(|left, right| left.ends_at.total_cmp(&right.ends_at))?;
-        let left = (first.ends_at - self.iterations).max(0.0);
-        Some((self.updated + left * self.iteration_time(), *first))
+    fn next_end(&self) -> Option<(f64, RunningSequence)> {
+        let first = self
+            .running
+            .values()
+            .min_by(|remaining, right| remaining.ends_at.total_cmp(&right.ends_at))?;
+        let remaining = (first.ends_at - self.iterations).max(0.0);
+        Some((self.updated_at + remaining * self.iteration_time(), *first))
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The next sequence of an engine ends, unless its epoch has passed.
+    /// The next sequence of an engine finishes; ignored if the engine's epoch has changed.
     SequenceEnds {
         engine: usize,
         epoch: u64,
@@ -240,23 +250,23 @@
     EngineCrashes {
         engine: usize,
     },
-    EngineSlows {
+    EngineSlowsDown {
         engine: usize,
     },
-    /// Slots whose draw failed are due again.
-    Refill,
+    /// Slots with failed attempts are scheduled again.
+    RetryFailed,
     TrainingEnds,
 }
 
-/// Times in events are in whole microseconds, so that they order.
+/// Events by time in microseconds.
 type Queue = BinaryHeap<Reverse<(u64, Event)>>;
 
 struct Step {
     coordinator: StepCoordinator,
     lengths: Vec<u32>,
     posted_at: f64,
-    whole_at: Option<f64>,
-    oldest: Vec<u64>,
+    completed_at: Option<f64>,
+    oldest_versions: Vec<u64>,
 }
 
 struct Simulation {
@@ -284,22 +294,22 @@
         if !policy.overlaps_training && step > 1 {
             simulation.post(step);
         }
-        if policy.draws_ahead {
+        if policy.generates_ahead {
             simulation.post(step + 1);
         }
         let waiting_since = simulation.now;
-        simulation.run_until_whole(step);
+        simulation.run_until_complete(step);
         idle += simulation.now - waiting_since;
         let done = simulation.steps.remove(&step).expect("it was posted");
-        for oldest in &done.oldest {
-            let behind = simulation.version - oldest;
+        for oldest_versions in &done.oldest_versions {
+            let behind = simulation.version - oldest_versions;
             staleness.record(behind).expect("within bounds");
             stale_sum += behind;
             samples += 1;
         }
-        let whole_at = done.whole_at.unwrap_or(simulation.now);
-        ratio_sum += (whole_at - done.posted_at) / lower_bound(&done.lengths);
-        if policy.overlaps_training && !policy.draws_ahead {
+        let completed_at = done.completed_at.unwrap_or(simulation.now);
+        ratio_sum += (completed_at - done.posted_at) / min_step_seconds(&done.lengths);
+        if policy.overlaps_training && !policy.generates_ahead {
             simulation.post(step + 1);
         }
         simulation.train();
@@ -314,28 +324,29 @@
     ]
 }
 
-/// No schedule that knows the lengths is faster than the time found here.
+/// Lower bound on the time of a step in seconds, for any schedule that knows the lengths.
 ///
-/// To be whole by `time`, a sample of `l` tokens needs tokens of `time / l` on average, which bounds
-/// the batches that it runs in. The engine time that a token costs in a batch is a convex function of
-/// the token's time, so each sample costs at least what it would in the largest batch that suits it.
-fn lower_bound(lengths: &[u32]) -> f64 {
-    let suffices = |time: f64| {
+/// To finish within `time`, a sample of `l` tokens needs a mean token time of at most `time / l`, which
+/// bounds its batch size. The engine time per token is a convex function of the token time, so a sample
+/// costs at least as much as in the largest batch that meets this bound.
+fn min_step_seconds(lengths: &[u32]) -> f64 {
+    let is_feasible = |time: f64| {
         let mut cost = 0.0;
         for length in lengths {
             let tokens = f64::from(*length);
-            let batch = ((time / tokens - ITERATION) / PER_SEQUENCE).min(MAX_BATCH as f64);
+            let batch =
+                ((time / tokens - ITERATION_SECONDS) / SECONDS_PER_SEQUENCE).min(MAX_BATCH as f64);
             if batch < 1.0 {
                 return false;
             }
-            cost += tokens * (ITERATION + PER_SEQUENCE * batch) / batch;
+            cost += tokens * (ITERATION_SECONDS + SECONDS_PER_SEQUENCE * batch) / batch;
         }
         cost <= time * ENGINES as f64
     };
     let (mut low, mut high) = (0.0, 100_000.0);
     for _ in 0..60 {
         let middle = (low + high) / 2.0;
-        if suffices(middle) {
+        if is_feasible(middle) {
             high = middle;
         } else {
             low = middle;
@@ -346,19 +357,19 @@
 
 impl Simulation {
     fn new(policy: Policy, seed: u64) -> Self {
-        let reserved = policy.reserves.map_or(0, |reserve| reserve.engines);
+        let reserved = policy.reserved_engines.map_or(0, |reserve| reserve.engines);
         let engines: Vec<SimulatedEngine> = (0..ENGINES)
             .map(|index| SimulatedEngine {
                 backend: Backend {
                     name: BackendName(format!("engine-{index:03}")),
                     incarnation: Incarnation(1),
-                    pool: if index < reserved { RESERVED } else { POOL }.into(),
+                    pool: if index < reserved { RESERVED_POOL } else { POOL }.into(),
                     address: ([127, 0, 0, 1], 1).into(),
                     zone: "zone".into(),
                 },
                 running: BTreeMap::new(),
                 iterations: 0.0,
-                updated: 0.0,
+                updated_at: 0.0,
                 slowdown: 1.0,
                 epoch: 0,
             })
@@ -395,58 +406,63 @@
             max_copies: self.policy.max_copies,
             hedge_below_milli: 50,
         };
-        let lengths = lengths_of(self.seed, step);
+        let lengths = sample_lengths(self.seed, step);
         let mut coordinator = StepCoordinator::new(plan, SlotSet::new());
-        if self.policy.knows_lengths {
+        if self.policy.has_known_lengths {
             for (slot, length) in lengths.iter().enumerate() {
                 coordinator.set_expected_length(SlotIndex(slot as u32), *length);
             }
         }
-        let state =
-            Step { coordinator, lengths, posted_at: self.now, whole_at: None, oldest: Vec::new() };
+        let state = Step {
+            coordinator,
+            lengths,
+            posted_at: self.now,
+            completed_at: None,
+            oldest_versions: Vec::new(),
+        };
         self.steps.insert(step, state);
         let crash = self.now + self.random.random_range(20.0..120.0);
         let engine = self.random.random_range(0..ENGINES);
         self.schedule(crash, Event::EngineCrashes { engine });
         let engine = self.random.random_range(0..ENGINES);
-        self.schedule(self.now + 10.0, Event::EngineSlows { engine });
-        self.fill_places();
+        self.schedule(self.now + 10.0, Event::EngineSlowsDown { engine });
+        self.fill_slots();
     }
 
-    fn run_until_whole(&mut self, step: u64) {
-        while self.steps[&step].whole_at.is_none() {
+    fn run_until_complete(&mut self, step: u64) {
+        while self.steps[&step].completed_at.is_none() {
             self.handle_next();
         }
     }
 
-    /// Trains for its time, while engines go on.
+    /// Advances time by the training time and publishes the next version.
     fn train(&mut self) {
-        let end = self.now + TRAINING;
+        let end = self.now + TRAINING_SECONDS;
         self.schedule(end, Event::TrainingEnds);
         while self.handle_next() != Event::TrainingEnds {}
         self.version += 1;
         if self.policy.restarts_on_swap {
             for engine in 0..ENGINES {
-                self.lose_running(engine);
+                self.drop_sequences(engine);
             }
-            self.fill_places();
+            self.fill_slots();
         }
     }
 
     fn handle_next(&mut self) -> Event {
         let Some(Reverse((micros, event))) = self.queue.pop() else {
-            panic!("nothing happens any more");
+            panic!("the event queue is empty");
         };
         self.now = self.now.max(micros as f64 / 1e6);
         match event {
             Event::SequenceEnds { engine, epoch } if self.engines[engine].epoch == epoch => {
-                self.end_sequence(engine);
+                self.finish_sequence(engine);
             }
             Event::EngineCrashes { engine } => {
-                self.lose_running(engine);
-                self.fill_places();
+                self.drop_sequences(engine);
+                self.fill_slots();
             }
-            Event::EngineSlows { engine } => {
+            Event::EngineSlowsDown { engine } => {
                 for index in 0..ENGINES {
                     let slowdown = if index == engine { SLOWDOWN } else { 1.0 };
                     self.engines[index].advance(self.now);
@@ -454,7 +470,7 @@
                     self.reschedule(index);
                 }
             }
-            Event::Refill => self.fill_places(),
+            Event::RetryFailed => self.fill_slots(),
             Event::SequenceEnds { .. } | Event::TrainingEnds => {}
         }
         event
@@ -469,43 +485,48 @@
         }
     }
 
-    fn end_sequence(&mut self, engine: usize) {
+    fn finish_sequence(&mut self, engine: usize) {
         self.engines[engine].advance(self.now);
-        let Some((_, ended)) = self.engines[engine].next_end() else {
+        let Some((_, finished)) = self.engines[engine].next_end() else {
             return;
         };
-        self.take_off(engine, &ended, RequestOutcome::Answered);
-        let sample = self.sample(engine, &ended);
-        let Some(step) = self.steps.get_mut(&ended.step) else {
+        self.remove_sequence(engine, &finished, RequestOutcome::Answered);
+        let sample = self.sample(engine, &finished);
+        let Some(step) = self.steps.get_mut(&finished.step) else {
             return;
         };
-        let effects = step.coordinator.on_completed(ended.attempt, sample);
-        self.cancel(ended.step, &effects);
-        self.note_if_whole(ended.step);
-        self.move_long_ones();
-        self.fill_places();
+        let effects = step.coordinator.on_completed(finished.attempt, sample);
+        self.cancel(finished.step, &effects);
+        self.seal_if_complete(finished.step);
+        self.migrate_long_samples();
+        self.fill_slots();
         if self.policy.migrates {
             self.migrate_to_faster();
         }
         self.reschedule(engine);
     }
 
-    fn take_off(&mut self, engine: usize, running: &Running, outcome: RequestOutcome) {
+    fn remove_sequence(
+        &mut self,
+        engine: usize,
+        running: &RunningSequence,
+        outcome: RequestOutcome,
+    ) {
         let moment = self.moment();
         let state = &mut self.engines[engine];
         state.running.remove(&(running.step, running.attempt));
         self.router.finished(moment, &state.backend, outcome);
     }
 
-    fn sample(&self, engine: usize, ended: &Running) -> Sample {
+    fn sample(&self, engine: usize, finished: &RunningSequence) -> Sample {
         Sample {
-            slot: ended.slot,
+            slot: finished.slot,
             seed: 0,
             text: String::new(),
             segments: vec![Segment {
-                version: ended.version,
+                version: finished.version,
                 start: 0,
-                end: ended.tokens,
+                end: finished.tokens,
                 engine: self.engines[engine].backend.name.clone(),
                 incarnation: Incarnation(1),
             }],
@@ -514,19 +535,19 @@
         }
     }
 
-    fn note_if_whole(&mut self, number: u64) {
+    fn seal_if_complete(&mut self, number: u64) {
         let now = self.now;
         let Some(step) = self.steps.get_mut(&number) else {
             return;
         };
         let slots = PROMPTS as usize * SAMPLES_PER_PROMPT as usize;
-        if step.whole_at.is_some() || step.coordinator.ready_count() < slots {
+        if step.completed_at.is_some() || step.coordinator.ready_count() < slots {
             return;
         }
         if let NextBatch::Ready(samples) = step.coordinator.compose_batch(0, slots) {
-            step.oldest = samples.iter().filter_map(Sample::oldest_version).collect();
+            step.oldest_versions = samples.iter().filter_map(Sample::oldest_version).collect();
             step.coordinator.on_sealed(&samples);
-            step.whole_at = Some(now);
+            step.completed_at = Some(now);
         }
     }
 
@@ -535,86 +556,86 @@
             let Effect::Cancel { attempt } = effect else {
                 continue;
             };
-            let place = self
+            let engine = self
                 .engines
                 .iter()
                 .position(|engine| engine.running.contains_key(&(step, *attempt)));
-            let Some(engine) = place else {
+            let Some(engine) = engine else {
                 continue;
             };
             self.engines[engine].advance(self.now);
             let running = self.engines[engine].running[&(step, *attempt)];
-            self.waste(engine, &running);
-            self.take_off(engine, &running, RequestOutcome::Cancelled);
+            self.record_waste(engine, &running);
+            self.remove_sequence(engine, &running, RequestOutcome::Cancelled);
             self.reschedule(engine);
         }
     }
 
-    fn waste(&mut self, engine: usize, running: &Running) {
-        let left = running.ends_at - self.engines[engine].iterations;
-        self.wasted_tokens += (f64::from(running.tokens) - left).max(0.0) as u64;
+    fn record_waste(&mut self, engine: usize, running: &RunningSequence) {
+        let remaining = running.ends_at - self.engines[engine].iterations;
+        self.wasted_tokens += (f64::from(running.tokens) - remaining).max(0.0) as u64;
     }
 
-    /// An engine drops everything that it runs.
-    fn lose_running(&mut self, engine: usize) {
+    /// Drops all sequences of an engine; resumes them elsewhere if the policy allows it.
+    fn drop_sequences(&mut self, engine: usize) {
         self.engines[engine].advance(self.now);
-        let lost: Vec<Running> = self.engines[engine].running.values().copied().collect();
+        let lost: Vec<RunningSequence> = self.engines[engine].running.values().copied().collect();
         for running in lost {
-            self.take_off(engine, &running, RequestOutcome::Cancelled);
+            self.remove_sequence(engine, &running, RequestOutcome::Cancelled);
             if self.policy.resumes && self.resume_elsewhere(engine, &running) {
                 continue;
             }
-            self.waste(engine, &running);
+            self.record_waste(engine, &running);
             let moment = self.moment();
             if let Some(step) = self.steps.get_mut(&running.step) {
                 step.coordinator.on_failed(moment, running.attempt);
             }
         }
-        self.schedule(self.now + REDRAW_AFTER, Event::Refill);
+        self.schedule(self.now + RETRY_DELAY_SECONDS, Event::RetryFailed);
         self.reschedule(engine);
     }
 
-    /// Goes on with a sample at another engine, which computes the text so far anew.
-    fn resume_elsewhere(&mut self, lost: usize, running: &Running) -> bool {
-        let left = running.ends_at - self.engines[lost].iterations;
+    /// Resumes a sequence on another engine; returns false if no engine has a free slot.
+    fn resume_elsewhere(&mut self, lost: usize, running: &RunningSequence) -> bool {
+        let remaining = running.ends_at - self.engines[lost].iterations;
         let Some(engine) = self.choose(POOL) else {
             return false;
         };
         self.engines[engine].advance(self.now);
-        let ends_at = self.engines[engine].iterations + left + RESUME_ITERATIONS;
-        let resumed = Running { ends_at, ..*running };
+        let ends_at = self.engines[engine].iterations + remaining + RESUME_ITERATIONS;
+        let resumed = RunningSequence { ends_at, ..*running };
         self.engines[engine].running.insert((running.step, running.attempt), resumed);
         self.reschedule(engine);
         true
     }
 
-    /// Starts draws of the oldest step first, while places are free.
-    fn fill_places(&mut self) {
+    /// Fills free slots with attempts, those of the oldest step first.
+    fn fill_slots(&mut self) {
         let numbers: Vec<u64> = self.steps.keys().copied().collect();
-        let mut touched = Vec::new();
+        let mut changed = Vec::new();
         for number in numbers {
-            let places = self.free_slots(POOL) + self.free_slots(RESERVED);
+            let free_slots = self.free_slots(POOL) + self.free_slots(RESERVED_POOL);
             let moment = self.moment();
             let Some(step) = self.steps.get_mut(&number) else {
                 continue;
             };
-            let effects = step.coordinator.schedule(moment, places);
+            let effects = step.coordinator.schedule(moment, free_slots);
             for effect in effects {
                 if let Effect::Start { attempt, slot } = effect {
-                    touched.extend(self.start(number, attempt, slot));
+                    changed.extend(self.start(number, attempt, slot));
                 }
             }
         }
-        touched.sort_unstable();
-        touched.dedup();
-        for engine in touched {
+        changed.sort_unstable();
+        changed.dedup();
+        for engine in changed {
             self.reschedule(engine);
         }
     }
 
     fn max_batch(&self, pool: &str) -> usize {
-        match self.policy.reserves {
-            Some(reserve) if pool == RESERVED => reserve.max_batch,
+        match self.policy.reserved_engines {
+            Some(reserve) if pool == RESERVED_POOL => reserve.max_batch,
             _ => MAX_BATCH,
         }
     }
@@ -638,39 +659,45 @@
         self.engines.iter().position(|engine| engine.backend == chosen)
     }
 
-    /// While the reserved engines have places, the samples that have grown longest move there.
-    fn move_long_ones(&mut self) {
-        let Some(reserve) = self.policy.reserves else {
+    /// Migrates the longest samples to the reserved engines while these have free slots.
+    fn migrate_long_samples(&mut self) {
+        let Some(reserve) = self.policy.reserved_engines else {
             return;
         };
-        let mut touched = Vec::new();
-        while self.free_slots(RESERVED) > 0 {
-            let Some((from, running, done)) = self.longest_grown(reserve.after_tokens) else {
+        let mut changed = Vec::new();
+        while self.free_slots(RESERVED_POOL) > 0 {
+            let Some((from, running, done)) = self.longest_sample_beyond(reserve.after_tokens)
+            else {
                 break;
             };
-            let Some(to) = self.choose(RESERVED) else {
+            let Some(to) = self.choose(RESERVED_POOL) else {
                 break;
             };
             self.engines[to].advance(self.now);
-            self.take_off(from, &running, RequestOutcome::Cancelled);
-            let left = f64::from(running.tokens) - done;
-            let ends_at = self.engines[to].iterations + left;
-            let moved = Running { ends_at, ..running };
-            self.engines[to].running.insert((running.step, running.attempt), moved);
-            touched.extend([from, to]);
+            self.remove_sequence(from, &running, RequestOutcome::Cancelled);
+            let remaining = f64::from(running.tokens) - done;
+            let ends_at = self.engines[to].iterations + remaining;
+            let migrated = RunningSequence { ends_at, ..running };
+            self.engines[to].running.insert((running.step, running.attempt), migrated);
+            changed.extend([from, to]);
         }
-        touched.sort_unstable();
-        touched.dedup();
-        for engine in touched {
+        changed.sort_unstable();
+        changed.dedup();
+        for engine in changed {
             self.reschedule(engine);
         }
     }
 
-    /// Of the samples outside the reserve that have grown past a length, the longest so far.
-    fn longest_grown(&mut self, after_tokens: f64) -> Option<(usize, Running, f64)> {
-        let mut best: Option<(usize, Running, f64)> = None;
+    /// Finds the longest sample outside the reserved engines with at least `after_tokens` tokens.
+    ///
+    /// Returns its engine, its sequence and its number of generated tokens.
+    fn longest_sample_beyond(
+        &mut self,
+        after_tokens: f64,
+    ) -> Option<(usize, RunningSequence, f64)> {
+        let mut best: Option<(usize, RunningSequence, f64)> = None;
         for index in 0..ENGINES {
-            if self.engines[index].backend.pool == RESERVED {
+            if self.engines[index].backend.pool == RESERVED_POOL {
                 continue;
             }
             self.engines[index].advance(self.now);
@@ -686,62 +713,63 @@
     }
 
     fn start(&mut self, step: u64, attempt: AttemptId, slot: SlotIndex) -> Option<usize> {
-        let engine = self.choose(RESERVED).or_else(|| self.choose(POOL))?;
+        let engine = self.choose(RESERVED_POOL).or_else(|| self.choose(POOL))?;
         let tokens = self.steps[&step].lengths[slot.0 as usize];
         let state = &mut self.engines[engine];
         state.advance(self.now);
         let ends_at = state.iterations + f64::from(tokens);
-        let running = Running { step, attempt, slot, tokens, ends_at, version: self.version };
+        let running =
+            RunningSequence { step, attempt, slot, tokens, ends_at, version: self.version };
         state.running.insert((step, attempt), running);
         Some(engine)
     }
 
-    /// At the tail, moves samples from engines on which a token takes long, whether for a large batch
-    /// or for a fault, to the engine on which it takes least.
+    /// At the tail of a step, migrates samples from the engine with the longest token time to the one
+    /// with the shortest.
     fn migrate_to_faster(&mut self) {
         if self.free_slots(POOL) < MAX_BATCH {
             return;
         }
-        for _ in 0..MOVES_AT_ONCE {
+        for _ in 0..MAX_MIGRATIONS_PER_EVENT {
             let token_time = |engine: &SimulatedEngine, extra: usize| {
                 let batch = (engine.running.len() + extra) as f64;
-                (ITERATION + PER_SEQUENCE * batch) * engine.slowdown
+                (ITERATION_SECONDS + SECONDS_PER_SEQUENCE * batch) * engine.slowdown
             };
             let busy = (0..ENGINES).filter(|index| !self.engines[*index].running.is_empty());
-            let from = busy.max_by(|left, right| {
+            let from = busy.max_by(|remaining, right| {
                 let time = |index: usize| token_time(&self.engines[index], 0);
-                time(*left).total_cmp(&time(*right))
+                time(*remaining).total_cmp(&time(*right))
             });
-            let to = (0..ENGINES).min_by(|left, right| {
+            let to = (0..ENGINES).min_by(|remaining, right| {
                 let time = |index: usize| token_time(&self.engines[index], 1);
-                time(*left).total_cmp(&time(*right))
+                time(*remaining).total_cmp(&time(*right))
             });
             let (Some(from), Some(to)) = (from, to) else {
                 return;
             };
             let gain = token_time(&self.engines[from], 0) / token_time(&self.engines[to], 1);
-            if from == to || gain < WORTHWHILE_GAIN {
+            if from == to || gain < MIN_MIGRATION_GAIN {
                 return;
             }
-            self.move_longest(from, to);
+            self.migrate_longest(from, to);
         }
     }
 
-    fn move_longest(&mut self, from: usize, to: usize) {
+    fn migrate_longest(&mut self, from: usize, to: usize) {
         self.engines[from].advance(self.now);
         self.engines[to].advance(self.now);
-        let done = |running: &Running| {
+        let done = |running: &RunningSequence| {
             f64::from(running.tokens) - (running.ends_at - self.engines[from].iterations)
         };
         let longest = self.engines[from]
             .running
             .values()
-            .max_by(|left, right| done(left).total_cmp(&done(right)))
+            .max_by(|remaining, right| done(remaining).total_cmp(&done(right)))
             .copied();
         if let Some(mut running) = longest {
-            let left = running.ends_at - self.engines[from].iterations;
+            let remaining = running.ends_at - self.engines[from].iterations;
             self.engines[from].running.remove(&(running.step, running.attempt));
-            running.ends_at = self.engines[to].iterations + left + MOVE_ITERATIONS;
+            running.ends_at = self.engines[to].iterations + remaining + MIGRATION_ITERATIONS;
             self.engines[to].running.insert((running.step, running.attempt), running);
             self.reschedule(from);
             self.reschedule(to);
@@ -749,7 +777,7 @@
     }
 }
 
-fn lengths_of(seed: u64, step: u64) -> Vec<u32> {
+fn sample_lengths(seed: u64, step: u64) -> Vec<u32> {
     let mut random = SmallRng::seed_from_u64(seed * 1_000_003 + step);
     let between = LogNormal::new(LOG_MEDIAN, PROMPT_SIGMA).expect("sigma is positive");
     let mut lengths = Vec::new();
--- a/crates/heronbend-emulator/src/experiment/routing.rs
+++ b/crates/heronbend-emulator/src/experiment/routing.rs
@@ -1,7 +1,7 @@
-//! Choice of a back end on virtual time, with the daemon's own router.
+//! Load balancing strategies on virtual time, including the daemon's `Router`.
 //!
-//! Several routers, as several daemons have, send to the same servers and see each other's load only
-//! through reports that lag. One server is ten times slower; one answers errors at once.
+//! Several routers send to the same servers and see each other's load only through periodic reports.
+//! One server is ten times slower than the others, and one fails every request immediately.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,55 +18,61 @@
 
 const SERVERS: usize = 24;
 const ROUTERS: usize = 6;
-const PLACES: usize = 8;
+const SLOTS_PER_SERVER: usize = 8;
 const SERVICE_SECONDS: f64 = 0.1;
 const REQUESTS: usize = 60_000;
-/// Offered load as a share of what all healthy servers can do.
-const LOAD: f64 = 0.7;
+/// Offered load as a fraction of the capacity of the non-failing servers.
+const LOAD_FACTOR: f64 = 0.7;
 const SLOW_SERVER: usize = 0;
 const FAILING_SERVER: usize = 1;
-const SLOWNESS: f64 = 10.0;
-const REPORT_LAGS: [f64; 3] = [0.2, 1.0, 5.0];
+const SLOWDOWN: f64 = 10.0;
+const REPORT_INTERVALS_SECONDS: [f64; 3] = [0.2, 1.0, 5.0];
 const MAX_IN_FLIGHT: usize = 64;
 const POOL: &str = "pool";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Choice {
+enum Strategy {
     RoundRobin,
-    /// The least loaded by the last report alone.
+    /// The server with the lowest load in the last report.
     LeastReported,
-    /// The daemon's router.
+    /// The daemon's `Router`.
     Router,
 }
 
 /// Runs every arm with every seed.
 pub fn run(seeds: &[u64]) -> Report {
     let mut arms = Vec::new();
-    for lag in REPORT_LAGS {
-        for (choice, name) in [
-            (Choice::RoundRobin, "round robin"),
-            (Choice::LeastReported, "least reported"),
-            (Choice::Router, "router"),
+    for interval in REPORT_INTERVALS_SECONDS {
+        for (strategy, name) in [
+            (Strategy::RoundRobin, "round robin"),
+            (Strategy::LeastReported, "least reported"),
+            (Strategy::Router, "router"),
         ] {
-            let runs: Vec<_> = seeds.iter().map(|seed| simulate(choice, lag, *seed)).collect();
-            arms.push(Arm::new(&format!("{name}, reports lag {lag} s"), &runs));
+            let runs: Vec<_> =
+                seeds.iter().map(|seed| simulate(strategy, interval, *seed)).collect();
+            arms.push(Arm::new(&format!("{name}, reports lag {interval} s"), &runs));
         }
     }
     let mut report = Report {
         experiment: "routing",
         workload: format!(
-            "{ROUTERS} routers, {SERVERS} servers of {PLACES} places, load {LOAD}, one server \
-             {SLOWNESS} times slower, one failing at once"
+            "{ROUTERS} routers, {SERVERS} servers of {SLOTS_PER_SERVER} slots, load {LOAD_FACTOR}, one server \
+             {SLOWDOWN} times slower, one failing at once"
         ),
         baseline: "round robin, reports lag 1 s".to_owned(),
         seeds: seeds.to_vec(),
         arms,
         targets: Vec::new(),
     };
-    for lag in REPORT_LAGS {
-        let p99 = |name: &str| report.arm(&format!("{name}, reports lag {lag} s")).mean("p99 ms");
-        let better = p99("router") < p99("round robin") && p99("router") < p99("least reported");
-        report.demand(&format!("the router has the lowest p99 with reports {lag} s late"), better);
+    for interval in REPORT_INTERVALS_SECONDS {
+        let p99 =
+            |name: &str| report.arm(&format!("{name}, reports lag {interval} s")).mean("p99 ms");
+        let meets_target =
+            p99("router") < p99("round robin") && p99("router") < p99("least reported");
+        report.add_target(
+            &format!("the router has the lowest p99 with reports {interval} s late"),
+            meets_target,
+        );
     }
     report
 }
@@ -83,7 +89,7 @@
     waiting: VecDeque<(usize, u64)>,
 }
 
-fn simulate(choice: Choice, lag: f64, seed: u64) -> Vec<(&'static str, f64)> {
+fn simulate(strategy: Strategy, interval: f64, seed: u64) -> Vec<(&'static str, f64)> {
     let mut random = SmallRng::seed_from_u64(seed);
     let backends: Vec<Backend> = (0..SERVERS).map(backend).collect();
     let mut routers: Vec<Router> = (0..ROUTERS)
@@ -95,14 +101,16 @@
         .collect();
     let mut servers: Vec<Server> =
         (0..SERVERS).map(|_| Server { running: 0, waiting: VecDeque::new() }).collect();
-    let healthy = (SERVERS - 2) as f64 + 1.0 / SLOWNESS;
-    let arrivals = Exp::new(LOAD * healthy * PLACES as f64 / SERVICE_SECONDS).expect("positive");
+    let effective_servers = (SERVERS - 2) as f64 + 1.0 / SLOWDOWN;
+    let arrivals =
+        Exp::new(LOAD_FACTOR * effective_servers * SLOTS_PER_SERVER as f64 / SERVICE_SECONDS)
+            .expect("positive");
     let service = Exp::new(1.0 / SERVICE_SECONDS).expect("positive");
     let mut queue =
         BinaryHeap::from([Reverse((0_u64, Event::Arrival)), Reverse((0, Event::Report))]);
-    let mut shown: Vec<LoadReport> = vec![LoadReport::default(); SERVERS];
+    let mut reported: Vec<LoadReport> = vec![LoadReport::default(); SERVERS];
     let mut latency = latency_histogram();
-    let (mut sent, mut failed_requests, mut turn) = (0, 0_u64, 0);
+    let (mut sent, mut failed_requests, mut next_server) = (0, 0_u64, 0);
     while let Some(Reverse((now, event))) = queue.pop() {
         let moment = Duration::from_micros(now);
         match event {
@@ -113,11 +121,11 @@
                     queue.push(Reverse((next, Event::Arrival)));
                 }
                 let router = random.random_range(0..ROUTERS);
-                turn += 1;
-                let server = match choice {
-                    Choice::RoundRobin => turn % SERVERS,
-                    Choice::LeastReported => least_reported(&shown, &mut random),
-                    Choice::Router => {
+                next_server += 1;
+                let server = match strategy {
+                    Strategy::RoundRobin => next_server % SERVERS,
+                    Strategy::LeastReported => least_reported(&reported, &mut random),
+                    Strategy::Router => {
                         let query = Query {
                             pool: POOL,
                             max_in_flight: MAX_IN_FLIGHT,
@@ -141,7 +149,7 @@
                 servers[server].running -= 1;
                 latency.saturating_record(now - arrived);
                 failed_requests += u64::from(failed);
-                if choice == Choice::Router {
+                if strategy == Strategy::Router {
                     let outcome =
                         if failed { RequestOutcome::Failed } else { RequestOutcome::Answered };
                     routers[router].finished(moment, &backends[server], outcome);
@@ -150,19 +158,19 @@
             }
             Event::Report => {
                 for (index, server) in servers.iter().enumerate() {
-                    shown[index] = LoadReport {
+                    reported[index] = LoadReport {
                         running: server.running as u32,
                         waiting: server.waiting.len() as u32,
                         version: None,
                     };
                 }
                 for router in &mut routers {
-                    for (backend, report) in backends.iter().zip(&shown) {
+                    for (backend, report) in backends.iter().zip(&reported) {
                         router.report(&backend.name, *report);
                     }
                 }
                 if sent < REQUESTS {
-                    queue.push(Reverse((now + (lag * 1e6) as u64, Event::Report)));
+                    queue.push(Reverse((now + (interval * 1e6) as u64, Event::Report)));
                 }
             }
         }
@@ -186,21 +194,21 @@
     queue: &mut BinaryHeap<Reverse<(u64, Event)>>,
 ) {
     let server = &mut servers[index];
-    while server.running < PLACES {
+    while server.running < SLOTS_PER_SERVER {
         let Some((router, arrived)) = server.waiting.pop_front() else {
             return;
         };
         server.running += 1;
         let failed = index == FAILING_SERVER;
-        let slowness = if index == SLOW_SERVER { SLOWNESS } else { 1.0 };
-        let seconds = if failed { 0.001 } else { service.sample(random) * slowness };
+        let slowdown = if index == SLOW_SERVER { SLOWDOWN } else { 1.0 };
+        let seconds = if failed { 0.001 } else { service.sample(random) * slowdown };
         let done = Event::Done { server: index, router, arrived, failed };
         queue.push(Reverse((now + (seconds * 1e6) as u64 + 1, done)));
     }
 }
 
-fn least_reported(shown: &[LoadReport], random: &mut SmallRng) -> usize {
-    let load = |index: &usize| shown[*index].running + shown[*index].waiting;
+fn least_reported(reported: &[LoadReport], random: &mut SmallRng) -> usize {
+    let load = |index: &usize| reported[*index].running + reported[*index].waiting;
     let least = (0..SERVERS).map(|index| load(&index)).min().unwrap_or(0);
     let ties: Vec<usize> = (0..SERVERS).filter(|index| load(index) == least).collect();
     ties[random.random_range(0..ties.len())]
@@ -218,5 +226,5 @@
 
 fn index_of(backend: &Backend) -> usize {
     let digits = backend.name.0.trim_start_matches("server-");
-    digits.parse().expect("names are made by this module")
+    digits.parse().expect("this module generates the names")
 }
--- a/crates/heronbend-emulator/src/experiment/weights.rs
+++ b/crates/heronbend-emulator/src/experiment/weights.rs
@@ -1,4 +1,5 @@
-//! Time until all servers have a new version, on virtual time with the daemon's own rollout.
+//! Time until all servers have loaded a new weight version, on virtual time with the daemon's
+//! `VersionRollout`.
 
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -12,14 +13,14 @@
 use super::report::{Arm, Report};
 
 const SERVERS: usize = 1400;
-/// Loads that the store hands out a second, all servers together.
-const STORE_RATE: f64 = 100.0;
-/// Time in which one server cannot serve while it swaps.
-const SWAP: f64 = 0.5;
-/// Share of loads that fail partway.
-const FAILURES: f64 = 0.01;
-const LIMIT_SECONDS: f64 = 22.0;
-const TICK: f64 = 0.05;
+/// Total throughput of the store, in loads per second.
+const STORE_LOADS_PER_SECOND: f64 = 100.0;
+/// Time for which a server cannot serve while it swaps weights in.
+const SWAP_SECONDS: f64 = 0.5;
+/// Fraction of loads that fail.
+const FAILURE_RATE: f64 = 0.01;
+const MAX_SECONDS: f64 = 22.0;
+const TICK_SECONDS: f64 = 0.05;
 
 const ARMS: [(&str, f64); 4] = [
     ("one at a time", 1.0),
@@ -39,14 +40,14 @@
         .collect();
     let mut report = Report {
         experiment: "weights",
-        workload: format!("{SERVERS} servers, store {STORE_RATE} loads/s, swap {SWAP} s, {FAILURES} of loads fail"),
+        workload: format!("{SERVERS} servers, store {STORE_LOADS_PER_SECOND} loads/s, swap {SWAP_SECONDS} s, {FAILURE_RATE} of loads fail"),
         baseline: "one at a time".to_owned(),
         seeds: seeds.to_vec(),
         arms,
         targets: Vec::new(),
     };
-    let met = report.arm("waves, floor 0.5").mean("seconds to all") <= LIMIT_SECONDS;
-    report.demand("waves with floor 0.5 reach all servers within 22 s", met);
+    let meets_target = report.arm("waves, floor 0.5").mean("seconds to all") <= MAX_SECONDS;
+    report.add_target("waves with floor 0.5 reach all servers within 22 s", meets_target);
     report
 }
 
@@ -59,29 +60,29 @@
     }
     rollout.publish(2);
     let mut now = 0.0;
-    let mut store_free = 0.0_f64;
+    let mut store_free_at = 0.0_f64;
     let mut loading = BinaryHeap::new();
-    let mut fewest_serving = SERVERS;
+    let mut min_serving = SERVERS;
     while rollout.up_to_date() < SERVERS {
-        for order in rollout.tick(Duration::from_secs_f64(now)) {
-            store_free = store_free.max(now) + 1.0 / STORE_RATE;
-            let end = store_free + SWAP;
+        for command in rollout.tick(Duration::from_secs_f64(now)) {
+            store_free_at = store_free_at.max(now) + 1.0 / STORE_LOADS_PER_SECOND;
+            let end = store_free_at + SWAP_SECONDS;
             let key = std::cmp::Reverse((end * 1e6) as u64);
-            loading.push((key, order.engine.0.clone(), order.version));
+            loading.push((key, command.engine.0.clone(), command.version));
         }
-        now += TICK;
+        now += TICK_SECONDS;
         let swapping =
-            loading.iter().filter(|(end, _, _)| end.0 as f64 / 1e6 - now <= SWAP).count();
-        fewest_serving = fewest_serving.min(SERVERS - swapping);
+            loading.iter().filter(|(end, _, _)| end.0 as f64 / 1e6 - now <= SWAP_SECONDS).count();
+        min_serving = min_serving.min(SERVERS - swapping);
         while loading.peek().is_some_and(|(end, _, _)| end.0 as f64 / 1e6 <= now) {
             let Some((_, engine, version)) = loading.pop() else {
                 break;
             };
-            let order = heronbend::weights::LoadCommand { engine: BackendName(engine), version };
-            let failed = random.random_bool(FAILURES);
+            let command = heronbend::weights::LoadCommand { engine: BackendName(engine), version };
+            let failed = random.random_bool(FAILURE_RATE);
             let result = if failed { LoadResult::Failed } else { LoadResult::Loaded };
-            rollout.on_result(Duration::from_secs_f64(now), &order, result);
+            rollout.on_result(Duration::from_secs_f64(now), &command, result);
         }
     }
-    vec![("seconds to all", now), ("fewest serving, share", fewest_serving as f64 / SERVERS as f64)]
+    vec![("seconds to all", now), ("fewest serving, share", min_serving as f64 / SERVERS as f64)]
 }
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -1,10 +1,10 @@
-//! A fleet of hollow daemons in one process, on virtual time and links.
+//! Simulation of a fleet of daemons in one process, on virtual time and virtual links.
 //!
-//! Each hollow daemon runs the real failure detector with its rumours, the real life-cycle state of
-//! all servers, and takes settings over as the daemon does: two readers a region from the store, the
-//! others from the peer that is ahead. Datagrams are encoded, so that their bytes are true.
-//! Registers and routing are measured as slopes, since their cost grows with requests and not with
-//! daemons.
+//! Each simulated daemon runs the real failure detector, including gossip, and the real lifecycle state
+//! of all servers. Settings propagate as in the daemon: two daemons per region read the store, the
+//! others fetch from a peer with a newer revision. Datagrams are encoded, so that their sizes are exact.
+//! Registers and routing are measured per operation, since their cost depends on the number of requests
+//! rather than the number of daemons.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -37,52 +37,52 @@
 
 const REGIONS: usize = 7;
 const ZONES: usize = 26;
-const READERS_PER_REGION: usize = 2;
+const STORE_READERS_PER_REGION: usize = 2;
 const TICK: Duration = Duration::from_millis(100);
-const IN_ZONE: Duration = Duration::from_micros(250);
-const IN_REGION: Duration = Duration::from_micros(750);
-const BETWEEN_REGIONS: Duration = Duration::from_millis(40);
-/// Time a fetch of settings takes beyond the link: a connection, a round trip and the transfer.
+const ZONE_LATENCY: Duration = Duration::from_micros(250);
+const REGION_LATENCY: Duration = Duration::from_micros(750);
+const INTER_REGION_LATENCY: Duration = Duration::from_millis(40);
+/// Duration of a settings fetch from a peer, in link delays.
 const FETCH_ROUND_TRIPS: u32 = 4;
-const SETTLE: Duration = Duration::from_secs(30);
-const EDIT_EVERY: Duration = Duration::from_secs(20);
-const LEAVE_EVERY: Duration = Duration::from_secs(7);
-/// Failures and restarts of a day, brought about within the run.
+const SETTLE_TIME: Duration = Duration::from_secs(30);
+const EDIT_INTERVAL: Duration = Duration::from_secs(20);
+const LEAVE_INTERVAL: Duration = Duration::from_secs(7);
+/// Daily failures and restarts of 380 daemons, all injected within the run.
 const FAILURES: usize = 27;
 const RESTARTS: usize = 100;
 const DOWN_TIME: Duration = Duration::from_secs(20);
-/// Bytes of a settings object of the size to design for: some 2,000 nodes.
+/// Size of the settings object, about 2,000 nodes.
 const SETTINGS_BYTES: u64 = 200_000;
-const SUBSET: usize = 40;
-/// News that takes longer than this is worth a line.
-const SLOW: Duration = Duration::from_secs(3);
+const SUBSET_SIZE: usize = 40;
+/// Propagation delays of at least this are logged.
+const SLOW_PROPAGATION: Duration = Duration::from_secs(3);
 
 /// Flags of `hollow`.
 #[derive(Args)]
 pub struct HollowArguments {
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 380)]
     daemons: usize,
-    /// Servers.
+    /// Number of servers.
     #[arg(long, default_value_t = 1400)]
     servers: usize,
-    /// Virtual seconds to run.
+    /// Duration of the simulation, in virtual seconds.
     #[arg(long, default_value_t = 600)]
     seconds: u64,
-    /// Virtual seconds for which one region is cut off; the store is in another.
+    /// Duration of the partition of one region from the others and the store, in virtual seconds.
     #[arg(long, default_value_t = 120)]
     cut_seconds: u64,
-    /// Seed.
+    /// Random seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the report to this file.
+    /// File to write the JSON report to.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// What a run measured.
+/// Results of a simulation, printed as JSON.
 #[derive(Debug, Serialize)]
-struct HollowReport {
+struct FleetReport {
     daemons: usize,
     servers: usize,
     virtual_seconds: u64,
@@ -98,7 +98,7 @@
     leaving_known_max_ms: u64,
     failures: usize,
     restarts: usize,
-    /// Deaths of live daemons that some daemon believed, before the cut began.
+    /// Number of times a daemon considered a live daemon dead, before the partition.
     false_deaths: u64,
     register_change_bytes: f64,
     register_change_micros: f64,
@@ -107,12 +107,12 @@
     subset_most_daemons_per_server: usize,
 }
 
-struct HollowDaemon {
+struct SimulatedDaemon {
     detector: Detector,
     lifecycle: Lifecycle,
     revision: u64,
     fetching: bool,
-    up: bool,
+    is_up: bool,
     incarnation: u64,
 }
 
@@ -126,7 +126,7 @@
         to: usize,
         bytes: Vec<u8>,
     },
-    /// The store's watch, or a peer, hands settings over.
+    /// Settings arrive from the store or a peer.
     Settings {
         daemon: usize,
         revision: u64,
@@ -135,32 +135,32 @@
     ServerLeaves {
         server: usize,
     },
-    Stops {
+    DaemonStops {
         daemon: usize,
     },
-    Starts {
+    DaemonStarts {
         daemon: usize,
     },
-    CutBegins,
-    CutEnds,
+    PartitionStarts,
+    PartitionHeals,
 }
 
-struct Fleet {
+struct SimulatedFleet {
     now: Moment,
     sequence: u64,
     queue: BinaryHeap<Reverse<(Moment, u64, Event)>>,
-    daemons: Vec<HollowDaemon>,
+    daemons: Vec<SimulatedDaemon>,
     by_address: BTreeMap<SocketAddr, usize>,
-    cut_region: Option<usize>,
+    partitioned_region: Option<usize>,
     revision: u64,
     edited_at: Moment,
-    waiting_for_edit: BTreeSet<usize>,
-    left_at: BTreeMap<usize, Moment>,
-    leaving_unknown_to: BTreeMap<usize, BTreeSet<usize>>,
+    daemons_missing_edit: BTreeSet<usize>,
+    leave_times: BTreeMap<usize, Moment>,
+    daemons_missing_leave: BTreeMap<usize, BTreeSet<usize>>,
     settings_delay: Histogram<u64>,
-    was_cut: bool,
-    cut_ended: Option<Moment>,
-    after_cut: Duration,
+    had_partition: bool,
+    partition_healed_at: Option<Moment>,
+    max_delay_after_partition: Duration,
     leaving_delay: Histogram<u64>,
     gossip_bytes: u64,
     datagrams: u64,
@@ -169,19 +169,19 @@
     random: SmallRng,
 }
 
-/// Runs the fleet and prints the report as JSON.
+/// Runs the simulation and prints the report as JSON.
 pub fn run(arguments: &HollowArguments) -> anyhow::Result<()> {
     let resident_before = resident_kilobytes("self")?;
-    let mut fleet = Fleet::new(arguments);
+    let mut fleet = SimulatedFleet::new(arguments);
     let start = Instant::now();
     fleet.run(Duration::from_secs(arguments.seconds));
-    let processor = start.elapsed().as_secs_f64();
+    let cpu_seconds = start.elapsed().as_secs_f64();
     let resident = resident_kilobytes("self")? - resident_before;
     let (change_bytes, change_micros) = measure_register_change();
     let (least, most) = measure_subsets(arguments);
     let daemon_seconds = (arguments.daemons as u64 * arguments.seconds) as f64;
     let edits_a_day = 900.0;
-    let report = HollowReport {
+    let report = FleetReport {
         daemons: arguments.daemons,
         servers: arguments.servers,
         virtual_seconds: arguments.seconds,
@@ -189,11 +189,11 @@
         datagrams_per_daemon_second: fleet.datagrams as f64 / daemon_seconds,
         settings_bytes_per_daemon_day: edits_a_day * fleet.settings_bytes as f64
             / (fleet.revision.max(1) as f64 * arguments.daemons as f64),
-        processor_share_per_daemon: processor / daemon_seconds,
+        processor_share_per_daemon: cpu_seconds / daemon_seconds,
         kilobytes_per_daemon: resident / arguments.daemons as f64,
         settings_delay_p50_ms: fleet.settings_delay.value_at_quantile(0.5),
         settings_delay_max_ms: fleet.settings_delay.max(),
-        settings_delay_after_cut_ms: fleet.after_cut.as_millis() as u64,
+        settings_delay_after_cut_ms: fleet.max_delay_after_partition.as_millis() as u64,
         leaving_known_p50_ms: fleet.leaving_delay.value_at_quantile(0.5),
         leaving_known_max_ms: fleet.leaving_delay.max(),
         failures: FAILURES,
@@ -201,7 +201,7 @@
         false_deaths: fleet.false_deaths,
         register_change_bytes: change_bytes,
         register_change_micros: change_micros,
-        choice_micros: measure_choice(),
+        choice_micros: measure_backend_choice(),
         subset_least_daemons_per_server: least,
         subset_most_daemons_per_server: most,
     };
@@ -243,7 +243,7 @@
     BackendName(format!("server-{server:04}"))
 }
 
-impl Fleet {
+impl SimulatedFleet {
     fn new(arguments: &HollowArguments) -> Self {
         let mut fleet = Self {
             now: Moment::ZERO,
@@ -251,16 +251,16 @@
             queue: BinaryHeap::new(),
             daemons: Vec::new(),
             by_address: (0..arguments.daemons).map(|daemon| (address_of(daemon), daemon)).collect(),
-            cut_region: None,
+            partitioned_region: None,
             revision: 1,
             edited_at: Moment::ZERO,
-            waiting_for_edit: BTreeSet::new(),
-            left_at: BTreeMap::new(),
-            leaving_unknown_to: BTreeMap::new(),
+            daemons_missing_edit: BTreeSet::new(),
+            leave_times: BTreeMap::new(),
+            daemons_missing_leave: BTreeMap::new(),
             settings_delay: Histogram::new_with_max(3_600_000, 3).expect("valid bounds"),
-            was_cut: false,
-            cut_ended: None,
-            after_cut: Duration::ZERO,
+            had_partition: false,
+            partition_healed_at: None,
+            max_delay_after_partition: Duration::ZERO,
             leaving_delay: Histogram::new_with_max(3_600_000, 3).expect("valid bounds"),
             gossip_bytes: 0,
             datagrams: 0,
@@ -269,26 +269,26 @@
             random: SmallRng::seed_from_u64(arguments.seed),
         };
         for daemon in 0..arguments.daemons {
-            let hollow = fleet.hollow_daemon(daemon, 1, arguments.daemons, arguments.servers);
-            fleet.daemons.push(hollow);
+            let state = fleet.new_daemon(daemon, 1, arguments.daemons, arguments.servers);
+            fleet.daemons.push(state);
             let offset = TICK.mul_f64(fleet.random.random());
             fleet.schedule(offset, Event::Tick { daemon });
         }
-        fleet.schedule_troubles(arguments);
+        fleet.schedule_faults(arguments);
         fleet
     }
 
-    /// A daemon that has read the platform's list of machines.
-    fn hollow_daemon(
+    /// Creates a daemon that has read the platform's machine list.
+    fn new_daemon(
         &mut self,
         daemon: usize,
         incarnation: u64,
         daemons: usize,
         servers: usize,
-    ) -> HollowDaemon {
+    ) -> SimulatedDaemon {
         let seed = self.random.random();
-        let me = member(daemon, incarnation);
-        let mut detector = Detector::new(DetectorConfig::default(), me, seed);
+        let local_member = member(daemon, incarnation);
+        let mut detector = Detector::new(DetectorConfig::default(), local_member, seed);
         for other in (0..daemons).filter(|other| *other != daemon) {
             let incarnation = self.daemons.get(other).map_or(1, |known| known.incarnation);
             detector.merge_member(self.now, member(other, incarnation));
@@ -302,50 +302,54 @@
             };
             lifecycle.observe(self.now, Signal { source: SignalSource::MachineList, stated });
         }
-        let revision = self.known_revision(daemon);
+        let revision = self.initial_revision(daemon);
         detector
             .set_control_versions(ControlVersions { settings_revision: revision, shard_epochs: 0 });
-        HollowDaemon { detector, lifecycle, revision, fetching: false, up: true, incarnation }
+        SimulatedDaemon { detector, lifecycle, revision, fetching: false, is_up: true, incarnation }
     }
 
-    /// What a daemon that starts now learns from the store, or in a cut region from its peers there.
-    fn known_revision(&self, daemon: usize) -> u64 {
+    /// Settings revision of a daemon that starts now: the store's, or in a partitioned region its peers' newest.
+    fn initial_revision(&self, daemon: usize) -> u64 {
         let region = region_of(daemon);
-        if Some(region) != self.cut_region {
+        if Some(region) != self.partitioned_region {
             return self.revision;
         }
         let peers = self.daemons.iter().enumerate();
-        let in_region = peers.filter(|(peer, known)| region_of(*peer) == region && known.up);
+        let in_region = peers.filter(|(peer, known)| region_of(*peer) == region && known.is_up);
         in_region.map(|(_, known)| known.revision).max().unwrap_or(0)
     }
 
-    fn schedule_troubles(&mut self, arguments: &HollowArguments) {
+    fn schedule_faults(&mut self, arguments: &HollowArguments) {
         let end = Duration::from_secs(arguments.seconds);
-        let mut at = SETTLE;
-        while at + EDIT_EVERY < end {
+        let mut at = SETTLE_TIME;
+        while at + EDIT_INTERVAL < end {
             self.schedule(at, Event::Edit);
-            at += EDIT_EVERY;
+            at += EDIT_INTERVAL;
         }
-        let mut at = SETTLE + LEAVE_EVERY;
+        let mut at = SETTLE_TIME + LEAVE_INTERVAL;
         for server in 0..arguments.servers {
-            if at + SETTLE >= end {
+            if at + SETTLE_TIME >= end {
                 break;
             }
             self.schedule(at, Event::ServerLeaves { server });
-            at += LEAVE_EVERY;
+            at += LEAVE_INTERVAL;
         }
-        let troubled = end.saturating_sub(SETTLE * 2).as_secs_f64();
+        let fault_window = end.saturating_sub(SETTLE_TIME * 2).as_secs_f64();
         let count = (FAILURES + RESTARTS) * arguments.daemons / 380;
         for _ in 0..count {
             let daemon = self.random.random_range(0..arguments.daemons);
-            let at = SETTLE + Duration::from_secs_f64(troubled * self.random.random::<f64>());
-            self.schedule(at, Event::Stops { daemon });
-            self.schedule(at + DOWN_TIME, Event::Starts { daemon });
+            let at =
+                SETTLE_TIME + Duration::from_secs_f64(fault_window * self.random.random::<f64>());
+            self.schedule(at, Event::DaemonStops { daemon });
+            self.schedule(at + DOWN_TIME, Event::DaemonStarts { daemon });
         }
         if arguments.cut_seconds > 0 {
             let begin = end / 2;
-            self.schedule(begin, Event::CutBegins);
-            self.schedule(begin + Duration::from_secs(arguments.cut_seconds), Event::CutEnds);
+            self.schedule(begin, Event::PartitionStarts);
+            self.schedule(
+                begin + Duration::from_secs(arguments.cut_seconds),
+                Event::PartitionHeals,
+            );
         }
     }
 
@@ -367,14 +371,14 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick { daemon } => {
-                if self.daemons[daemon].up {
+                if self.daemons[daemon].is_up {
                     let effects = self.daemons[daemon].detector.tick(self.now);
                     self.apply(daemon, effects);
                 }
                 self.schedule(self.now + TICK, Event::Tick { daemon });
             }
             Event::Datagram { from, to, bytes } => {
-                if !self.daemons[to].up || self.is_cut(from, to) {
+                if !self.daemons[to].is_up || self.is_partitioned(from, to) {
                     return;
                 }
                 let gossip: GossipMessage = musli::wire::from_slice(&bytes).expect("just encoded");
@@ -382,57 +386,57 @@
                 let effects = self.daemons[to].detector.receive(now, address_of(from), gossip);
                 self.apply(to, effects);
             }
-            Event::Settings { daemon, revision } => self.take_settings(daemon, revision),
+            Event::Settings { daemon, revision } => self.apply_settings(daemon, revision),
             Event::Edit => self.edit(),
             Event::ServerLeaves { server } => self.server_leaves(server),
-            Event::Stops { daemon } => {
-                self.daemons[daemon].up = false;
-                self.waiting_for_edit.remove(&daemon);
-                for unknown in self.leaving_unknown_to.values_mut() {
-                    unknown.remove(&daemon);
+            Event::DaemonStops { daemon } => {
+                self.daemons[daemon].is_up = false;
+                self.daemons_missing_edit.remove(&daemon);
+                for missing in self.daemons_missing_leave.values_mut() {
+                    missing.remove(&daemon);
                 }
             }
-            Event::Starts { daemon } => self.start_again(daemon),
-            Event::CutBegins => {
-                self.cut_region = Some(1);
-                self.was_cut = true;
-                // What the cut region cannot hear of is not counted as late.
-                for unknown in self.leaving_unknown_to.values_mut() {
-                    unknown.retain(|daemon| region_of(*daemon) != 1);
+            Event::DaemonStarts { daemon } => self.restart_daemon(daemon),
+            Event::PartitionStarts => {
+                self.partitioned_region = Some(1);
+                self.had_partition = true;
+                // Excludes the partitioned region from the measured delays.
+                for missing in self.daemons_missing_leave.values_mut() {
+                    missing.retain(|daemon| region_of(*daemon) != 1);
                 }
             }
-            Event::CutEnds => {
-                self.cut_region = None;
-                self.cut_ended = Some(self.now);
-                // The store's watch of the region's readers comes back at once.
-                self.tell_readers();
+            Event::PartitionHeals => {
+                self.partitioned_region = None;
+                self.partition_healed_at = Some(self.now);
+                // The region's readers reconnect to the store immediately.
+                self.notify_readers();
             }
         }
     }
 
-    fn start_again(&mut self, daemon: usize) {
-        if self.daemons[daemon].up {
+    fn restart_daemon(&mut self, daemon: usize) {
+        if self.daemons[daemon].is_up {
             return;
         }
         let incarnation = self.daemons[daemon].incarnation + 1;
         let count = self.daemons.len();
-        let hollow = self.hollow_daemon(daemon, incarnation, count, 0);
+        let state = self.new_daemon(daemon, incarnation, count, 0);
         let lifecycle = std::mem::take(&mut self.daemons[daemon].lifecycle);
-        self.daemons[daemon] = HollowDaemon { lifecycle, ..hollow };
+        self.daemons[daemon] = SimulatedDaemon { lifecycle, ..state };
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        let inside = |daemon| Some(region_of(daemon)) == self.cut_region;
-        inside(from) != inside(to)
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        let in_region = |daemon| Some(region_of(daemon)) == self.partitioned_region;
+        in_region(from) != in_region(to)
     }
 
     fn delay(&self, from: usize, to: usize) -> Duration {
         if zone_of(from) == zone_of(to) {
-            IN_ZONE
+            ZONE_LATENCY
         } else if region_of(from) == region_of(to) {
-            IN_REGION
+            REGION_LATENCY
         } else {
-            BETWEEN_REGIONS
+            INTER_REGION_LATENCY
         }
     }
 
@@ -447,9 +451,9 @@
                     let at = self.now + self.delay(daemon, to);
                     self.schedule(at, Event::Datagram { from: daemon, to, bytes });
                 }
-                Effect::Changed(change) => self.note_change(&change.member),
+                Effect::Changed(change) => self.count_false_death(&change.member),
                 Effect::Refuted => {}
-                Effect::Backend(stated) => self.hear_of_server(daemon, stated),
+                Effect::Backend(stated) => self.observe_backend(daemon, stated),
                 Effect::Behind { peer, head } => {
                     let peer = self.by_address[&peer];
                     self.fetch_settings(daemon, peer, head.settings_revision);
@@ -458,85 +462,86 @@
         }
     }
 
-    fn note_change(&mut self, member: &Member) {
+    fn count_false_death(&mut self, member: &Member) {
         let daemon = self.by_address[&member.address];
         let known = &self.daemons[daemon];
-        let is_wrong = known.up && known.incarnation == member.id.incarnation.0;
-        if member.liveness == Liveness::Dead && is_wrong && !self.was_cut {
+        let is_wrong = known.is_up && known.incarnation == member.id.incarnation.0;
+        if member.liveness == Liveness::Dead && is_wrong && !self.had_partition {
             self.false_deaths += 1;
         }
     }
 
     fn fetch_settings(&mut self, daemon: usize, peer: usize, revision: u64) {
-        let hollow = &mut self.daemons[daemon];
-        if hollow.fetching || hollow.revision >= revision {
+        let state = &mut self.daemons[daemon];
+        if state.fetching || state.revision >= revision {
             return;
         }
-        hollow.fetching = true;
+        state.fetching = true;
         self.settings_bytes += SETTINGS_BYTES;
         let at = self.now + self.delay(daemon, peer) * FETCH_ROUND_TRIPS;
         self.schedule(at, Event::Settings { daemon, revision });
     }
 
-    fn take_settings(&mut self, daemon: usize, revision: u64) {
-        let hollow = &mut self.daemons[daemon];
-        hollow.fetching = false;
-        if !hollow.up || hollow.revision >= revision {
+    fn apply_settings(&mut self, daemon: usize, revision: u64) {
+        let state = &mut self.daemons[daemon];
+        state.fetching = false;
+        if !state.is_up || state.revision >= revision {
             return;
         }
-        hollow.revision = revision;
-        hollow
+        state.revision = revision;
+        state
             .detector
             .set_control_versions(ControlVersions { settings_revision: revision, shard_epochs: 0 });
-        let effects = hollow.detector.announce();
+        let effects = state.detector.announce();
         self.apply(daemon, effects);
-        if revision == self.revision && self.waiting_for_edit.remove(&daemon) {
-            let inside = region_of(daemon) == 1;
-            let took = self.now - self.edited_at;
-            self.warn_if_slow("settings", daemon, took);
-            match self.cut_ended {
-                Some(ended) if inside && self.edited_at < ended => {
-                    self.after_cut = self.after_cut.max(self.now - ended);
+        if revision == self.revision && self.daemons_missing_edit.remove(&daemon) {
+            let in_region = region_of(daemon) == 1;
+            let elapsed = self.now - self.edited_at;
+            self.warn_if_slow("settings", daemon, elapsed);
+            match self.partition_healed_at {
+                Some(ended) if in_region && self.edited_at < ended => {
+                    self.max_delay_after_partition =
+                        self.max_delay_after_partition.max(self.now - ended);
                 }
-                _ => self.settings_delay.saturating_record(took.as_millis() as u64),
+                _ => self.settings_delay.saturating_record(elapsed.as_millis() as u64),
             }
         }
     }
 
-    /// Says who was told late, for finding out why.
-    fn warn_if_slow(&self, news: &str, daemon: usize, took: Duration) {
-        if took < SLOW {
+    /// Logs a slow propagation.
+    fn warn_if_slow(&self, update: &str, daemon: usize, elapsed: Duration) {
+        if elapsed < SLOW_PROPAGATION {
             return;
         }
         let known = &self.daemons[daemon];
         log::warn!(
-            "event=told_late news={news} daemon={daemon} region={} incarnation={} now={:?} took={took:?}",
+            "event=told_late news={update} daemon={daemon} region={} incarnation={} now={:?} took={elapsed:?}",
             region_of(daemon),
             known.incarnation,
             self.now
         );
     }
 
-    /// An operator's edit is accepted by the store, which tells its readers.
+    /// Commits an edit of the settings to the store, which notifies its readers.
     fn edit(&mut self) {
         self.revision += 1;
         self.edited_at = self.now;
-        self.waiting_for_edit =
-            (0..self.daemons.len()).filter(|daemon| self.daemons[*daemon].up).collect();
-        self.tell_readers();
+        self.daemons_missing_edit =
+            (0..self.daemons.len()).filter(|daemon| self.daemons[*daemon].is_up).collect();
+        self.notify_readers();
     }
 
-    fn tell_readers(&mut self) {
+    fn notify_readers(&mut self) {
         for region in 0..REGIONS {
             let readers: Vec<usize> = (0..self.daemons.len())
-                .filter(|daemon| region_of(*daemon) == region && self.daemons[*daemon].up)
-                .take(READERS_PER_REGION)
+                .filter(|daemon| region_of(*daemon) == region && self.daemons[*daemon].is_up)
+                .take(STORE_READERS_PER_REGION)
                 .collect();
-            if Some(region) == self.cut_region {
+            if Some(region) == self.partitioned_region {
                 continue;
             }
             for daemon in readers {
-                let delay = if region == 0 { IN_REGION } else { BETWEEN_REGIONS };
+                let delay = if region == 0 { REGION_LATENCY } else { INTER_REGION_LATENCY };
                 self.settings_bytes += SETTINGS_BYTES;
                 let revision = self.revision;
                 self.schedule(self.now + delay, Event::Settings { daemon, revision });
@@ -544,48 +549,48 @@
         }
     }
 
-    /// One daemon hears it from the server itself.
+    /// A server starts leaving and informs one daemon.
     fn server_leaves(&mut self, server: usize) {
-        let up: Vec<usize> =
-            (0..self.daemons.len()).filter(|daemon| self.daemons[*daemon].up).collect();
-        if self.cut_region.is_some() {
+        let is_up: Vec<usize> =
+            (0..self.daemons.len()).filter(|daemon| self.daemons[*daemon].is_up).collect();
+        if self.partitioned_region.is_some() {
             return;
         }
-        let first = up[self.random.random_range(0..up.len())];
-        self.left_at.insert(server, self.now);
-        self.leaving_unknown_to.insert(server, up.into_iter().collect());
+        let first = is_up[self.random.random_range(0..is_up.len())];
+        self.leave_times.insert(server, self.now);
+        self.daemons_missing_leave.insert(server, is_up.into_iter().collect());
         let stated = BackendPhase {
             name: server_name(server),
             incarnation: Incarnation(1),
             phase: Phase::Leaving,
         };
-        self.hear_of_server(first, stated);
+        self.observe_backend(first, stated);
     }
 
-    fn hear_of_server(&mut self, daemon: usize, stated: BackendPhase) {
+    fn observe_backend(&mut self, daemon: usize, stated: BackendPhase) {
         let digits = stated.name.0.trim_start_matches("server-");
-        let server: usize = digits.parse().expect("names are made by this module");
+        let server: usize = digits.parse().expect("this module generates the names");
         let signal = Signal { source: SignalSource::Peer, stated: stated.clone() };
         let now = self.now;
-        let hollow = &mut self.daemons[daemon];
-        if hollow.lifecycle.observe(now, signal).is_none() {
+        let state = &mut self.daemons[daemon];
+        if state.lifecycle.observe(now, signal).is_none() {
             return;
         }
-        hollow.detector.gossip_backend(stated);
-        let effects = hollow.detector.announce();
+        state.detector.gossip_backend(stated);
+        let effects = state.detector.announce();
         self.apply(daemon, effects);
-        let Some(unknown) = self.leaving_unknown_to.get_mut(&server) else {
+        let Some(missing) = self.daemons_missing_leave.get_mut(&server) else {
             return;
         };
-        if unknown.remove(&daemon) {
-            let took = now - self.left_at[&server];
-            self.warn_if_slow("leaving", daemon, took);
-            self.leaving_delay.saturating_record(took.as_millis() as u64);
+        if missing.remove(&daemon) {
+            let elapsed = now - self.leave_times[&server];
+            self.warn_if_slow("leaving", daemon, elapsed);
+            self.leaving_delay.saturating_record(elapsed.as_millis() as u64);
         }
     }
 }
 
-/// Bytes on the wire and processor time of one claim's acquisition, all three replicas included.
+/// Measures one change of a claim with three replicas: bytes on the wire, and CPU time in microseconds.
 fn measure_register_change() -> (f64, f64) {
     const CHANGES: u64 = 2000;
     let nodes: Vec<NodeId> = (0..3).map(|index| NodeId::new(&format!("n{index}"), 1)).collect();
@@ -600,7 +605,7 @@
         let key = claim_key("caller", &format!("key-{number}"));
         for change in [
             ClaimChange::Acquire { attempt: number, holder: nodes[0].clone(), request_digest: 1 },
-            ClaimChange::Settle { attempt: number, answer: answer(), expires: 1 },
+            ClaimChange::Settle { attempt: number, answer: stored_answer(), expires: 1 },
         ] {
             let round = if matches!(change, ClaimChange::Acquire { .. }) { 1 } else { 2 };
             let ballot = Ballot { round, proposer: number };
@@ -637,7 +642,7 @@
     (bytes as f64 / changes, start.elapsed().as_secs_f64() * 1e6 / changes)
 }
 
-fn answer() -> StoredAnswer {
+fn stored_answer() -> StoredAnswer {
     StoredAnswer::Answer {
         status: 200,
         content_type: "application/json".into(),
@@ -657,27 +662,27 @@
         .collect()
 }
 
-/// Fewest and most daemons that have a server in their subset.
+/// Returns the minimum and the maximum number of daemons per server that have it in their subset.
 fn measure_subsets(arguments: &HollowArguments) -> (usize, usize) {
     let backends = backends(arguments.servers);
-    let mut uses: BTreeMap<&BackendName, usize> =
+    let mut daemons_per_server: BTreeMap<&BackendName, usize> =
         backends.iter().map(|backend| (&backend.name, 0)).collect();
     for daemon in 0..arguments.daemons {
         let name = format!("daemon-{daemon:04}");
         let zone = format!("zone-{:02}", zone_of(daemon));
-        for chosen in choose_subset(&name, &zone, SUBSET, backends.iter()) {
-            *uses.entry(&chosen.name).or_default() += 1;
+        for chosen in choose_subset(&name, &zone, SUBSET_SIZE, backends.iter()) {
+            *daemons_per_server.entry(&chosen.name).or_default() += 1;
         }
     }
-    let least = uses.values().min().copied().unwrap_or(0);
-    (least, uses.values().max().copied().unwrap_or(0))
+    let least = daemons_per_server.values().min().copied().unwrap_or(0);
+    (least, daemons_per_server.values().max().copied().unwrap_or(0))
 }
 
-/// Processor time of one choice among a subset, with its end, in microseconds.
-fn measure_choice() -> f64 {
+/// Measures the CPU time of choosing a backend and recording its outcome, in microseconds.
+fn measure_backend_choice() -> f64 {
     const CHOICES: u32 = 50_000;
     let mut router = Router::new("zone-00", 1);
-    router.update(backends(SUBSET).into_iter().map(|backend| (backend, Phase::Live)));
+    router.update(backends(SUBSET_SIZE).into_iter().map(|backend| (backend, Phase::Live)));
     let query =
         Query { pool: "pool", max_in_flight: 64, prefix: Some(7), min_version: None, exclude: &[] };
     let start = Instant::now();
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,4 +1,4 @@
-# Shared by the scripts that start real processes on loopback: source it from the repository's root.
+# Functions for scripts that start real processes on loopback. Source it from the repository root.
 # shellcheck shell=bash
 
 bin=target/release
@@ -10,7 +10,7 @@
     cargo build --release --locked --bins >&2
 }
 
-# Ends by identifier what `start` started.
+# Stops the processes started by `start`.
 stop_all() {
     kill "${pids[@]}" 2>/dev/null || true
     wait "${pids[@]}" 2>/dev/null || true
@@ -24,7 +24,7 @@
     pids+=($!)
 }
 
-# Picks as many free ports as asked, for `address INDEX`.
+# Selects COUNT free ports, which `address INDEX` refers to.
 pick_ports() { # COUNT
     mapfile -t ports < <("$bin/heronbend-emulator" ports "$1")
 }
@@ -33,7 +33,7 @@
     echo "127.0.0.1:${ports[$1]}"
 }
 
-# Starts daemon NUMBER at the port indices HTTP, PEER and ADMIN, with the platform at index 0.
+# Starts daemon NUMBER on the port indices HTTP, PEER and ADMIN; the platform is at index 0.
 start_daemon() { # NUMBER HTTP PEER ADMIN
     start "gauge-$1" "$bin/heronbend" serve --node "gauge-$1" --zone "${zones[$(($1 - 1))]}" \
         --region mauricie --platform "$(address 0)" --listen "$(address "$2")" \
