--- a/crates/heronbend-emulator/src/engine/prefix_cache.rs
+++ b/crates/heronbend-emulator/src/engine/prefix_cache.rs
@@ -35,7 +35,9 @@
 }
 
 impl PrefixCache {
-    /// Marks a prompt's prefix as most recently used, inserting it if needed; returns whether it was cached.
+    /// Marks a prompt's prefix as most recently used, inserting it if needed.
+    ///
+    /// Returns whether it was cached before.
     pub fn touch(&mut self, prompt: &str) -> bool {
         let bytes = prompt.as_bytes();
         let prefix = rapidhash::v3::rapidhash_v3(&bytes[..bytes.len().min(PREFIX_BYTES)]);
--- a/crates/heronbend-emulator/src/experiment/overload.rs
+++ b/crates/heronbend-emulator/src/experiment/overload.rs
@@ -15,11 +15,15 @@
 
 const SERVERS: usize = 8;
 const SLOTS_PER_SERVER: usize = 16;
+/// Mean service time.
 const SERVICE_SECONDS: f64 = 2.0;
+/// Latency up to which a response counts as goodput.
 const DEADLINE_SECONDS: f64 = 10.0;
 const DURATION_SECONDS: f64 = 300.0;
+/// Time for which a request that finds no server is retried.
 const RETRY_WINDOW_SECONDS: f64 = 0.05;
 const REPORT_INTERVAL_SECONDS: f64 = 0.2;
+/// Offered load as multiples of the capacity.
 const LOAD_FACTORS: [f64; 4] = [0.8, 1.0, 2.0, 5.0];
 /// Maximum requests in flight per server under the plain limit: its slots and a short queue.
 const MAX_IN_FLIGHT: usize = SLOTS_PER_SERVER + 4;
--- a/crates/heronbend-emulator/src/experiment/rollout.rs
+++ b/crates/heronbend-emulator/src/experiment/rollout.rs
@@ -30,6 +30,7 @@
 const SAMPLES_PER_PROMPT: u32 = 16;
 const STEPS: u64 = 6;
 const MAX_TOKENS: u32 = 16_384;
+/// Parameters of the log-normal sample lengths, in logarithms of tokens.
 const LOG_MEDIAN: f64 = 6.8;
 const PROMPT_SIGMA: f64 = 0.8;
 const SAMPLE_SIGMA: f64 = 0.35;
@@ -231,10 +232,8 @@
     }
 
     fn next_end(&self) -> Option<(f64, RunningSequence)> {
-        let first = self
-            .running
-            .values()
-            .min_by(|remaining, right| remaining.ends_at.total_cmp(&right.ends_at))?;
+        let first =
+            self.running.values().min_by(|left, right| left.ends_at.total_cmp(&right.ends_at))?;
         let remaining = (first.ends_at - self.iterations).max(0.0);
         Some((self.updated_at + remaining * self.iteration_time(), *first))
     }
@@ -301,8 +300,8 @@
         simulation.run_until_complete(step);
         idle += simulation.now - waiting_since;
         let done = simulation.steps.remove(&step).expect("it was posted");
-        for oldest_versions in &done.oldest_versions {
-            let behind = simulation.version - oldest_versions;
+        for oldest_version in &done.oldest_versions {
+            let behind = simulation.version - oldest_version;
             staleness.record(behind).expect("within bounds");
             stale_sum += behind;
             samples += 1;
@@ -736,13 +735,13 @@
                 (ITERATION_SECONDS + SECONDS_PER_SEQUENCE * batch) * engine.slowdown
             };
             let busy = (0..ENGINES).filter(|index| !self.engines[*index].running.is_empty());
-            let from = busy.max_by(|remaining, right| {
+            let from = busy.max_by(|left, right| {
                 let time = |index: usize| token_time(&self.engines[index], 0);
-                time(*remaining).total_cmp(&time(*right))
+                time(*left).total_cmp(&time(*right))
             });
-            let to = (0..ENGINES).min_by(|remaining, right| {
+            let to = (0..ENGINES).min_by(|left, right| {
                 let time = |index: usize| token_time(&self.engines[index], 1);
-                time(*remaining).total_cmp(&time(*right))
+                time(*left).total_cmp(&time(*right))
             });
             let (Some(from), Some(to)) = (from, to) else {
                 return;
@@ -764,7 +763,7 @@
         let longest = self.engines[from]
             .running
             .values()
-            .max_by(|remaining, right| done(remaining).total_cmp(&done(right)))
+            .max_by(|left, right| done(left).total_cmp(&done(right)))
             .copied();
         if let Some(mut running) = longest {
             let remaining = running.ends_at - self.engines[from].iterations;
--- a/crates/heronbend-emulator/src/experiment/routing.rs
+++ b/crates/heronbend-emulator/src/experiment/routing.rs
@@ -19,6 +19,7 @@
 const SERVERS: usize = 24;
 const ROUTERS: usize = 6;
 const SLOTS_PER_SERVER: usize = 8;
+/// Mean service time.
 const SERVICE_SECONDS: f64 = 0.1;
 const REQUESTS: usize = 60_000;
 /// Offered load as a fraction of the capacity of the non-failing servers.
--- a/crates/heronbend-emulator/src/experiment/weights.rs
+++ b/crates/heronbend-emulator/src/experiment/weights.rs
@@ -22,6 +22,7 @@
 const MAX_SECONDS: f64 = 22.0;
 const TICK_SECONDS: f64 = 0.05;
 
+/// Arms with their serving floors, the fraction of servers that must keep serving.
 const ARMS: [(&str, f64); 4] = [
     ("one at a time", 1.0),
     ("waves, floor 0.9", 0.9),
--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -38,21 +38,28 @@
 const REGIONS: usize = 7;
 const ZONES: usize = 26;
 const STORE_READERS_PER_REGION: usize = 2;
+/// Interval of the failure detector's ticks.
 const TICK: Duration = Duration::from_millis(100);
+/// One-way latency within a zone.
 const ZONE_LATENCY: Duration = Duration::from_micros(250);
+/// One-way latency between zones of a region.
 const REGION_LATENCY: Duration = Duration::from_micros(750);
+/// One-way latency between regions.
 const INTER_REGION_LATENCY: Duration = Duration::from_millis(40);
 /// Duration of a settings fetch from a peer, in link delays.
 const FETCH_ROUND_TRIPS: u32 = 4;
+/// Fault-free time at the start and the end of the simulation.
 const SETTLE_TIME: Duration = Duration::from_secs(30);
 const EDIT_INTERVAL: Duration = Duration::from_secs(20);
 const LEAVE_INTERVAL: Duration = Duration::from_secs(7);
 /// Daily failures and restarts of 380 daemons, all injected within the run.
 const FAILURES: usize = 27;
 const RESTARTS: usize = 100;
+/// Time from a daemon's stop to its restart.
 const DOWN_TIME: Duration = Duration::from_secs(20);
-/// Size of the settings object, about 2,000 nodes.
+/// Size in bytes of a settings object with about 2,000 nodes.
 const SETTINGS_BYTES: u64 = 200_000;
+/// Number of servers in the subset that a daemon uses.
 const SUBSET_SIZE: usize = 40;
 /// Propagation delays of at least this are logged.
 const SLOW_PROPAGATION: Duration = Duration::from_secs(3);
@@ -175,7 +182,7 @@
     let mut fleet = SimulatedFleet::new(arguments);
     let start = Instant::now();
     fleet.run(Duration::from_secs(arguments.seconds));
-    let cpu_seconds = start.elapsed().as_secs_f64();
+    let wall_seconds = start.elapsed().as_secs_f64();
     let resident = resident_kilobytes("self")? - resident_before;
     let (change_bytes, change_micros) = measure_register_change();
     let (least, most) = measure_subsets(arguments);
@@ -189,7 +196,7 @@
         datagrams_per_daemon_second: fleet.datagrams as f64 / daemon_seconds,
         settings_bytes_per_daemon_day: edits_a_day * fleet.settings_bytes as f64
             / (fleet.revision.max(1) as f64 * arguments.daemons as f64),
-        processor_share_per_daemon: cpu_seconds / daemon_seconds,
+        processor_share_per_daemon: wall_seconds / daemon_seconds,
         kilobytes_per_daemon: resident / arguments.daemons as f64,
         settings_delay_p50_ms: fleet.settings_delay.value_at_quantile(0.5),
         settings_delay_max_ms: fleet.settings_delay.max(),
@@ -308,7 +315,8 @@
         SimulatedDaemon { detector, lifecycle, revision, fetching: false, is_up: true, incarnation }
     }
 
-    /// Settings revision of a daemon that starts now: the store's, or in a partitioned region its peers' newest.
+    /// Settings revision of a daemon that starts now: the store's, or the newest among its peers if its
+    /// region is partitioned.
     fn initial_revision(&self, daemon: usize) -> u64 {
         let region = region_of(daemon);
         if Some(region) != self.partitioned_region {
@@ -426,8 +434,8 @@
     }
 
     fn is_partitioned(&self, from: usize, to: usize) -> bool {
-        let in_region = |daemon| Some(region_of(daemon)) == self.partitioned_region;
-        in_region(from) != in_region(to)
+        let is_inside = |daemon| Some(region_of(daemon)) == self.partitioned_region;
+        is_inside(from) != is_inside(to)
     }
 
     fn delay(&self, from: usize, to: usize) -> Duration {
@@ -495,13 +503,13 @@
         let effects = state.detector.announce();
         self.apply(daemon, effects);
         if revision == self.revision && self.daemons_missing_edit.remove(&daemon) {
-            let in_region = region_of(daemon) == 1;
+            let was_partitioned = region_of(daemon) == 1;
             let elapsed = self.now - self.edited_at;
             self.warn_if_slow("settings", daemon, elapsed);
             match self.partition_healed_at {
-                Some(ended) if in_region && self.edited_at < ended => {
+                Some(healed_at) if was_partitioned && self.edited_at < healed_at => {
                     self.max_delay_after_partition =
-                        self.max_delay_after_partition.max(self.now - ended);
+                        self.max_delay_after_partition.max(self.now - healed_at);
                 }
                 _ => self.settings_delay.saturating_record(elapsed.as_millis() as u64),
             }
@@ -551,14 +559,14 @@
 
     /// A server starts leaving and informs one daemon.
     fn server_leaves(&mut self, server: usize) {
-        let is_up: Vec<usize> =
+        let up: Vec<usize> =
             (0..self.daemons.len()).filter(|daemon| self.daemons[*daemon].is_up).collect();
         if self.partitioned_region.is_some() {
             return;
         }
-        let first = is_up[self.random.random_range(0..is_up.len())];
+        let first = up[self.random.random_range(0..up.len())];
         self.leave_times.insert(server, self.now);
-        self.daemons_missing_leave.insert(server, is_up.into_iter().collect());
+        self.daemons_missing_leave.insert(server, up.into_iter().collect());
         let stated = BackendPhase {
             name: server_name(server),
             incarnation: Incarnation(1),
--- a/crates/heronbend-emulator/src/load/mod.rs
+++ b/crates/heronbend-emulator/src/load/mod.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, SeedableRng};
 use smol::{LocalExecutor, Timer};
 
-use report::{LoadReport, Observations};
+use report::{LoadTestReport, Observations};
 use request::{RequestKind, Sender};
 
 /// Flags of `load`.
@@ -81,7 +81,7 @@
 async fn send_and_check(
     executor: Rc<LocalExecutor<'static>>,
     arguments: &LoadArguments,
-) -> anyhow::Result<LoadReport> {
+) -> anyhow::Result<LoadTestReport> {
     let observations = Rc::new(RefCell::new(Observations::default()));
     let end = Instant::now() + Duration::from_secs(arguments.seconds);
     let workers: Vec<_> = (0..arguments.workers)
@@ -99,8 +99,13 @@
         worker.await;
     }
     let observations = observations.take();
-    LoadReport::evaluate(&observations, &arguments.engines, &arguments.apps, &arguments.trainers)
-        .await
+    LoadTestReport::evaluate(
+        &observations,
+        &arguments.engines,
+        &arguments.apps,
+        &arguments.trainers,
+    )
+    .await
 }
 
 struct Worker {
--- a/crates/heronbend-emulator/src/load/report.rs
+++ b/crates/heronbend-emulator/src/load/report.rs
@@ -58,7 +58,7 @@
 
 /// Result of a load run, printed as JSON.
 #[derive(Debug, Serialize)]
-pub struct LoadReport {
+pub struct LoadTestReport {
     requests: u64,
     answers_whole: u64,
     answers_lost: u64,
@@ -82,7 +82,7 @@
     refusal_codes: BTreeMap<String, u64>,
 }
 
-impl LoadReport {
+impl LoadTestReport {
     /// Compares the observations with the ledgers of the backends and the reports of the trainers.
     ///
     /// A ledger that cannot be fetched is skipped; a missing trainer report is an error.
--- a/crates/heronbend-emulator/src/load/request.rs
+++ b/crates/heronbend-emulator/src/load/request.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Sends an alert whose nonce is its idempotency key, since requests with the same key share a response.
+    /// Sends an alert. Its nonce is its idempotency key, since requests with the same key share a response.
     async fn send_alert(&self, identifier: &str, key: &str, daemon: SocketAddr) {
         let mut request = build_request("/alerts", MUNICIPALITY_TOKEN, identifier, daemon);
         request.set_method(Method::Post);
--- a/crates/heronbend-emulator/src/trainer.rs
+++ b/crates/heronbend-emulator/src/trainer.rs
@@ -56,7 +56,8 @@
     /// Training time per step, in milliseconds.
     #[arg(long, default_value_t = 300)]
     train_ms: u64,
-    /// Maximum staleness of a sample, in versions; from 1 on, the next step is generated during training.
+    /// Maximum staleness of a sample, in versions; with 1 or more, the next step is generated during
+    /// training.
     #[arg(long, default_value_t = 1)]
     bound: u64,
     /// Number of the last step; 0 means no limit.
--- a/crates/heronbend-emulator/tests/faults.rs
+++ b/crates/heronbend-emulator/tests/faults.rs
@@ -28,8 +28,8 @@
     cluster.daemons[0].process.kill();
     sleep_seconds(2);
     cluster.daemons[0].process.restart();
-    let verdict = load.finish();
-    assert!(verdict["answers_whole"].as_u64() > Some(500));
+    let load_report = load.finish();
+    assert!(load_report["answers_whole"].as_u64() > Some(500));
     cluster.wait_steps(2);
     cluster.wait_ready();
 }
@@ -56,8 +56,8 @@
     cluster.wait_steps(1);
     cluster.set_platform_fault(r#"{"fault":"down"}"#);
     let load = cluster.start_load(6, false, 3);
-    let verdict = load.finish();
-    assert_eq!(verdict["answers_lost"], 0);
+    let load_report = load.finish();
+    assert_eq!(load_report["answers_lost"], 0);
     cluster.set_platform_fault(r#"{"fault":"none"}"#);
     cluster.wait_steps(2);
 }
@@ -68,8 +68,8 @@
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     cluster.set_platform_fault(r#"{"fault":"slow","millis":800}"#);
-    let verdict = cluster.start_load(5, false, 10).finish();
-    assert_eq!(verdict["answers_lost"], 0);
+    let load_report = cluster.start_load(5, false, 10).finish();
+    assert_eq!(load_report["answers_lost"], 0);
     cluster.wait_steps(1);
     let status = get_json(cluster.daemons[0].admin, "/admin/status").unwrap_or_default();
     assert!(status["steps"].is_array(), "{status}");
@@ -81,9 +81,9 @@
     cluster.start_trainer(1);
     cluster.wait_steps(1);
     cluster.set_platform_fault(r#"{"fault":"forget_machines"}"#);
-    let verdict = cluster.start_load(5, false, 9).finish();
-    assert_eq!(verdict["refusal_codes"]["no_back_end"], serde_json::Value::Null);
-    assert_eq!(verdict["refusal_codes"]["not_run"], serde_json::Value::Null);
+    let load_report = cluster.start_load(5, false, 9).finish();
+    assert_eq!(load_report["refusal_codes"]["no_back_end"], serde_json::Value::Null);
+    assert_eq!(load_report["refusal_codes"]["not_run"], serde_json::Value::Null);
 }
 
 #[test]
@@ -99,9 +99,9 @@
         let daemon = &cluster.daemons[index];
         wait_until("the restarted daemon is ready", || daemon.is_ready());
     }
-    let verdict = load.finish();
-    assert_eq!(verdict["answers_lost"], 0);
-    assert_eq!(verdict["answers_unknown"], 0);
+    let load_report = load.finish();
+    assert_eq!(load_report["answers_lost"], 0);
+    assert_eq!(load_report["answers_unknown"], 0);
     cluster.wait_steps(1);
 }
 
@@ -113,9 +113,9 @@
     let load = cluster.start_load(7, false, 5);
     sleep_seconds(1);
     post(cluster.engines[0].1, "/leave", "");
-    let verdict = load.finish();
-    assert_eq!(verdict["new_work_while_leaving"], 0);
-    assert_eq!(verdict["answers_lost"], 0);
+    let load_report = load.finish();
+    assert_eq!(load_report["new_work_while_leaving"], 0);
+    assert_eq!(load_report["answers_lost"], 0);
 }
 
 #[test]
--- a/crates/heronbend-emulator/tests/support/mod.rs
+++ b/crates/heronbend-emulator/tests/support/mod.rs
@@ -456,10 +456,10 @@
             &emulator_path(),
             &split_arguments(&arguments),
         );
-        Load { process, verdict: path }
+        Load { process, report_path: path }
     }
 
-    /// Sets the platform's fault, allocated as JSON.
+    /// Sets the platform's fault, given as JSON.
     pub fn set_platform_fault(&self, fault: &str) {
         post(self.platform_address, "/control", fault);
     }
@@ -520,16 +520,16 @@
 /// A running load generator.
 pub struct Load {
     process: Process,
-    verdict: PathBuf,
+    report_path: PathBuf,
 }
 
 impl Load {
     /// Waits for the load generator to exit and returns its report; panics if it reports a violation.
     pub fn finish(mut self) -> Value {
         let status = self.process.child.wait().expect("the child can be waited for");
-        let verdict = std::fs::read_to_string(&self.verdict).unwrap_or_default();
-        println!("verdict={verdict}");
+        let report = std::fs::read_to_string(&self.report_path).unwrap_or_default();
+        println!("verdict={report}");
         assert!(status.success(), "{}", self.process.log());
-        serde_json::from_str(&verdict).expect("the verdict is JSON")
+        serde_json::from_str(&report).expect("the report is JSON")
     }
 }
