--- a/crates/heronbend-emulator/src/hollow.rs
+++ b/crates/heronbend-emulator/src/hollow.rs
@@ -598,7 +598,7 @@
     }
 }
 
-/// Measures one change of a claim with three replicas: bytes on the wire, and CPU time in microseconds.
+/// Measures one change of a claim with three replicas: bytes on the wire, and time in microseconds.
 fn measure_register_change() -> (f64, f64) {
     const CHANGES: u64 = 2000;
     let nodes: Vec<NodeId> = (0..3).map(|index| NodeId::new(&format!("n{index}"), 1)).collect();
@@ -686,7 +686,7 @@
     (least, daemons_per_server.values().max().copied().unwrap_or(0))
 }
 
-/// Measures the CPU time of choosing a backend and recording its outcome, in microseconds.
+/// Measures the time of choosing a backend and recording its outcome, in microseconds.
 fn measure_backend_choice() -> f64 {
     const CHOICES: u32 = 50_000;
     let mut router = Router::new("zone-00", 1);
