--- a/crates/heronbend-gateway/src/configuration.rs
+++ b/crates/heronbend-gateway/src/configuration.rs
@@ -141,7 +141,8 @@
     /// API keys of the tenants; `None` disables authentication.
     #[serde(skip)]
     pub access: Option<Rc<Keyring>>,
-    /// Regions in which a tenant's requests may run, by tenant; tenants not listed are unrestricted.
+    /// Regions in which a tenant's requests may run, by tenant; tenants not listed are
+    /// unrestricted.
     #[serde(default)]
     pub tenant_homes: BTreeMap<String, BTreeSet<String>>,
     /// Problems that do not prevent the configuration from taking effect.
--- a/crates/heronbend-gateway/src/dissemination.rs
+++ b/crates/heronbend-gateway/src/dissemination.rs
@@ -1,17 +1,18 @@
 //! Distributes the contents of the store to all daemons through a tree of peers.
 //!
-//! Watching the store from every daemon would cost one call per daemon and change. Instead, the roots of
-//! each zone's tree (see [`heronbend::overlay`]) watch the store, and the other daemons follow their
-//! parents by long polls, which double as heartbeats. A daemon watches the store itself if it is a root or
-//! none of its upstream peers answers; in a small zone, every daemon is a root. A daemon that cannot reach
-//! the store follows roots, of other zones as well. While the roots report that they cannot reach the
-//! store, the other daemons wait instead of calling it.
+//! Watching the store from every daemon would cost one call per daemon and change. Instead, the
+//! roots of each zone's tree (see [`heronbend::overlay`]) watch the store, and the other daemons
+//! follow their parents by long polls, which double as heartbeats. A daemon watches the store
+//! itself if it is a root or none of its upstream peers answers; in a small zone, every daemon is a
+//! root. A daemon that cannot reach the store follows roots, of other zones as well. While the
+//! roots report that they cannot reach the store, the other daemons wait instead of calling it.
 //!
-//! Every reply carries the age of the data at its source, which accumulates over the hops. A daemon whose
-//! data is too old sends no updates, which bounds how long two daemons with differing views of the tree
-//! can follow each other.
+//! Every reply carries the age of the data at its source, which accumulates over the hops. A daemon
+//! whose data is too old sends no updates, which bounds how long two daemons with differing views
+//! of the tree can follow each other.
 //!
-//! Revisions only move forward: an update is applied only if its revision is newer than the known one.
+//! Revisions only move forward: an update is applied only if its revision is newer than the known
+//! one.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -51,8 +52,8 @@
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Backoff before a peer that did not respond is followed again.
 const NO_RESPONSE_BACKOFF: Duration = Duration::from_millis(1500);
-/// Maximum age of data that a root sends: after this time without a response from the store, it may have
-/// missed changes.
+/// Maximum age of data that a root sends: after this time without a response from the store, it may
+/// have missed changes.
 const MAX_AGE: Duration = Duration::from_millis(1800);
 /// Added to [`MAX_AGE`] for each hop: the poll timeout and the network latency.
 const MAX_AGE_PER_HOP: Duration = Duration::from_millis(600);
@@ -75,8 +76,8 @@
 
 /// Selects where this daemon receives the contents of the store from now.
 ///
-/// Prefers its parents in the tree of its zone, then the roots of that tree, then those of other zones.
-/// Falls back to the store if all of them failed recently.
+/// Prefers its parents in the tree of its zone, then the roots of that tree, then those of other
+/// zones. Falls back to the store if all of them failed recently.
 pub fn select_upstream(gateway: &Gateway) -> Upstream {
     let this_node = &gateway.identity;
     let tree = gateway.tree();
@@ -112,8 +113,8 @@
     Upstream::Store
 }
 
-/// How long a daemon without a usable upstream waits for an update, which may take several hops, before it
-/// calls the store. Zero if the roots serve all other daemons directly.
+/// How long a daemon without a usable upstream waits for an update, which may take several hops,
+/// before it calls the store. Zero if the roots serve all other daemons directly.
 fn initial_wait(tree: &Tree, node: &NodeId) -> Duration {
     if tree.height() < 2 {
         return Duration::ZERO;
@@ -121,8 +122,8 @@
     SNAPSHOT_HOP_TIME * (tree.depth(node) + 1)
 }
 
-/// Whether the store has responded to this daemon for long enough that the roots should have recovered as
-/// well, unless the store rejects only them.
+/// Whether the store has responded to this daemon for long enough that the roots should have
+/// recovered as well, unless the store rejects only them.
 fn has_store_recovered(gateway: &Gateway) -> bool {
     let is_responding = gateway.store.since_last_response() < MAX_AGE;
     let hops = gateway.tree().depth(&gateway.identity.node).max(1);
@@ -159,8 +160,8 @@
     packed.collect()
 }
 
-/// Returns uncompressed snapshots of all kinds, for a starting daemon of an earlier build. Empty unless this
-/// daemon watches the store and its data is fresh.
+/// Returns uncompressed snapshots of all kinds, for a starting daemon of an earlier build. Empty
+/// unless this daemon watches the store and its data is fresh.
 pub fn legacy_snapshots(gateway: &Gateway) -> Vec<KindSnapshot> {
     if select_upstream(gateway) != Upstream::Store || !is_store_current(gateway) {
         return Vec::new();
@@ -196,8 +197,8 @@
     logged.insert(kind, upstream.clone());
 }
 
-/// Waits for changes of a kind from the upstream peers; `None` if none of them sends any, or a list is
-/// needed.
+/// Waits for changes of a kind from the upstream peers; `None` if none of them sends any, or a list
+/// is needed.
 pub async fn next_changes(
     gateway: &Gateway,
     kind: &'static str,
@@ -217,8 +218,8 @@
     Some(update.into_changes())
 }
 
-/// Fetches all objects of a kind from the upstream peers; `None` if all failed, or the snapshot is older
-/// than this daemon's own data.
+/// Fetches all objects of a kind from the upstream peers; `None` if all failed, or the snapshot is
+/// older than this daemon's own data.
 pub async fn fetch_snapshot(
     gateway: &Gateway,
     kind: &'static str,
@@ -231,8 +232,9 @@
 
 /// Waits for the next update of a kind; `None` once all peers have failed.
 ///
-/// The configuration is small and urgent, so all peers are polled at once and the first update wins. Other
-/// kinds can be large: one peer is polled at a time, and the next one only after it has failed.
+/// The configuration is small and urgent, so all peers are polled at once and the first update
+/// wins. Other kinds can be large: one peer is polled at a time, and the next one only after it has
+/// failed.
 async fn next_update(
     gateway: &Gateway,
     kind: &'static str,
@@ -251,8 +253,8 @@
     None
 }
 
-/// The order in which a follower polls its upstream peers. Balances the followers of the same peers between
-/// the first two.
+/// The order in which a follower polls its upstream peers. Balances the followers of the same peers
+/// between the first two.
 pub fn failover_order(follower: &NodeId, peers: &[NodeId]) -> Vec<NodeId> {
     let mut order = peers.to_vec();
     let is_odd = rapidhash_v3(follower.name.0.as_bytes()) & 1 == 1;
@@ -361,8 +363,8 @@
     (age < MAX_AGE + MAX_AGE_PER_HOP * hops).then_some(age)
 }
 
-/// Handles a long poll of a follower. Any daemon is served, whatever this daemon's view of the tree: the
-/// reply carries the age of the data.
+/// Handles a long poll of a follower. Any daemon is served, whatever this daemon's view of the
+/// tree: the reply carries the age of the data.
 pub async fn handle_follow(
     gateway: &Rc<Gateway>,
     kind: &str,
--- a/crates/heronbend-gateway/src/duties/reporting.rs
+++ b/crates/heronbend-gateway/src/duties/reporting.rs
@@ -110,8 +110,8 @@
         if position == 0 {
             return now >= since;
         }
-        // A new holder waits until the former one may no longer act. Taking the lease from it in the
-        // meantime would restart the wait.
+        // A new holder waits until the former one may no longer act. Taking the lease from it in
+        // the meantime would restart the wait.
         let holder_active = gateway.duty_lease.last_renewal_at().unwrap_or_default()
             + LEASE_DURATION
             + gateway.tuning().lease_pause;
--- a/crates/heronbend-gateway/src/duties/scaling.rs
+++ b/crates/heronbend-gateway/src/duties/scaling.rs
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Reads the stored planner state. Returns `None` if the store fails or the record is malformed.
+    /// Reads the stored planner state. Returns `None` if the store fails or the record is
+    /// malformed.
     async fn load_plan(&self, service: &str) -> Option<ServicePlan> {
         match self.gateway.store.get(RECORD_KIND, service).await {
             Ok(None) => {
--- a/crates/heronbend-gateway/src/failover_store.rs
+++ b/crates/heronbend-gateway/src/failover_store.rs
@@ -1,5 +1,5 @@
-//! An [`ObjectStore`] that calls the store directly, and relays calls through a peer while the direct
-//! path fails. Counts calls by kind.
+//! An [`ObjectStore`] that calls the store directly, and relays calls through a peer while the
+//! direct path fails. Counts calls by kind.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -21,7 +21,8 @@
 
 /// Time after a failure for which the direct path counts as unreachable, unless a call succeeds.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(2500);
-/// Time after a response for which calls without a result do not count as a failure of the direct path.
+/// Time after a response for which calls without a result do not count as a failure of the direct
+/// path.
 const RESPONSE_VALID_FOR: Duration = Duration::from_millis(1800);
 /// Consecutive throttled calls after which the direct path counts as unreachable.
 const MAX_CONSECUTIVE_THROTTLES: u32 = 3;
@@ -77,8 +78,8 @@
 
     /// Records the result of a direct call.
     ///
-    /// A call without a result does not count as a failure of the path while other calls are answered.
-    /// Throttled calls only count after [`MAX_CONSECUTIVE_THROTTLES`] in a row.
+    /// A call without a result does not count as a failure of the path while other calls are
+    /// answered. Throttled calls only count after [`MAX_CONSECUTIVE_THROTTLES`] in a row.
     fn record_result<T>(&self, kind: &str, result: &Result<T, StoreError>) {
         self.metrics.record_store_call(metric_label(kind));
         let now = self.clock.now();
--- a/crates/heronbend-gateway/src/http/client.rs
+++ b/crates/heronbend-gateway/src/http/client.rs
@@ -1,7 +1,7 @@
 //! An HTTP client with a pool of reusable connections.
 //!
-//! An exchange owns the driver task of its connection: dropping the exchange closes the socket, which
-//! signals cancellation to the server.
+//! An exchange owns the driver task of its connection: dropping the exchange closes the socket,
+//! which signals cancellation to the server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -135,7 +135,8 @@
         Self::with_open_observer(executor, connect_timeout, |_| {})
     }
 
-    /// Like [`ConnectionPool::new`], with a callback that is called for each connection that is opened.
+    /// Like [`ConnectionPool::new`], with a callback that is called for each connection that is
+    /// opened.
     pub fn with_open_observer(
         executor: Rc<LocalExecutor<'static>>,
         connect_timeout: Duration,
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Reads the rest of a discarded response in the background, so that its connection can be reused.
+    /// Reads the rest of a discarded response in the background, so that its connection can be
+    /// reused.
     pub fn drain(&self, exchange: Exchange) {
         let draining = with_timeout(DRAIN_TIMEOUT, exchange.read_full(MAX_DRAIN_BYTES));
         let draining = async move {
@@ -298,8 +300,8 @@
     }
 }
 
-/// Disables Nagle's algorithm, and makes the kernel detect a dead peer while data is unacknowledged and
-/// while the connection is idle.
+/// Disables Nagle's algorithm, and makes the kernel detect a dead peer while data is unacknowledged
+/// and while the connection is idle.
 fn configure_socket(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let socket_ref = socket2::SockRef::from(socket);
--- a/crates/heronbend-gateway/src/http/mod.rs
+++ b/crates/heronbend-gateway/src/http/mod.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 on `hyper` and `smol`.
 //!
-//! The gateway forwards requests unmodified, supports responses that are delimited by the end of the
-//! connection, and cancels the work of a server when its client disconnects. `async-h1`, which the
-//! standalone daemon uses, supports none of this; see docs/DESIGN.md.
+//! The gateway forwards requests unmodified, supports responses that are delimited by the end of
+//! the connection, and cancels the work of a server when its client disconnects. `async-h1`, which
+//! the standalone daemon uses, supports none of this; see docs/DESIGN.md.
 //!
 //! - [`body`]: response bodies.
 //! - [`client`]: a client with pooled connections to servers and peers.
--- a/crates/heronbend-gateway/src/lib.rs
+++ b/crates/heronbend-gateway/src/lib.rs
@@ -14,10 +14,11 @@
 //! - [`quarantine`]: quarantine of requests that crash servers.
 //! - [`batch`]: batch jobs.
 //! - [`versions`]: rollout of model versions.
-//! - [`duties`], [`lease_manager`], [`lease_state`]: tasks that one lease holder runs for the fleet.
+//! - [`duties`], [`lease_manager`], [`lease_state`]: tasks that one lease holder runs for the
+//!   fleet.
 //! - [`peers`]: membership and messages between daemons.
-//! - [`failover_store`], [`reflector`], [`replica`], [`compressed_update`], [`upstream`], [`dissemination`],
-//!   [`configuration`]: access to the store and distribution of its updates.
+//! - [`failover_store`], [`reflector`], [`replica`], [`compressed_update`], [`upstream`],
+//!   [`dissemination`], [`configuration`]: access to the store and distribution of its updates.
 //! - [`clock`], [`wait`]: time and timeouts.
 //! - [`memory`]: memory budget for request bodies.
 //! - [`service`], [`retirement`], [`settings`], [`reload`]: programs and their settings.
--- a/crates/heronbend-gateway/src/logging.rs
+++ b/crates/heronbend-gateway/src/logging.rs
@@ -33,7 +33,8 @@
 }
 
 impl Buffer {
-    /// Appends a line without blocking. Returns `false` if the buffer is full and the line is dropped.
+    /// Appends a line without blocking. Returns `false` if the buffer is full and the line is
+    /// dropped.
     pub fn push(&self, line: &str) -> bool {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         if pending.len() + line.len() > CAPACITY_BYTES {
--- a/crates/heronbend-gateway/src/peers/bootstrap.rs
+++ b/crates/heronbend-gateway/src/peers/bootstrap.rs
@@ -1,8 +1,9 @@
-//! Fetches the initial state of a starting daemon from a running one: members, jobs, leases and snapshots of
-//! the replicated objects.
+//! Fetches the initial state of a starting daemon from a running one: members, jobs, leases and
+//! snapshots of the replicated objects.
 //!
-//! This saves the store from listing every kind at each start. A daemon that receives no snapshots lists the
-//! objects itself. Jobs are also exchanged periodically later on, because hints about them may be lost.
+//! This saves the store from listing every kind at each start. A daemon that receives no snapshots
+//! lists the objects itself. Jobs are also exchanged periodically later on, because hints about
+//! them may be lost.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -35,8 +36,8 @@
 
 /// Time after the start within which another daemon has to be discovered.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Timeout of the bootstrap at the first start of the whole system. Long enough for the daemons that watch
-/// the store to list the objects.
+/// Timeout of the bootstrap at the first start of the whole system. Long enough for the daemons
+/// that watch the store to list the objects.
 const FIRST_START_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Timeout of the bootstrap at every other start. Short, since callers may be waiting.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(250);
@@ -48,10 +49,11 @@
 const NO_RESPONSE_BACKOFF: Duration = Duration::from_millis(1500);
 /// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Largest total size of the snapshots in one reply, in bytes before compression. Bounds the network and CPU
-/// load when many daemons start at once.
+/// Largest total size of the snapshots in one reply, in bytes before compression. Bounds the
+/// network and CPU load when many daemons start at once.
 const MAX_OBJECT_BYTES: usize = 640 * 1024;
-/// Delay before the jobs are fetched from a second peer, since the first one may have just started too.
+/// Delay before the jobs are fetched from a second peer, since the first one may have just started
+/// too.
 const JOB_REFRESH_DELAY: Duration = Duration::from_millis(1500);
 
 /// Progress and result of this daemon's bootstrap.
@@ -169,7 +171,8 @@
         if let Some(new) = fetch_from_peer(gateway, result.is_some()).await {
             let is_complete = new.knows_objects && new.knows_jobs;
             result = Some(new);
-            // A tree root lists the store itself, once it knows the members that determine the tree.
+            // A tree root lists the store itself, once it knows the members that determine the
+            // tree.
             let known = gateway.members.alive_count();
             let is_membership_settled =
                 gateway.now() >= MEMBERSHIP_SETTLE_TIME || known == previous_count;
@@ -183,8 +186,8 @@
     result
 }
 
-/// Fetches the state from one peer, preferably an upstream peer, and applies it. The members can be omitted
-/// to reduce the size of the reply.
+/// Fetches the state from one peer, preferably an upstream peer, and applies it. The members can be
+/// omitted to reduce the size of the reply.
 async fn fetch_from_peer(gateway: &Rc<Gateway>, without_members: bool) -> Option<BootstrapResult> {
     let known = match dissemination::select_upstream(gateway) {
         Upstream::Peers(peers) => peers,
--- a/crates/heronbend-gateway/src/peers/client.rs
+++ b/crates/heronbend-gateway/src/peers/client.rs
@@ -17,8 +17,8 @@
 const NETWORK_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_REPLY_BYTES: usize = 32 * 1024 * 1024;
 
-/// Calls a peer, which may hold the call for up to `wait`. Returns `None` if the call fails, or the reply
-/// is malformed.
+/// Calls a peer, which may hold the call for up to `wait`. Returns `None` if the call fails, or the
+/// reply is malformed.
 pub async fn call(
     gateway: &Gateway,
     node: &NodeId,
--- a/crates/heronbend-gateway/src/peers/membership.rs
+++ b/crates/heronbend-gateway/src/peers/membership.rs
@@ -35,10 +35,11 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Ticks between two pings of the seeds while no other member is known.
 const SEED_PING_TICKS: u32 = 5;
-/// How long this daemon's configuration may lag behind that of a peer before its watches are restarted.
+/// How long this daemon's configuration may lag behind that of a peer before its watches are
+/// restarted.
 const BEHIND_GRACE: Duration = Duration::from_millis(700);
-/// Shortest time between two publications of the member list. The list is always published as a whole, so
-/// bursts of changes are batched.
+/// Shortest time between two publications of the member list. The list is always published as a
+/// whole, so bursts of changes are batched.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(30);
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 const MAX_REQUEST_BYTES: usize = 32 * 1024 * 1024;
--- a/crates/heronbend-gateway/src/peers/messages.rs
+++ b/crates/heronbend-gateway/src/peers/messages.rs
@@ -26,7 +26,8 @@
     Hint(Hint),
 }
 
-/// Advance notice of a change that the receiver would otherwise learn later from the store or a server.
+/// Advance notice of a change that the receiver would otherwise learn later from the store or a
+/// server.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Hint {
     /// A server accepted a command to load a version.
@@ -148,13 +149,13 @@
         since: u64,
         /// How long to wait for an update, in milliseconds.
         wait_millis: u64,
-        /// Whether the follower verifies the digest of updates and supports [`PeerReply::Current`]. Daemons
-        /// of an earlier build do neither.
+        /// Whether the follower verifies the digest of updates and supports [`PeerReply::Current`].
+        /// Daemons of an earlier build do neither.
         #[musli(default)]
         checks: bool,
     },
-    /// Requests the state that a starting daemon needs: members, jobs, leases and
-    /// suspected requests.
+    /// Requests the state that a starting daemon needs: members, jobs, leases and suspected
+    /// requests.
     Introduce {
         /// Whether to include the replicated objects.
         with_objects: bool,
@@ -245,7 +246,8 @@
         /// Compressed snapshots of the replicated objects.
         #[musli(default)]
         packed_kinds: Vec<CompressedSnapshot>,
-        /// Whether the snapshots were omitted because of their size: the caller has to follow the kinds.
+        /// Whether the snapshots were omitted because of their size: the caller has to follow the
+        /// kinds.
         #[musli(default)]
         has_many_objects: bool,
     },
@@ -263,7 +265,8 @@
     },
     /// The peer runs the job.
     Running,
-    /// The peer does not run this job, does not serve this kind, or does not issue permits for this server.
+    /// The peer does not run this job, does not serve this kind, or does not issue permits for this
+    /// server.
     NotOwner,
     /// The peer has no data of this kind yet, or its data is stale.
     Uninformed,
--- a/crates/heronbend-gateway/src/peers/mod.rs
+++ b/crates/heronbend-gateway/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Communication between daemons: failure detection, best-effort hints, and calls.
 //!
-//! Correctness does not depend on any of it: an isolated daemon still serves requests, and the store
-//! decides who owns a job and who holds a lease.
+//! Correctness does not depend on any of it: an isolated daemon still serves requests, and the
+//! store decides who owns a job and who holds a lease.
 
 pub mod bootstrap;
 pub mod client;
@@ -177,8 +177,8 @@
         alive.filter(|member| member.region == region).map(|member| member.id.clone()).collect()
     }
 
-    /// The other daemons of a zone that belong to its overlay tree. Includes suspects: most refute the
-    /// suspicion, and followers fail over as soon as a peer does not answer.
+    /// The other daemons of a zone that belong to its overlay tree. Includes suspects: most refute
+    /// the suspicion, and followers fail over as soon as a peer does not answer.
     pub fn overlay_candidates(&self, zone: &str) -> Vec<Candidate> {
         let members = self.members.borrow();
         let possibly_alive = members.iter().filter(|member| member.liveness <= Liveness::Suspect);
--- a/crates/heronbend-gateway/src/peers/store_relay.rs
+++ b/crates/heronbend-gateway/src/peers/store_relay.rs
@@ -1,7 +1,7 @@
 //! Relays calls to the store for peers that cannot reach it.
 //!
-//! The store may be unreachable from single machines. A daemon whose direct path fails asks a peer, which
-//! makes the call itself or rejects it at once.
+//! The store may be unreachable from single machines. A daemon whose direct path fails asks a peer,
+//! which makes the call itself or rejects it at once.
 
 use super::store_messages::StoreCall;
 use super::store_messages::StoreReply;
--- a/crates/heronbend-gateway/src/ports/mod.rs
+++ b/crates/heronbend-gateway/src/ports/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! - [`object_store`]: objects by kind and name, with conditional writes and watches. Holds all
 //!   durable state.
-//! - [`provider`]: the infrastructure provider, which receives usage reports and orders for servers.
+//! - [`provider`]: the infrastructure provider, which receives usage reports and orders for
+//!   servers.
 //! - [`dialect`]: format of API calls, headers and stored objects.
 //!
 //! `heronbend-platform` implements them for the users' platform; tests use in-memory
--- a/crates/heronbend-gateway/src/quarantine/crash_detection.rs
+++ b/crates/heronbend-gateway/src/quarantine/crash_detection.rs
@@ -1,10 +1,10 @@
 //! Detects server crashes from broken connections.
 //!
 //! The client sees the same broken connection whether the link failed or the server crashed. A new
-//! connection tells them apart: the host refuses it if the process has exited. The address is probed
-//! several times, since a process takes a moment to close all its sockets. Crashes that the probes
-//! miss are detected later, by the removal of the server's registration or by a report from another
-//! daemon.
+//! connection tells them apart: the host refuses it if the process has exited. The address is
+//! probed several times, since a process takes a moment to close all its sockets. Crashes that the
+//! probes miss are detected later, by the removal of the server's registration or by a report from
+//! another daemon.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 
 /// Records that a request's connection to a server broke after `events` response events.
 ///
-/// Only an attempt without events counts. Other requests resume after the events they received, so a
-/// request that crashes servers at a later event receives none in its next attempt.
+/// Only an attempt without events counts. Other requests resume after the events they received, so
+/// a request that crashes servers at a later event receives none in its next attempt.
 pub fn note_broken_connection(
     gateway: &Rc<Gateway>,
     server: &Rc<Server>,
--- a/crates/heronbend-gateway/src/quarantine/gossip.rs
+++ b/crates/heronbend-gateway/src/quarantine/gossip.rs
@@ -13,8 +13,8 @@
 use crate::gateway::Gateway;
 use crate::peers::Hint;
 
-/// How long to collect reports before sending them. The connections to a crashed server break within
-/// this time of each other.
+/// How long to collect reports before sending them. The connections to a crashed server break
+/// within this time of each other.
 const BATCHING_WINDOW: Duration = Duration::from_millis(15);
 /// Keeps a datagram below 8 KiB; a report with a few crashes takes about 100 bytes.
 const MAX_REPORTS_PER_DATAGRAM: usize = 30;
--- a/crates/heronbend-gateway/src/quarantine/isolation.rs
+++ b/crates/heronbend-gateway/src/quarantine/isolation.rs
@@ -5,8 +5,8 @@
 //! hashing, reserves each server for one such request at a time. Otherwise all suspects that wait
 //! for a restarted server would run there together and be blamed together.
 //!
-//! Reservations are best effort. If the coordinator is unreachable, or daemons disagree about who it
-//! is, a wrongly blamed request is released by a probe.
+//! Reservations are best effort. If the coordinator is unreachable, or daemons disagree about who
+//! it is, a wrongly blamed request is released by a probe.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/heronbend-gateway/src/quarantine/mod.rs
+++ b/crates/heronbend-gateway/src/quarantine/mod.rs
@@ -117,8 +117,8 @@
     matches!(admission(gateway, request), Admission::Allowed | Admission::Isolated)
 }
 
-/// Sets in `history` whether a request must run isolated, and whether it must spare the last healthy
-/// server.
+/// Sets in `history` whether a request must run isolated, and whether it must spare the last
+/// healthy server.
 pub fn set_isolation(
     gateway: &Gateway,
     mode: SendMode,
@@ -139,8 +139,8 @@
     gateway.quarantine.table.borrow().admission(gateway.now(), request())
 }
 
-/// Whether a response status shows that a server executed the request. Overloaded servers, and those
-/// that fail every request, respond without executing it.
+/// Whether a response status shows that a server executed the request. Overloaded servers, and
+/// those that fail every request, respond without executing it.
 fn proves_execution(status: StatusCode) -> bool {
     let not_executed = [
         StatusCode::REQUEST_TIMEOUT,
--- a/crates/heronbend-gateway/src/quarantine/record.rs
+++ b/crates/heronbend-gateway/src/quarantine/record.rs
@@ -128,7 +128,8 @@
         let content = json!(RecordContent::new(gateway, request, 0));
         match gateway.store.create(KIND, &request.to_string(), content).await {
             // The request was cleared while the record was written. A known record does not mean
-            // that it is still quarantined, since the watch may deliver it before the write returns.
+            // that it is still quarantined, since the watch may deliver it before the write
+            // returns.
             Ok(_) if !is_quarantined() => remove(gateway, request),
             Ok(object) => {
                 apply_record(gateway, &object);
@@ -266,8 +267,8 @@
 
 struct RecordSink {
     gateway: Rc<Gateway>,
-    /// Requests whose records were delivered by the watch. A listing may be older than a record that
-    /// this daemon wrote itself, so only these are released when missing from it.
+    /// Requests whose records were delivered by the watch. A listing may be older than a record
+    /// that this daemon wrote itself, so only these are released when missing from it.
     seen: RefCell<BTreeSet<Fingerprint>>,
 }
 
--- a/crates/heronbend-gateway/src/reflector.rs
+++ b/crates/heronbend-gateway/src/reflector.rs
@@ -69,8 +69,8 @@
     Peers,
 }
 
-/// Lists and watches a kind until the daemon exits. Waits for `batch_delay` after each batch of changes,
-/// so that further changes arrive with one call.
+/// Lists and watches a kind until the daemon exits. Waits for `batch_delay` after each batch of
+/// changes, so that further changes arrive with one call.
 pub async fn run(
     gateway: Rc<Gateway>,
     kind: &'static str,
@@ -212,8 +212,8 @@
 /// Watches until a new list is needed: the history was compacted, the watch failed, or a restart of
 /// all watches was requested.
 ///
-/// A failed watch is not resumed from the same revision: the missed changes may be compacted while the
-/// new watch is already waiting, and would then never be delivered.
+/// A failed watch is not resumed from the same revision: the missed changes may be compacted while
+/// the new watch is already waiting, and would then never be delivered.
 async fn watch_from(
     gateway: &Gateway,
     kind: &'static str,
@@ -269,11 +269,11 @@
     }
 }
 
-/// Probes the store whenever it has not responded for [`PROBE_AFTER`], and restarts all watches once
-/// it responds again.
+/// Probes the store whenever it has not responded for [`PROBE_AFTER`], and restarts all watches
+/// once it responds again.
 ///
-/// A watch that was started during an outage may never be answered, and one whose connection was lost
-/// receives nothing; both would go unnoticed until their timeout.
+/// A watch that was started during an outage may never be answered, and one whose connection was
+/// lost receives nothing; both would go unnoticed until their timeout.
 pub async fn probe_store(gateway: Rc<Gateway>) {
     let mut failures = 0;
     loop {
@@ -393,7 +393,8 @@
 
 /// Waits until a probe of the store succeeds, for at most [`MAX_PROBE_WAIT`], plus jitter.
 ///
-/// If the store responds already, sleeps for the backoff of `failures` consecutive failures instead.
+/// If the store responds already, sleeps for the backoff of `failures` consecutive failures
+/// instead.
 pub async fn wait_for_store(gateway: &Gateway, failures: u32) {
     if gateway.store.is_reachable() && gateway.store.since_last_response() < PROBE_AFTER {
         Timer::after(backoff(failures)).await;
@@ -404,7 +405,8 @@
     Timer::after(backoff(1)).await;
 }
 
-/// Returns a capped exponential backoff with jitter after `failures` consecutive failures (at least 1).
+/// Returns a capped exponential backoff with jitter after `failures` consecutive failures (at least
+/// 1).
 pub fn backoff(failures: u32) -> Duration {
     let doubled = BACKOFF_BASE * 2_u32.pow(failures.saturating_sub(1).min(8));
     doubled.min(BACKOFF_CAP).mul_f64(0.5 + rand::rng().random::<f64>() / 2.0)
--- a/crates/heronbend-gateway/src/replica.rs
+++ b/crates/heronbend-gateway/src/replica.rs
@@ -29,7 +29,8 @@
     revision: Revision,
     /// Tombstones up to this revision were discarded.
     compacted: Revision,
-    /// Revision of the last list, which does not include objects that were created and removed before.
+    /// Revision of the last list, which does not include objects that were created and removed
+    /// before.
     list_revision: Revision,
     /// Tombstones that are kept however few objects there are.
     min_tombstones: usize,
@@ -157,12 +158,12 @@
         self.revision
     }
 
-    /// Returns the changes since a revision, or a snapshot if the tombstones do not reach that far back;
-    /// `None` if the replica is not newer.
+    /// Returns the changes since a revision, or a snapshot if the tombstones do not reach that far
+    /// back; `None` if the replica is not newer.
     ///
-    /// Objects that were created and removed before the last list have no tombstone, but a follower may
-    /// have received them from another peer. A follower that verifies the digest detects this; others
-    /// receive a snapshot.
+    /// Objects that were created and removed before the last list have no tombstone, but a follower
+    /// may have received them from another peer. A follower that verifies the digest detects this;
+    /// others receive a snapshot.
     pub fn update_since(&self, revision: Revision, verification: Verification) -> Option<Update> {
         if revision >= self.revision {
             return None;
@@ -184,8 +185,8 @@
         })
     }
 
-    /// Whether the names in this replica would match the sender's digest after applying the update. Always
-    /// true for an update without a digest.
+    /// Whether the names in this replica would match the sender's digest after applying the update.
+    /// Always true for an update without a digest.
     pub fn accepts(&self, update: &Update) -> bool {
         let Some(expected) = update.digest else {
             return true;
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -348,7 +348,8 @@
 }
 
 impl ObjectHandler for ConfigurationSink {
-    fn retain(&self, _names: &BTreeSet<String>) { // A deleted configuration stays active until it is replaced.
+    fn retain(&self, _names: &BTreeSet<String>) {
+        // A deleted configuration stays active until it is replaced.
     }
 
     fn upsert(&self, object: &Object) {
--- a/crates/heronbend-gateway/src/steps.rs
+++ b/crates/heronbend-gateway/src/steps.rs
@@ -38,7 +38,8 @@
     pub submission: f64,
     /// Duration from the submission until the deciding item was completed.
     pub generation: f64,
-    /// Duration from then until the last results before the end were committed; 0 if they already were.
+    /// Duration from then until the last results before the end were committed; 0 if they already
+    /// were.
     pub commit: f64,
     /// Duration from then until the trainer ended the step.
     pub completion: f64,
--- a/crates/heronbend-gateway/src/summary_plot.rs
+++ b/crates/heronbend-gateway/src/summary_plot.rs
@@ -1,5 +1,5 @@
-//! Plots a [`FleetSummary`] over time: the duration of each step, coloured by the cause of its delay,
-//! and the rate of calls to the store.
+//! Plots a [`FleetSummary`] over time: the duration of each step, coloured by the cause of its
+//! delay, and the rate of calls to the store.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/heronbend-gateway/src/versions/dispatcher.rs
+++ b/crates/heronbend-gateway/src/versions/dispatcher.rs
@@ -139,12 +139,13 @@
         busy: RefCell::default(),
         planning_time: Cell::default(),
     });
-    gateway.members.bootstrap.wait().await; // Other daemons learn of the holder and its renewals from peers.
+    // Other daemons learn of the holder and its renewals from peers.
+    gateway.members.bootstrap.wait().await;
     if is_candidate(&gateway) || !gateway.members.bootstrap.is_complete() {
         dispatcher.lease.read().await;
     }
     loop {
-        // Until the introduction is over, the set of live daemons is unknown.
+        // Until the membership grace period ends, the set of live daemons is unknown.
         Timer::after(MEMBERSHIP_GRACE.saturating_sub(gateway.now())).await;
         let changed = gateway.versions.changed.listen();
         for load in dispatcher.next_loads().await {
@@ -280,8 +281,8 @@
     /// Time during which commands were possible but none was accepted.
     ///
     /// Excludes the time before the newest version was published, the holder's wait after a
-    /// takeover, and store outages: the lease cannot be renewed then, and a change of holder costs a
-    /// pause.
+    /// takeover, and store outages: the lease cannot be renewed then, and a change of holder costs
+    /// a pause.
     fn idle_time(&self) -> Duration {
         let versions = &self.gateway.versions;
         let newest = versions.newest();
@@ -383,7 +384,8 @@
         self.await_load(&server, load).await
     }
 
-    /// Polls a server until it has loaded the version. Returns false if the load fails or times out.
+    /// Polls a server until it has loaded the version. Returns false if the load fails or times
+    /// out.
     async fn await_load(&self, server: &Server, load: &Load) -> bool {
         let started = self.gateway.now();
         let mut delay = FIRST_POLL_DELAY;
--- a/crates/heronbend-gateway/src/versions/lease.rs
+++ b/crates/heronbend-gateway/src/versions/lease.rs
@@ -2,9 +2,9 @@
 //!
 //! Servers may not check fencing tokens, so the lease alone must prevent two active holders. It is
 //! an object in the store, renewed by compare-and-swap. A holder may act for a fixed time after it
-//! *sent* its last renewal, by its own monotonic clock. A takeover by compare-and-swap makes further
-//! renewals of the former holder fail. The new holder waits until the former one's time to act has
-//! ended, and then for the configured pause.
+//! *sent* its last renewal, by its own monotonic clock. A takeover by compare-and-swap makes
+//! further renewals of the former holder fail. The new holder waits until the former one's time to
+//! act has ended, and then for the configured pause.
 //!
 //! Each renewal changes the record, so each revision stands for one renewal. A renewal was sent
 //! before its revision became known, so the wait counts from that time and not from the takeover.
@@ -19,7 +19,8 @@
 
 /// How long a holder may act after it sent a renewal.
 pub const LEASE_DURATION: Duration = Duration::from_millis(1500);
-/// How long before the lease ends the holder stops acting, so that its commands also arrive in time.
+/// How long before the lease ends the holder stops acting, so that its commands also arrive in
+/// time.
 const ACT_MARGIN: Duration = Duration::from_millis(300);
 
 /// Contents of the lease object.
--- a/crates/heronbend-gateway/src/versions/plan.rs
+++ b/crates/heronbend-gateway/src/versions/plan.rs
@@ -1,15 +1,15 @@
 //! Plans which servers load which version.
 //!
 //! A step may run on the version before its own number, so a server need not load every version:
-//! half of a model's servers load the odd versions and half the even ones. One half serves while the
-//! other loads. If a model has slow steps, all its servers load every version.
+//! half of a model's servers load the odd versions and half the even ones. One half serves while
+//! the other loads. If a model has slow steps, all its servers load every version.
 //!
-//! A slow step starts when its version is published, and needs all slots then. Servers accept no new
-//! requests while they load, but running requests continue at full speed. Servers that can run the
-//! step therefore load only after its items have started.
+//! A slow step starts when its version is published, and needs all slots then. Servers accept no
+//! new requests while they load, but running requests continue at full speed. Servers that can run
+//! the step therefore load only after its items have started.
 //!
-//! Each load pauses its server and costs the lease holder several calls, so a model is assigned only
-//! as many servers as its pending items need. The other servers keep their versions until an
+//! Each load pauses its server and costs the lease holder several calls, so a model is assigned
+//! only as many servers as its pending items need. The other servers keep their versions until an
 //! assigned server is lost.
 
 use std::collections::BTreeMap;
@@ -47,8 +47,8 @@
     pub server: Rc<Server>,
     /// Whether a command is in progress, or its retry delay has not ended.
     pub is_loading: bool,
-    /// The model and version that the server is loading, or has loaded while its registration is out
-    /// of date.
+    /// The model and version that the server is loading, or has loaded while its registration is
+    /// out of date.
     pub loading: Option<(String, u64)>,
     /// Whether the load may use the bandwidth that loads share.
     pub is_transferring: bool,
@@ -93,8 +93,8 @@
 }
 
 impl ModelState {
-    /// Number of servers with `slots` slots each that the model needs; unlimited if its step size is
-    /// unknown.
+    /// Number of servers with `slots` slots each that the model needs; unlimited if its step size
+    /// is unknown.
     fn servers_needed(&self, slots: usize) -> usize {
         if self.step_items == 0 {
             return usize::MAX;
@@ -234,8 +234,8 @@
     model: usize,
 }
 
-/// Assigns servers to models in proportion to demand, but no more than each model needs. Each server
-/// is assigned to at most one model, preferably the one it lags behind least.
+/// Assigns servers to models in proportion to demand, but no more than each model needs. Each
+/// server is assigned to at most one model, preferably the one it lags behind least.
 fn assign<'a>(
     models: &BTreeMap<String, ModelState>,
     engines: &'a [EngineState],
--- a/crates/heronbend-gateway/src/versions/watch.rs
+++ b/crates/heronbend-gateway/src/versions/watch.rs
@@ -30,7 +30,8 @@
 pub struct VersionSink(pub Rc<Gateway>);
 
 impl ObjectHandler for VersionSink {
-    fn retain(&self, _names: &BTreeSet<String>) { // Versions only increase, so a deleted object changes nothing.
+    fn retain(&self, _names: &BTreeSet<String>) {
+        // Versions only increase, so a deleted object changes nothing.
     }
 
     fn upsert(&self, object: &Object) {
@@ -55,7 +56,7 @@
     }
 
     fn remove(&self, _name: &str) {
-        // See `keep`.
+        // See `retain`.
     }
 }
 
