--- a/crates/heronbend-gateway/tests/crowd.rs
+++ b/crates/heronbend-gateway/tests/crowd.rs
@@ -1,4 +1,4 @@
-//! Rests between reads of texts.
+//! Delay between reads of texts, by the number of readers.
 
 use std::time::Duration;
 
--- a/crates/heronbend-gateway/tests/quarantine.rs
+++ b/crates/heronbend-gateway/tests/quarantine.rs
@@ -95,7 +95,8 @@
     store.object(record::KIND, &name).is_some()
 }
 
-/// Guards against the removal of a record whose watch event arrives before the response to its write.
+/// Guards against the removal of a record whose watch event arrives before the response to its
+/// write.
 #[test]
 fn a_record_is_kept_if_its_watch_event_precedes_the_write_response() {
     run(|executor| {
@@ -160,8 +161,8 @@
     });
 }
 
-/// Guards against a quarantine that is neither recorded nor announced because its crashes were observed
-/// by different daemons.
+/// Guards against a quarantine that is neither recorded nor announced because its crashes were
+/// observed by different daemons.
 #[test]
 fn own_crashes_and_those_of_another_daemon_add_up() {
     run(|executor| {
--- a/crates/heronbend-http/src/client.rs
+++ b/crates/heronbend-http/src/client.rs
@@ -28,7 +28,8 @@
     /// The connection could not be established: nothing was sent, so a retry is safe.
     #[error("no connection: {0}")]
     Connect(io::Error),
-    /// Sending the request or reading the response failed; the server may have received the request.
+    /// Sending the request or reading the response failed; the server may have received the
+    /// request.
     #[error("the exchange failed: {0}")]
     Exchange(io::Error),
     /// The head of the response is invalid.
@@ -129,7 +130,8 @@
     }
 }
 
-/// Whether an idle connection can be reused: the peer has neither closed it nor sent unexpected bytes.
+/// Whether an idle connection can be reused: the peer has neither closed it nor sent unexpected
+/// bytes.
 fn is_reusable(stream: &FramedStream) -> bool {
     let mut byte = [0];
     let peek = futures_lite::future::block_on(futures_lite::future::poll_once(
@@ -194,8 +196,8 @@
         self.response.header(name).map(|values| values.as_str())
     }
 
-    /// Returns the body for incremental reading. Call [`ClientResponse::return_to_pool`] once it has
-    /// been read to its end.
+    /// Returns the body for incremental reading. Call [`ClientResponse::return_to_pool`] once it
+    /// has been read to its end.
     pub fn body_mut(&mut self) -> &mut Body {
         &mut self.body
     }
@@ -203,8 +205,8 @@
     /// Returns the connection to the pool, provided that the body was read to its end. Dropping the
     /// response instead closes the connection.
     ///
-    /// A connection with `Connection: close` is never reused: the server may close it with a delay, and
-    /// a request sent in between would fail without telling whether it was run.
+    /// A connection with `Connection: close` is never reused: the server may close it with a delay,
+    /// and a request sent in between would fail without telling whether it was run.
     pub fn return_to_pool(self) {
         let is_closing = has_connection_close(&self.response);
         let PooledStream { pool, address, stream } = self.origin;
--- a/crates/heronbend-http/src/framing.rs
+++ b/crates/heronbend-http/src/framing.rs
@@ -17,7 +17,8 @@
 const READ_CHUNK_BYTES: usize = 4096;
 /// Largest part of a body that is copied to be sent in one write with the head.
 const MAX_COALESCED_BYTES: usize = 16 * 1024;
-/// Overwrites the header name `expect` in place: `Expect` is handled by the server, not by the codec.
+/// Overwrites the header name `expect` in place: `Expect` is handled by the server, not by the
+/// codec.
 const EXPECT_PLACEHOLDER: &[u8; 6] = b"x-seen";
 
 /// Error of reading a message head.
@@ -290,7 +291,8 @@
             joins_pending_head
         };
         if is_buffered {
-            // All bytes are buffered; what the socket does not accept now is sent by the next write.
+            // All bytes are buffered; what the socket does not accept now is sent by the next
+            // write.
             return match self.poll_write_pending_head(context) {
                 Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
                 Poll::Ready(Ok(())) | Poll::Pending => Poll::Ready(Ok(bytes.len())),
--- a/crates/heronbend-http/src/server.rs
+++ b/crates/heronbend-http/src/server.rs
@@ -83,7 +83,8 @@
         self.accept_signal.stop.close();
     }
 
-    /// Accepts connections until [`Connections::stop_accepting`], serving each of them on `executor`.
+    /// Accepts connections until [`Connections::stop_accepting`], serving each of them on
+    /// `executor`.
     pub async fn serve<H, F>(
         &self,
         executor: Rc<LocalExecutor<'static>>,
@@ -259,8 +260,8 @@
     )
 }
 
-/// Reads a request head within `timeout`. On expiry, an idle connection yields [`HeadError::Closed`]
-/// and one with a partial head [`HeadError::Timeout`].
+/// Reads a request head within `timeout`. On expiry, an idle connection yields
+/// [`HeadError::Closed`] and one with a partial head [`HeadError::Timeout`].
 async fn read_head(stream: &mut FramedStream, timeout: Duration) -> Result<Head, HeadError> {
     let read = async { Some(stream.read_request_head().await) };
     let head = read
--- a/crates/heronbend-http/src/stream_body.rs
+++ b/crates/heronbend-http/src/stream_body.rs
@@ -53,8 +53,8 @@
         let _ = self.0.try_send(Err(io::Error::other(reason.to_owned())));
     }
 
-    /// Aborts the body: the connection is closed without the final chunk, so the client sees a truncated
-    /// response.
+    /// Aborts the body: the connection is closed without the final chunk, so the client sees a
+    /// truncated response.
     pub async fn abort(&self, reason: &str) {
         let _ = self.0.send(Err(io::Error::other(reason.to_owned()))).await;
     }
--- a/crates/heronbend-http/tests/kept_connections.rs
+++ b/crates/heronbend-http/tests/kept_connections.rs
@@ -24,8 +24,8 @@
     true
 }
 
-/// Starts a server that responds to each request with the number of its connection and an additional
-/// `header`. It never closes a connection, even if `header` announces that.
+/// Starts a server that responds to each request with the number of its connection and an
+/// additional `header`. It never closes a connection, even if `header` announces that.
 fn serve(header: &'static str) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("bound");
--- a/crates/heronbend-http/tests/planned_stop.rs
+++ b/crates/heronbend-http/tests/planned_stop.rs
@@ -22,8 +22,8 @@
     Response::new(StatusCode::Ok)
 }
 
-/// Opens one connection after another until one is refused or `is_stopped` is set. Returns how many were
-/// established but received no response.
+/// Opens one connection after another until one is refused or `is_stopped` is set. Returns how many
+/// were established but received no response.
 fn connect_until_refused(address: SocketAddr, is_stopped: &AtomicBool) -> usize {
     let mut unanswered = 0;
     while !is_stopped.load(Ordering::Acquire) {
@@ -31,7 +31,8 @@
             return unanswered;
         };
         if stream.local_addr().is_ok_and(|local| local == address) {
-            // The kernel chose the former listener's port for this socket, which connected to itself.
+            // The kernel chose the former listener's port for this socket, which connected to
+            // itself.
             return unanswered;
         }
         stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
--- a/crates/heronbend-net/src/closing.rs
+++ b/crates/heronbend-net/src/closing.rs
@@ -1,11 +1,11 @@
 //! Closes a listener without resetting established connections.
 //!
-//! The kernel establishes connections before the program accepts them. Closing a listener resets those
-//! in its accept queue, and a client that has sent its request cannot tell whether it was run. Draining
-//! the queue first is not enough, since a connection may be established between the last accept and the
-//! close. A socket filter therefore drops new SYN packets first, and half-open connections get some time
-//! to complete. A client whose SYN was dropped retransmits it after about a second and is refused, so it
-//! knows that nothing was sent.
+//! The kernel establishes connections before the program accepts them. Closing a listener resets
+//! those in its accept queue, and a client that has sent its request cannot tell whether it was
+//! run. Draining the queue first is not enough, since a connection may be established between the
+//! last accept and the close. A socket filter therefore drops new SYN packets first, and half-open
+//! connections get some time to complete. A client whose SYN was dropped retransmits it after about
+//! a second and is refused, so it knows that nothing was sent.
 
 use std::io;
 use std::time::Duration;
--- a/crates/heronbend/src/access/mod.rs
+++ b/crates/heronbend/src/access/mod.rs
@@ -1,7 +1,7 @@
 //! Authentication of callers: tenants and their API keys.
 //!
-//! Keys are stored as keyed digests under a random secret of the process. Neither a memory dump nor a log
-//! line reveals a key, and the time of a lookup does not depend on the stored keys.
+//! Keys are stored as keyed digests under a random secret of the process. Neither a memory dump nor
+//! a log line reveals a key, and the time of a lookup does not depend on the stored keys.
 
 mod keyring;
 #[cfg(test)]
--- a/crates/heronbend/src/admission/retry_budget.rs
+++ b/crates/heronbend/src/admission/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Token bucket that limits retries to a fraction of requests, so that a failing zone causes no retry storm.
+//! Token bucket that limits retries to a fraction of requests, so that a failing zone causes no
+//! retry storm.
 
 use std::time::Duration;
 
@@ -9,7 +10,8 @@
 const BACKOFF_BASE: Duration = Duration::from_millis(10);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Token bucket to which each new request adds a fraction of a token, and from which each retry takes one.
+/// Token bucket to which each new request adds a fraction of a token, and from which each retry
+/// takes one.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
@@ -22,7 +24,8 @@
 }
 
 impl RetryBudget {
-    /// Adds the tokens of a new request; `retry_ratio` is the number of retries allowed per request.
+    /// Adds the tokens of a new request; `retry_ratio` is the number of retries allowed per
+    /// request.
     pub fn deposit(&mut self, retry_ratio: f64) {
         self.tokens = (self.tokens + retry_ratio).min(MAX_TOKENS);
     }
--- a/crates/heronbend/src/membership/detector.rs
+++ b/crates/heronbend/src/membership/detector.rs
@@ -67,8 +67,8 @@
     },
     /// The state of a member changed.
     Changed(MemberChange),
-    /// Other daemons considered this one suspect or dead, or knew a later incarnation of it; this was
-    /// refuted.
+    /// Other daemons considered this one suspect or dead, or knew a later incarnation of it; this
+    /// was refuted.
     Refuted,
     /// An update of a backend was received.
     Backend(BackendPhase),
@@ -129,8 +129,8 @@
 }
 
 impl Detector {
-    /// Creates a detector for the daemon `local` without other members; `seed` makes its random choices
-    /// reproducible.
+    /// Creates a detector for the daemon `local` without other members; `seed` makes its random
+    /// choices reproducible.
     pub fn new(config: DetectorConfig, local: Member, seed: u64) -> Self {
         let mut gossip_queue = GossipQueue::default();
         gossip_queue.push(GossipUpdate::Member(local.clone()));
@@ -171,9 +171,9 @@
 
     /// Sends queued updates and the control data versions to random members at once.
     ///
-    /// If each daemon calls this for updates that are new to it, these reach nearly all daemons within
-    /// a few hops instead of several probe periods. Members of the local region have their own
-    /// fan-out, so that updates spread within a region while it is partitioned from others.
+    /// If each daemon calls this for updates that are new to it, these reach nearly all daemons
+    /// within a few hops instead of several probe periods. Members of the local region have their
+    /// own fan-out, so that updates spread within a region while it is partitioned from others.
     pub fn announce(&mut self) -> Vec<Effect> {
         let (mut same_region, mut other_regions): (Vec<NodeName>, Vec<NodeName>) = self
             .probe_targets()
@@ -266,8 +266,8 @@
         effects
     }
 
-    /// Sends live members to a daemon that has just started. Gossip alone would take several periods,
-    /// in which the newcomer would consider work of unknown members abandoned.
+    /// Sends live members to a daemon that has just started. Gossip alone would take several
+    /// periods, in which the newcomer would consider work of unknown members abandoned.
     fn send_members_to(&mut self, newcomer: &Member) -> Vec<Effect> {
         let mut known: Vec<Member> = self
             .members
--- a/crates/heronbend/src/membership/messages.rs
+++ b/crates/heronbend/src/membership/messages.rs
@@ -8,7 +8,8 @@
 use crate::identity::{NodeId, NodeName};
 use crate::lifecycle::BackendPhase;
 
-/// Liveness of a daemon. At equal incarnation and refutation number, later variants take precedence.
+/// Liveness of a daemon. At equal incarnation and refutation number, later variants take
+/// precedence.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Encode, Decode,
 )]
--- a/crates/heronbend/src/overlay/mod.rs
+++ b/crates/heronbend/src/overlay/mod.rs
@@ -1,8 +1,8 @@
 //! Dissemination tree that carries store updates to all daemons of a zone, free of I/O.
 //!
-//! Only the roots of a zone watch the store. Every other daemon follows two parents, which are roots
-//! or have parents themselves. The fan-out bounds the load of a daemon, and the depth is logarithmic
-//! in the size of the zone.
+//! Only the roots of a zone watch the store. Every other daemon follows two parents, which are
+//! roots or have parents themselves. The fan-out bounds the load of a daemon, and the depth is
+//! logarithmic in the size of the zone.
 //!
 //! Each daemon computes the tree from the members that it knows. While these views differ, daemons
 //! may follow each other in a cycle. They detect this by the age of the data, which each response
@@ -37,8 +37,8 @@
 }
 
 impl Tree {
-    /// Builds the tree of the given daemons, by descending CPU allotment and then by the hash of the
-    /// name. The result does not depend on the order of `candidates`.
+    /// Builds the tree of the given daemons, by descending CPU allotment and then by the hash of
+    /// the name. The result does not depend on the order of `candidates`.
     pub fn new(mut candidates: Vec<Candidate>) -> Self {
         candidates.sort_by_cached_key(|candidate| {
             let name_hash = rapidhash_v3(candidate.node.name.0.as_bytes());
@@ -61,8 +61,8 @@
 
     /// Returns the daemons that a daemon follows.
     ///
-    /// These are all roots for a daemon that is not in the tree, and for a root, which follows the other
-    /// roots while the store rejects it.
+    /// These are all roots for a daemon that is not in the tree, and for a root, which follows the
+    /// other roots while the store rejects it.
     pub fn parents(&self, node: &NodeId) -> &[NodeId] {
         match self.index_of(node).and_then(|index| self.first_parent(index)) {
             Some(first) => &self.nodes[first..first + PARENT_COUNT],
--- a/crates/heronbend/src/placement/mod.rs
+++ b/crates/heronbend/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Decides which server runs a request, how long requests wait, and when they are rejected.
 //!
-//! The [`Placer`] performs no I/O. Callers report servers, requests in flight, limits and the time to
-//! it, and carry out its decisions.
+//! The [`Placer`] performs no I/O. Callers report servers, requests in flight, limits and the time
+//! to it, and carry out its decisions.
 //!
 //! - [`keys`]: interned names and keys of servers.
 //! - [`server`]: the state of a server.
--- a/crates/heronbend/src/quarantine/fingerprint.rs
+++ b/crates/heronbend/src/quarantine/fingerprint.rs
@@ -14,10 +14,12 @@
 /// Domain separator of the hash.
 const CONTEXT: &str = "heronbend request fingerprint v1";
 
-/// Digest of a request's method, host, target, tenant and body; request identifiers are not part of it.
+/// Digest of a request's method, host, target, tenant and body; request identifiers are not part of
+/// it.
 ///
-/// The hash is not keyed, since all daemons must compute the same fingerprint without a shared secret.
-/// It is collision resistant, so a caller cannot craft a request with the fingerprint of another one.
+/// The hash is not keyed, since all daemons must compute the same fingerprint without a shared
+/// secret. It is collision resistant, so a caller cannot craft a request with the fingerprint of
+/// another one.
 #[derive(
     Clone,
     Copy,
--- a/crates/heronbend/src/quarantine/mod.rs
+++ b/crates/heronbend/src/quarantine/mod.rs
@@ -1,17 +1,18 @@
 //! Quarantine of requests that crash the servers that run them, without I/O.
 //!
-//! A poison request crashes every server that runs it, and its caller retries it through any daemon.
-//! Avoiding the crashed servers only spreads the damage, so state is kept per request and shared by all
-//! daemons.
+//! A poison request crashes every server that runs it, and its caller retries it through any
+//! daemon. Avoiding the crashed servers only spreads the damage, so state is kept per request and
+//! shared by all daemons.
 //!
 //! - A server that goes away while it runs requests counts as a *crash* for each of them. A broken
 //!   connection alone is an *unconfirmed crash*; it needs evidence that the server is gone.
-//! - A request with crashes is *suspect*: it runs isolated, which limits the damage and shows whether it
-//!   is the cause. A complete response clears it.
-//! - From a threshold of crashes on it is *quarantined*: refused immediately. A few spaced *probes* let a
-//!   wrongly blamed request recover; each is granted by the store, so that all daemons share one limit.
-//! - Of the requests that ran on a crashed server one is the cause. If one of them is quarantined, it
-//!   *explains* the crash, which then does not count against requests with fewer crashes.
+//! - A request with crashes is *suspect*: it runs isolated, which limits the damage and shows
+//!   whether it is the cause. A complete response clears it.
+//! - From a threshold of crashes on it is *quarantined*: refused immediately. A few spaced *probes*
+//!   let a wrongly blamed request recover; each is granted by the store, so that all daemons share
+//!   one limit.
+//! - Of the requests that ran on a crashed server one is the cause. If one of them is quarantined,
+//!   it *explains* the crash, which then does not count against requests with fewer crashes.
 //!
 //! The state of a request is a set of crashes, each of which may be excused later. Merging sets is
 //! commutative and idempotent, so the order and number of deliveries do not matter.
@@ -44,8 +45,8 @@
 pub struct Limits {
     /// Number of crashes from which a request is quarantined.
     pub crash_threshold: usize,
-    /// Delay from the creation of a request's record to its first probe. Longer than a server takes to
-    /// restart, so that the probe cannot crash the last server that is left.
+    /// Delay from the creation of a request's record to its first probe. Longer than a server takes
+    /// to restart, so that the probe cannot crash the last server that is left.
     pub first_probe_delay: Duration,
     /// How long a request is kept after its last crash or probe.
     pub retention: Duration,
@@ -67,8 +68,8 @@
         PROBE_DELAY_FACTORS.get(probes).map(|factor| self.first_probe_delay * *factor)
     }
 
-    /// Number of crashes from which a request is quarantined even if others explain them. Limits the
-    /// crashes caused by two poison requests that arrive together.
+    /// Number of crashes from which a request is quarantined even if others explain them. Limits
+    /// the crashes caused by two poison requests that arrive together.
     pub fn max_crashes(&self) -> usize {
         2 * self.crash_threshold
     }
--- a/crates/heronbend/src/quarantine/suspect.rs
+++ b/crates/heronbend/src/quarantine/suspect.rs
@@ -13,11 +13,11 @@
 /// How long an unconfirmed crash is kept while waiting for evidence that the server is gone. The
 /// registration of a server that is gone expires within this time.
 pub const UNCONFIRMED_RETENTION: Duration = Duration::from_secs(10);
-/// How long an unconfirmed crash counts towards the threshold. Covers several connection probes of the
-/// server's address.
+/// How long an unconfirmed crash counts towards the threshold. Covers several connection probes of
+/// the server's address.
 const UNCONFIRMED_COUNT_PERIOD: Duration = Duration::from_secs(1);
-/// Divides the first probe delay of a request that is tied with another one, since the probe's outcome
-/// releases one of them.
+/// Divides the first probe delay of a request that is tied with another one, since the probe's
+/// outcome releases one of them.
 const TIED_PROBE_DIVISOR: u32 = 5;
 /// Maximum number of crashes kept for one request; more than any decision needs.
 const MAX_CRASHES: usize = 16;
@@ -37,12 +37,13 @@
     explained: usize,
     /// Whether another culprit has exactly the same crashes.
     is_tied: bool,
-    /// Whether this daemon itself found one of the servers gone, rather than learning it from a peer.
+    /// Whether this daemon itself found one of the servers gone, rather than learning it from a
+    /// peer.
     is_observed_locally: bool,
     /// Servers to which its connection broke, and when.
     unconfirmed: BTreeMap<String, Moment>,
-    /// Servers that ran it when its caller disconnected, and when. Does not restrict the request, since
-    /// callers disconnect for many reasons.
+    /// Servers that ran it when its caller disconnected, and when. Does not restrict the request,
+    /// since callers disconnect for many reasons.
     disconnects: BTreeMap<String, Moment>,
     /// Its stored record, and when that was received.
     record: Option<(Record, Moment)>,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Turns an unconfirmed crash of a server that is gone, or a disconnect from it, into a crash. Returns
-    /// whether there was one.
+    /// Turns an unconfirmed crash of a server that is gone, or a disconnect from it, into a crash.
+    /// Returns whether there was one.
     pub fn note_server_gone(&mut self, now: Moment, server: &str) -> bool {
         let since = self.unconfirmed.remove(server).max(self.disconnects.remove(server));
         let is_crash = since.is_some_and(|since| now < since + UNCONFIRMED_RETENTION);
@@ -193,7 +194,8 @@
         self.explained > 0 && may_be_explained && self.unexplained() < limits.crash_threshold
     }
 
-    /// Whether it is quarantined, or would be with one more crash. Unconfirmed crashes do not count.
+    /// Whether it is quarantined, or would be with one more crash. Unconfirmed crashes do not
+    /// count.
     pub fn is_one_crash_from_quarantine(&self, limits: &Limits) -> bool {
         self.is_quarantined(limits) || self.unexplained() + 1 >= limits.crash_threshold
     }
--- a/crates/heronbend/src/quarantine/table.rs
+++ b/crates/heronbend/src/quarantine/table.rs
@@ -89,8 +89,8 @@
         self.evict();
     }
 
-    /// Records that a server is gone: a crash for each request whose connection to it broke, or whose
-    /// caller disconnected while it ran there. Returns these requests with their changes.
+    /// Records that a server is gone: a crash for each request whose connection to it broke, or
+    /// whose caller disconnected while it ran there. Returns these requests with their changes.
     pub fn note_server_gone(&mut self, now: Moment, server: &str) -> Vec<(Fingerprint, Change)> {
         let limits = self.limits;
         let affected: Vec<(Fingerprint, Status)> = self
@@ -130,8 +130,8 @@
         self.suspects.get(&request).is_some_and(Suspect::is_observed_locally)
     }
 
-    /// Excuses all crashes of a request, after a complete response or a release by an operator. Returns
-    /// whether any crash counted.
+    /// Excuses all crashes of a request, after a complete response or a release by an operator.
+    /// Returns whether any crash counted.
     pub fn clear(&mut self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return false;
@@ -146,8 +146,8 @@
         had_crashes
     }
 
-    /// Records that a request has no stored record any more. Clears the request, unless the record was
-    /// deleted because others explain its crashes. Returns whether any crash was excused.
+    /// Records that a request has no stored record any more. Clears the request, unless the record
+    /// was deleted because others explain its crashes. Returns whether any crash was excused.
     pub fn release(&mut self, request: Fingerprint) -> bool {
         let limits = self.limits;
         match self.suspects.get_mut(&request) {
@@ -167,7 +167,8 @@
         stale.map(|(request, _)| *request)
     }
 
-    /// Updates the stored record of a request. Returns whether `record` is newer than the known one.
+    /// Updates the stored record of a request. Returns whether `record` is newer than the known
+    /// one.
     pub fn set_record(&mut self, now: Moment, request: Fingerprint, record: Record) -> bool {
         self.suspect_entry(request).set_record(now, record)
     }
@@ -192,8 +193,8 @@
         reports.filter(|report| !report.endings.is_empty()).collect()
     }
 
-    /// Removes requests whose retention has ended. Returns those whose records must be deleted from the
-    /// store first.
+    /// Removes requests whose retention has ended. Returns those whose records must be deleted from
+    /// the store first.
     pub fn expire(&mut self, now: Moment) -> Vec<Fingerprint> {
         let limits = self.limits;
         let is_expired = |suspect: &Suspect| suspect.time_to_expiry(now, &limits).is_zero();
@@ -204,8 +205,8 @@
         expired.map(|(request, _)| *request).collect()
     }
 
-    /// Recomputes which crashes are explained. Depends only on the current state, not on the order of
-    /// updates.
+    /// Recomputes which crashes are explained. Depends only on the current state, not on the order
+    /// of updates.
     fn attribute_crashes(&mut self) {
         let limits = self.limits;
         let culprits: Vec<Culprit> =
@@ -231,8 +232,8 @@
         self.suspects.entry(request).or_default()
     }
 
-    /// Removes the least recently updated of the requests with the fewest crashes if the table is full.
-    /// Requests with a record are kept.
+    /// Removes the least recently updated of the requests with the fewest crashes if the table is
+    /// full. Requests with a record are kept.
     fn evict(&mut self) {
         if self.suspects.len() <= MAX_REQUESTS {
             return;
--- a/crates/heronbend/src/quarantine/tests.rs
+++ b/crates/heronbend/src/quarantine/tests.rs
@@ -161,7 +161,8 @@
     servers.iter().map(crash).collect()
 }
 
-/// Guards against refusing a request whose crashes are all explained by a request with more crashes.
+/// Guards against refusing a request whose crashes are all explained by a request with more
+/// crashes.
 #[test]
 fn crashes_explained_by_a_likelier_culprit_do_not_count_against_others() {
     let reports =
@@ -177,8 +178,8 @@
     }
 }
 
-/// Two requests with the same crashes are tied. They are probed early, and the outcome of either probe
-/// shows which one is the cause.
+/// Two requests with the same crashes are tied. They are probed early, and the outcome of either
+/// probe shows which one is the cause.
 #[test]
 fn tied_requests_are_probed_early_and_told_apart_by_the_outcome() {
     let tied_table = || {
@@ -197,13 +198,14 @@
     table.merge(SECOND, request(0), &crashes(&["d"]));
     assert_eq!(table.admission(SECOND, request(1)), Admission::Allowed);
     assert!(table.is_quarantined(request(0)));
-    // The other request is answered, and the poisonous one has the usual delay again.
+    // The other request is answered, and the poison request has the usual delay again.
     let mut table = tied_table();
     table.clear(request(1));
     assert_matches!(table.admission(SECOND, request(0)), Admission::Refused { .. });
 }
 
-/// A caller that disconnects closes the connection, so a crash that follows is noticed only by others.
+/// A caller that disconnects closes the connection, so a crash that follows is noticed only by
+/// others.
 #[test]
 fn a_crash_after_a_caller_disconnect_counts_and_a_disconnect_alone_does_not() {
     let mut table = Table::default();
@@ -256,8 +258,8 @@
     assert_eq!(table.admission(SECOND, request(1)), Admission::Isolated);
 }
 
-/// Two poison requests first crash servers together. The second one must reach the quarantine by its
-/// own crashes within `Limits::max_crashes`.
+/// Two poison requests first crash servers together. The second one must reach the quarantine by
+/// its own crashes within `Limits::max_crashes`.
 #[test]
 fn a_second_culprit_is_quarantined_by_its_own_crashes() {
     let mut table = Table::default();
@@ -318,9 +320,9 @@
     assert_eq!(table.quarantined().collect::<Vec<_>>(), [request(1)]);
 }
 
-/// Simulates daemons that exchange reports late, repeatedly and out of order. Request 0 crashes every server;
-/// under the others, servers crash at random, at most twice in a row per request. Returns how many servers
-/// request 0 crashed, and how often another request was refused.
+/// Simulates daemons that exchange reports late, repeatedly and out of order. Request 0 crashes
+/// every server; under the others, servers crash at random, at most twice in a row per request.
+/// Returns how many servers request 0 crashed, and how often another request was refused.
 fn simulate(seed: u64, daemons: usize) -> (usize, usize) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut tables = vec![Table::default(); daemons];
--- a/crates/heronbend/src/rate_limit/mod.rs
+++ b/crates/heronbend/src/rate_limit/mod.rs
@@ -1,19 +1,20 @@
 //! Rate limits shared by all daemons, without I/O.
 //!
 //! For each key one daemon, chosen by rendezvous hashing over the live daemons, issues permits; all
-//! others request permits from it and do nothing without one. The limit holds at all times, even while
-//! daemons disagree about membership, are paused or partitioned; throughput may drop meanwhile.
+//! others request permits from it and do nothing without one. The limit holds at all times, even
+//! while daemons disagree about membership, are paused or partitioned; throughput may drop
+//! meanwhile.
 //!
-//! - A permit is valid for a short time, measured by the requester from before it sent its request. A
-//!   paused requester and late responses therefore never lead to the use of old permits.
+//! - A permit is valid for a short time, measured by the requester from before it sent its request.
+//!   A paused requester and late responses therefore never lead to the use of old permits.
 //! - An issuer counts each permit for its validity plus one window, so all permits used within any
 //!   window are counted together.
-//! - A daemon issues permits only while it sees a majority of the recently live daemons, so at most one
-//!   side of a partition continues.
-//! - A daemon that has just started, or takes keys over from a lost one, waits until no earlier permit
-//!   can still be used.
-//! - While membership views differ, two daemons may issue permits for one key. The issued rate leaves
-//!   room for this; see [`RateLimit::bounded`].
+//! - A daemon issues permits only while it sees a majority of the recently live daemons, so at most
+//!   one side of a partition continues.
+//! - A daemon that has just started, or takes keys over from a lost one, waits until no earlier
+//!   permit can still be used.
+//! - While membership views differ, two daemons may issue permits for one key. The issued rate
+//!   leaves room for this; see [`RateLimit::bounded`].
 
 pub mod issuer;
 #[cfg(test)]
@@ -44,8 +45,8 @@
 }
 
 impl RateLimit {
-    /// Limit for a wanted number of permits per window, of which at most `bound` may be used in total.
-    /// Capped at half of `bound`, so that two concurrent issuers stay within it.
+    /// Limit for a wanted number of permits per window, of which at most `bound` may be used in
+    /// total. Capped at half of `bound`, so that two concurrent issuers stay within it.
     pub fn bounded(wanted: f64, bound: f64) -> Self {
         let max = (bound / f64::from(MAX_CONCURRENT_ISSUERS)).floor().max(0.0);
         let wanted = wanted.floor().max(1.0);
--- a/crates/heronbend/src/rate_limit/tests.rs
+++ b/crates/heronbend/src/rate_limit/tests.rs
@@ -152,9 +152,9 @@
     paused_until: Moment,
 }
 
-/// Simulates daemons that crash, pause and have differing membership views. Requesters ask the issuer
-/// according to their own view, responses are delayed, and permits are used at any time until they expire.
-/// Returns the maximum number of permits used in any window.
+/// Simulates daemons that crash, pause and have differing membership views. Requesters ask the
+/// issuer according to their own view, responses are delayed, and permits are used at any time
+/// until they expire. Returns the maximum number of permits used in any window.
 fn max_uses_in_a_window(seed: u64) -> usize {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = random.random_range(3..9);
--- a/crates/heronbend/src/register/replica.rs
+++ b/crates/heronbend/src/register/replica.rs
@@ -82,8 +82,8 @@
         self.slots.is_empty()
     }
 
-    /// Returns the last accepted ballot and value of a register, for inspection only: the value is not
-    /// necessarily chosen.
+    /// Returns the last accepted ballot and value of a register, for inspection only: the value is
+    /// not necessarily chosen.
     pub fn accepted(&self, key: &Key) -> Option<&(Ballot, V)> {
         self.slots.get(key)?.accepted.as_ref()
     }
--- a/crates/heronbend/src/register/transition.rs
+++ b/crates/heronbend/src/register/transition.rs
@@ -54,8 +54,8 @@
         (transition, request)
     }
 
-    /// Starts a transition from the state of `survivors` only, after the permanent loss of a majority
-    /// of the old set. Without survivors, the new set starts empty.
+    /// Starts a transition from the state of `survivors` only, after the permanent loss of a
+    /// majority of the old set. Without survivors, the new set starts empty.
     ///
     /// Chosen values may be lost, so an operator has to request this. The returned request must be
     /// sent to the survivors, or to every new member if there are none.
@@ -147,8 +147,8 @@
 
 /// Merges slots: per register, the highest promise and the accepted value of the highest ballot.
 ///
-/// Any sealed majority includes a replica that accepted the chosen value, and each value accepted at
-/// a higher ballot was derived from it.
+/// Any sealed majority includes a replica that accepted the chosen value, and each value accepted
+/// at a higher ballot was derived from it.
 fn merge<V>(states: BTreeMap<NodeId, BTreeMap<Key, Slot<V>>>) -> BTreeMap<Key, Slot<V>> {
     let mut merged: BTreeMap<Key, Slot<V>> = BTreeMap::new();
     for (key, slot) in states.into_values().flatten() {
--- a/crates/heronbend/src/request/claim.rs
+++ b/crates/heronbend/src/request/claim.rs
@@ -41,7 +41,8 @@
         request_digest: u64,
         /// Outcome of the request.
         answer: StoredAnswer,
-        /// Wall-clock time, in seconds since the Unix epoch, after which the register may be removed.
+        /// Wall-clock time, in seconds since the Unix epoch, after which the register may be
+        /// removed.
         expires: u64,
     },
     /// The request was certainly not run; another attempt may claim the key.
--- a/crates/heronbend/src/routing/breaker.rs
+++ b/crates/heronbend/src/routing/breaker.rs
@@ -6,8 +6,9 @@
 
 /// Number of consecutive failures that open the breaker.
 const FAILURE_THRESHOLD: u32 = 5;
-/// Shortest and longest backoff of an open breaker.
+/// Shortest backoff of an open breaker.
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
+/// Longest backoff of an open breaker.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// Outcome of a request, as a signal of the backend's health.
--- a/crates/heronbend/src/routing/mod.rs
+++ b/crates/heronbend/src/routing/mod.rs
@@ -4,8 +4,8 @@
 //! those of other routers only from delayed load reports, so it estimates a backend's load as the
 //! last report plus the change of its own in-flight requests since then. Requests go to the less
 //! loaded of two random backends of the router's subset (Mitzenmacher, "The power of two choices in
-//! randomized load balancing", 2001). Prompts with a common prefix prefer the same engine as long as
-//! its load is within a bound (Mirrokni et al., "Consistent hashing with bounded loads", 2016).
+//! randomized load balancing", 2001). Prompts with a common prefix prefer the same engine as long
+//! as its load is within a bound (Mirrokni et al., "Consistent hashing with bounded loads", 2016).
 
 mod breaker;
 mod router;
--- a/crates/heronbend/src/routing/router.rs
+++ b/crates/heronbend/src/routing/router.rs
@@ -67,8 +67,8 @@
 }
 
 impl Candidate {
-    /// Estimated number of requests at the backend: the last report plus the change of this router's
-    /// in-flight requests since then, and a penalty for other zones.
+    /// Estimated number of requests at the backend: the last report plus the change of this
+    /// router's in-flight requests since then, and a penalty for other zones.
     fn load(&self, local_zone: &str) -> f64 {
         let reported = f64::from(self.report.running + self.report.waiting);
         let in_flight_change = f64::from(self.in_flight) - f64::from(self.in_flight_at_report);
--- a/crates/heronbend/src/scaling/mod.rs
+++ b/crates/heronbend/src/scaling/mod.rs
@@ -1,9 +1,10 @@
 //! Scaling of a service's servers by zone.
 //!
-//! On-demand servers are permanent. Revocable (spot) servers cost less, but the provider may reclaim all
-//! of them in a zone at once, so they only supplement a floor of on-demand servers: those that the
-//! service was set up with. A policy decides how many revocable servers are wanted; the planner applies
-//! the limits, tracks accepted and rejected orders, and orders only differences.
+//! On-demand servers are permanent. Revocable (spot) servers cost less, but the provider may
+//! reclaim all of them in a zone at once, so they only supplement a floor of on-demand servers:
+//! those that the service was set up with. A policy decides how many revocable servers are wanted;
+//! the planner applies the limits, tracks accepted and rejected orders, and orders only
+//! differences.
 //!
 //! - [`policy`]: decides how many revocable servers are wanted.
 //! - [`planner`]: plans orders for each zone.
@@ -31,8 +32,8 @@
     pub max: u32,
     /// Time from an order until the server is ready.
     pub boot_time: Duration,
-    /// Price of a revocable server relative to an on-demand one; `None` if the provider has no revocable
-    /// servers.
+    /// Price of a revocable server relative to an on-demand one; `None` if the provider has no
+    /// revocable servers.
     pub revocable_price: Option<f64>,
 }
 
--- a/crates/heronbend/src/scaling/planner.rs
+++ b/crates/heronbend/src/scaling/planner.rs
@@ -14,8 +14,8 @@
 
 /// Delay before servers of a kind are ordered again in a zone without capacity.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(8);
-/// Delay, beyond the boot time, before missing servers are ordered again. Longer than a registration
-/// takes to expire and reappear.
+/// Delay, beyond the boot time, before missing servers are ordered again. Longer than a
+/// registration takes to expire and reappear.
 const REORDER_MARGIN: Duration = Duration::from_secs(6);
 
 /// An order that sets the number of servers of one kind in a zone.
@@ -76,8 +76,8 @@
         &self.state
     }
 
-    /// Records the current number of on-demand servers by zone as the floor, unless one is set. Returns
-    /// whether it was recorded.
+    /// Records the current number of on-demand servers by zone as the floor, unless one is set.
+    /// Returns whether it was recorded.
     pub fn record_floor(&mut self, zones: &[Zone]) -> bool {
         if !self.state.floor.is_empty() || zones.is_empty() {
             return false;
@@ -127,8 +127,8 @@
         floor.clamp(spec.min, spec.max)
     }
 
-    /// Orders that change the numbers of revocable servers. They are spread evenly over the zones with
-    /// capacity, to limit the loss from one zone; the remainder goes to the cheapest zones.
+    /// Orders that change the numbers of revocable servers. They are spread evenly over the zones
+    /// with capacity, to limit the loss from one zone; the remainder goes to the cheapest zones.
     fn revocable_orders(
         &self,
         now: Moment,
@@ -154,7 +154,8 @@
         orders.collect()
     }
 
-    /// Whether missing servers may be ordered again: not while those ordered last may still be booting.
+    /// Whether missing servers may be ordered again: not while those ordered last may still be
+    /// booting.
     fn may_order(&self, now: Moment, spec: &ScalingSpec, zone: &str, is_revocable: bool) -> bool {
         let recent = self.recent(zone, is_revocable);
         let wait = spec.boot_time + REORDER_MARGIN;
--- a/crates/heronbend/src/scaling/policy.rs
+++ b/crates/heronbend/src/scaling/policy.rs
@@ -5,8 +5,8 @@
 /// Observed load of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Duration of the slowest recent step as a fraction of its deadline; `None` before the first step
-    /// has completed.
+    /// Duration of the slowest recent step as a fraction of its deadline; `None` before the first
+    /// step has completed.
     pub slowest_step: Option<f64>,
     /// Time since a step was last near its deadline.
     pub calm_for: Duration,
@@ -38,7 +38,8 @@
 const SHRINK_DELAY: Duration = Duration::from_secs(30);
 
 impl Policy {
-    /// Number of revocable servers wanted beside `floor` on-demand servers, given the `current` number.
+    /// Number of revocable servers wanted beside `floor` on-demand servers, given the `current`
+    /// number.
     pub fn wanted(self, floor: u32, current: u32, demand: Demand) -> u32 {
         let floor_count = f64::from(floor);
         match self {
--- a/crates/heronbend/src/settings/mod.rs
+++ b/crates/heronbend/src/settings/mod.rs
@@ -3,11 +3,11 @@
 //! A tree is a set of nodes identified by paths. A node sets only the fields that differ from its
 //! parent's; [`resolve`](tree::Tree::resolve) returns the effective value of a field and the node
 //! that set it. The first path segment is the node's [`Section`](schema::Section), which determines
-//! the applicable fields. Leaves are the entities that [`Policy`](policy::Policy) is compiled from;
-//! inner nodes only provide values to inherit.
+//! the applicable fields. Leaves are the entities that [`Policy`] is compiled from; inner nodes
+//! only provide values to inherit.
 //!
-//! Validation does not stop at the first error: it collects all [`Finding`](finding::Finding)s with
-//! their file, node and field.
+//! Validation does not stop at the first error: it collects all [`Finding`]s with their file, node
+//! and field.
 
 pub mod finding;
 pub mod policy;
--- a/spec/src/check.rs
+++ b/spec/src/check.rs
@@ -15,7 +15,8 @@
     pub states: usize,
     /// Transitions explored.
     pub steps: u64,
-    /// Greatest distance of a reached state from the initial state; 0 for [`crate::explore::explore`].
+    /// Greatest distance of a reached state from the initial state; 0 for
+    /// [`crate::explore::explore`].
     pub depth: u32,
     /// Whether all states within the bounds were explored without a violation.
     pub exhausted: bool,
--- a/spec/src/checkpoints.rs
+++ b/spec/src/checkpoints.rs
@@ -1,12 +1,12 @@
-//! Checkpoints of the output of one batch item. Several daemons may run the job at once; each of them
-//! migrates the item between servers, restarts its generation, writes checkpoints and restores from
-//! them.
+//! Checkpoints of the output of one batch item. Several daemons may run the job at once; each of
+//! them migrates the item between servers, restarts its generation, writes checkpoints and restores
+//! from them.
 //!
 //! A write may be executed at any later time or never, and its response may be lost.
 //!
 //! Invariants: the output that a daemon continues is a sequence of server runs, each of which was
-//! requested to continue after the event that precedes it; and a prefix that a daemon considers saved can
-//! be restored.
+//! requested to continue after the event that precedes it; and a prefix that a daemon considers
+//! saved can be restored.
 
 use heronbend_gateway::batch::digest::Digest;
 use heronbend_gateway::batch::event_stream::EventReader;
@@ -22,7 +22,8 @@
 pub enum Mutation {
     /// The unmodified protocol.
     None,
-    /// A segment is appended to any text with the expected number of events, whatever their contents.
+    /// A segment is appended to any text with the expected number of events, whatever their
+    /// contents.
     JoinsByEventNumber,
     /// A text that is longer than the saved prefix is assumed to extend it.
     ComparesLengthOnly,
@@ -74,7 +75,8 @@
     takeovers_left: u8,
 }
 
-/// Appends the next event of a run. The event contains the run and the event that the run continues.
+/// Appends the next event of a run. The event contains the run and the event that the run
+/// continues.
 fn append_event(text: &mut ItemText, run: u8, after: u64) {
     let number = text.last_event() + 1;
     let event = format!("id: {number}\ndata: {run}:{after}\n\n");
@@ -124,7 +126,8 @@
         Some(next)
     }
 
-    /// Starts a run on another server, which continues the text or, `from_scratch`, generates it anew.
+    /// Starts a run on another server, which continues the text or, `from_scratch`, generates it
+    /// anew.
     fn start_run(&self, state: &State, daemon: usize, from_scratch: bool) -> Option<State> {
         let mut next = state.clone();
         let run = next.runs_left.checked_sub(1).filter(|_| state.daemons[daemon].is_running)?;
--- a/spec/src/command_lease.rs
+++ b/spec/src/command_lease.rs
@@ -1,12 +1,12 @@
-//! The lease under which a daemon sends commands to engines: two daemons, a store, and writes that are
-//! delayed or lost.
+//! The lease under which a daemon sends commands to engines: two daemons, a store, and writes that
+//! are delayed or lost.
 //!
-//! Time passes in ticks. A write may be executed at any later time or never, and so may its response
-//! be delivered. A daemon may send a command whenever its hold on the lease allows it, and may restart,
-//! which loses its state.
+//! Time passes in ticks. A write may be executed at any later time or never, and so may its
+//! response be delivered. A daemon may send a command whenever its hold on the lease allows it, and
+//! may restart, which loses its state.
 //!
-//! Invariants: commands of two daemons are at least the takeover pause apart, and the later one has a
-//! higher fencing token.
+//! Invariants: commands of two daemons are at least the takeover pause apart, and the later one has
+//! a higher fencing token.
 
 use std::time::Duration;
 
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -3,23 +3,24 @@
 //! The core protocol in [`model`] consists of hosts that run a
 //! [`Replica`](heronbend::register::Replica) each, proposers that run
 //! [`Proposal`](heronbend::register::Proposal)s, and drivers that run
-//! [`Transition`](heronbend::register::Transition)s, which are the state machines of the daemon. The
-//! model adds the environment, and [`check`] explores all interleavings within
+//! [`Transition`](heronbend::register::Transition)s, which are the state machines of the daemon.
+//! The model adds the environment, and [`check`] explores all interleavings within
 //! [`Bounds`](model::Bounds):
 //!
-//! - A sent message may be delivered any number of times, at any later time, or never. The network is
-//!   a set that only grows, which covers loss, duplication and reordering.
-//! - A proposer or driver may stop at any point, temporarily or for good. This covers pauses, crashes
-//!   and lost responses.
+//! - A sent message may be delivered any number of times, at any later time, or never. The network
+//!   is a set that only grows, which covers loss, duplication and reordering.
+//! - A proposer or driver may stop at any point, temporarily or for good. This covers pauses,
+//!   crashes and lost responses.
 //! - A host may restart: its replica loses its state and gets a new incarnation.
-//! - A replica may learn the stored replica set at any time, and a proposer may use an outdated one.
+//! - A replica may learn the stored replica set at any time, and a proposer may use an outdated
+//!   one.
 //!
 //! A [`Scenario`](scenario::Scenario) defines what the proposers do and what an external observer
-//! sees. A [`Mutation`](model::Mutation) removes one guard of the protocol; the checker must then find
-//! a counterexample.
+//! sees. A [`Mutation`](model::Mutation) removes one guard of the protocol; the checker must then
+//! find a counterexample.
 //!
-//! The gateway's protocols are separate models, explored by [`explore`], which also run the gateway's
-//! own state machines:
+//! The gateway's protocols are separate models, explored by [`explore`], which also run the
+//! gateway's own state machines:
 //!
 //! - [`checkpoints`]: checkpoints of the output of batch items.
 //! - [`command_lease`]: the lease under which one daemon at a time sends commands.
--- a/spec/src/model.rs
+++ b/spec/src/model.rs
@@ -248,8 +248,8 @@
         self.successors.push((next, action));
     }
 
-    /// A proposer starts its first round, or another one after a timeout, with the current or an earlier
-    /// replica set.
+    /// A proposer starts its first round, or another one after a timeout, with the current or an
+    /// earlier replica set.
     fn start_rounds(&mut self) {
         for proposer in 0..self.model.bounds.proposers {
             let current = self.tables.proposers.value(self.from.proposers[proposer]).clone();
@@ -390,8 +390,8 @@
         }
     }
 
-    /// Proposers and drivers handle replies. Replies below a quorum have no observable effect, so all
-    /// replies of a quorum are delivered in one action, for each quorum that has replied.
+    /// Proposers and drivers handle replies. Replies below a quorum have no observable effect, so
+    /// all replies of a quorum are delivered in one action, for each quorum that has replied.
     fn deliver_replies(&mut self) {
         let mut replies: HashMap<Sender, Vec<ReceivedReply<S::Value>>> = HashMap::new();
         for index in self.messages_in_network() {
@@ -606,8 +606,8 @@
     state.network[index / 64] |= 1 << (index % 64);
 }
 
-/// Returns orders of the replies, forward and backward from each position, such that every quorum of
-/// three members comes first in one of them.
+/// Returns orders of the replies, forward and backward from each position, such that every quorum
+/// of three members comes first in one of them.
 fn reply_orders<T: Clone>(replies: &[T]) -> Vec<Vec<T>> {
     let rotate = |first: usize| {
         let (head, tail) = replies.split_at(first);
--- a/spec/src/quarantine.rs
+++ b/spec/src/quarantine.rs
@@ -1,11 +1,12 @@
-//! Quarantine of a request that crashes every server that runs it. Daemons exchange reports of crashes,
-//! which may be lost, delayed or duplicated; daemons restart, and responses of the store are lost.
+//! Quarantine of a request that crashes every server that runs it. Daemons exchange reports of
+//! crashes, which may be lost, delayed or duplicated; daemons restart, and responses of the store
+//! are lost.
 //!
-//! A daemon may send the request whenever its state admits it, and a probe is always due. A report of
-//! a crash may reach any daemon at any later time, any number of times, or never.
+//! A daemon may send the request whenever its state admits it, and a probe is always due. A report
+//! of a crash may reach any daemon at any later time, any number of times, or never.
 //!
-//! Invariants: all daemons together run at most the maximum number of probes, and between restarts no
-//! daemon causes more crashes, except by probes, than the quarantine threshold.
+//! Invariants: all daemons together run at most the maximum number of probes, and between restarts
+//! no daemon causes more crashes, except by probes, than the quarantine threshold.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/spec/src/result_log.rs
+++ b/spec/src/result_log.rs
@@ -2,8 +2,8 @@
 //! concurrently, a store, writes that are lost or delayed, and restarts.
 //!
 //! Invariants: no item is in two chunks, chunks never change, the results that a daemon shows are a
-//! prefix of those in the store, and an owner that serves readers has all results that any daemon has
-//! ever shown.
+//! prefix of those in the store, and an owner that serves readers has all results that any daemon
+//! has ever shown.
 
 use std::rc::Rc;
 
@@ -42,8 +42,8 @@
     pub restarts: u8,
     /// Takeovers of the job in total.
     pub takeovers: u8,
-    /// Whether the job has an owner. Otherwise both daemons always run it, and only the invariants that
-    /// are independent of ownership are checked.
+    /// Whether the job has an owner. Otherwise both daemons always run it, and only the invariants
+    /// that are independent of ownership are checked.
     pub has_ownership: bool,
     /// The removed guard.
     pub mutation: Mutation,
--- a/spec/src/shared_rate_limit.rs
+++ b/spec/src/shared_rate_limit.rs
@@ -1,9 +1,9 @@
-//! A rate limit that daemons share by issuing permits: issuers are killed, partitioned or slow to detect
-//! failures, and permits are used late.
+//! A rate limit that daemons share by issuing permits: issuers are killed, partitioned or slow to
+//! detect failures, and permits are used late.
 //!
 //! A requester may ask any daemon, since its view of the membership may be arbitrarily wrong.
-//! Responses may take any time or never arrive. A tick is a quarter of the accounting period; a permit
-//! is valid for less than a tick.
+//! Responses may take any time or never arrive. A tick is a quarter of the accounting period; a
+//! permit is valid for less than a tick.
 //!
 //! Invariant: within a window, no more permits are used than two issuers may issue.
 
--- a/spec/src/update_dissemination.rs
+++ b/spec/src/update_dissemination.rs
@@ -4,8 +4,8 @@
 //! The model has no time: a response may arrive at any later time or never, and a source may lag
 //! arbitrarily. The delay of updates is tested on the daemons themselves.
 //!
-//! Invariants: the objects that a daemon holds at a revision are those of the store at that revision,
-//! and the revision of the follower never decreases.
+//! Invariants: the objects that a daemon holds at a revision are those of the store at that
+//! revision, and the revision of the follower never decreases.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -33,8 +33,8 @@
     AppliesLateResponses,
     /// A follower accepts a snapshot that is older than its own state.
     AcceptsOlderSnapshot,
-    /// A source without the tombstones for an update sends changes instead of a snapshot, and without a
-    /// digest.
+    /// A source without the tombstones for an update sends changes instead of a snapshot, and
+    /// without a digest.
     OmitsRemovals,
     /// The follower applies changes without verifying the digest of the result.
     SkipsDigestCheck,
--- a/spec/src/usage_reports.rs
+++ b/spec/src/usage_reports.rs
@@ -1,12 +1,13 @@
-//! Usage reports: two daemons that both assume that they report, a store, a provider, and calls that are
-//! slow, lost or delayed.
+//! Usage reports: two daemons that both assume that they report, a store, a provider, and calls
+//! that are slow, lost or delayed.
 //!
-//! The lease that normally selects one reporter is omitted: reports must agree without it. The daemons
-//! count differently. A write or report may be executed at any later time or never. A daemon may give up
-//! on a response, read the record, learn of an accepted report, or restart, which loses its state.
+//! The lease that normally selects one reporter is omitted: reports must agree without it. The
+//! daemons count differently. A write or report may be executed at any later time or never. A
+//! daemon may give up on a response, read the record, learn of an accepted report, or restart,
+//! which loses its state.
 //!
-//! Invariants: the provider never accepts two different reports of a window, and the settled counts of
-//! a window never change in the store.
+//! Invariants: the provider never accepts two different reports of a window, and the settled counts
+//! of a window never change in the store.
 
 use std::collections::BTreeMap;
 
--- a/spec/tests/gateway_protocols.rs
+++ b/spec/tests/gateway_protocols.rs
@@ -1,4 +1,5 @@
-//! Bounded exploration of the gateway's protocols; without any one guard, a counterexample must exist.
+//! Bounded exploration of the gateway's protocols; without any one guard, a counterexample must
+//! exist.
 
 use heronbend_spec::check::Report;
 use heronbend_spec::checkpoints;
--- a/spec/tests/quarantine_fleet.rs
+++ b/spec/tests/quarantine_fleet.rs
@@ -1,5 +1,5 @@
-//! Simulation of fleets of different sizes: the number of servers that repeated requests crash, with and
-//! without crash reports between daemons.
+//! Simulation of fleets of different sizes: the number of servers that repeated requests crash,
+//! with and without crash reports between daemons.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -82,8 +82,8 @@
     ReportReceived { daemon: usize, number: usize, server: usize },
 }
 
-/// Sends repeated requests to random daemons. Each admitted attempt crashes a server and is retried while
-/// its call has attempts left.
+/// Sends repeated requests to random daemons. Each admitted attempt crashes a server and is retried
+/// while its call has attempts left.
 fn simulate(seed: u64, daemons: usize, requests: usize, reporting: Reporting) -> Outcome {
     let mut random = Random { seed, count: 0 };
     let mut tables = vec![Table::default(); daemons];
