--- a/crates/heronbend-gateway/src/configuration.rs
+++ b/crates/heronbend-gateway/src/configuration.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use heronbend::access::Keyring;
-use heronbend::placement::ColdTerms;
-use heronbend::scaling::Terms;
+use heronbend::placement::ColdStartLimit;
+use heronbend::scaling::ScalingSpec;
 use serde::{Deserialize, Serialize};
 
 /// What may be done with requests of a route.
@@ -91,14 +91,14 @@
     pub scaling: Option<Scaling>,
     /// What one of its servers bears while it is cold; nothing where that is not bounded.
     #[serde(skip)]
-    pub cold: Option<ColdTerms>,
+    pub cold: Option<ColdStartLimit>,
 }
 
 /// How the servers of a service may be ordered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scaling {
     /// Bounds and times.
-    pub terms: Terms,
+    pub spec: ScalingSpec,
     /// Price of a server by zone, relative to each other.
     pub zone_prices: BTreeMap<String, f64>,
 }
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -50,7 +50,7 @@
         if !gateway.evacuated.borrow_mut().remove(zone) {
             return;
         }
-        gateway.directory.borrow_mut().placer.readmit(gateway.now(), zone);
+        gateway.directory.borrow_mut().placer.end_evacuation(gateway.now(), zone);
         log::info!("event=zone_readmitted zone={zone}");
         gateway.metrics.zone_evacuated(zone, false);
     }
@@ -71,7 +71,7 @@
     }
 
     fn listed(&self) {
-        self.0.directory.borrow_mut().placer.know_evacuations();
+        self.0.directory.borrow_mut().placer.mark_evacuations_loaded();
     }
 
     fn applied(&self) {
--- a/crates/heronbend/src/rollout/coordinator.rs
+++ b/crates/heronbend/src/rollout/coordinator.rs
@@ -1,8 +1,9 @@
-//! Which sample to draw next, without I/O.
+//! Scheduling of the samples of a step.
 //!
-//! Samples of one prompt have similar lengths, and a few run far longer than the rest. Drawing the
-//! longest-expected first keeps them off the end of the step; near the end, idle places draw a
-//! second copy of samples still under way, and the first copy to finish fills the slot.
+//! Samples of the same prompt have similar lengths, and a few are far longer than the rest.
+//! Generating the samples with the longest expected length first shortens the tail of the step.
+//! Near its end, idle engine capacity is used for hedging: a slot in flight gets a second attempt,
+//! and the first attempt to finish fills the slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,291 +15,293 @@
 use super::waiting::WaitingQueue;
 use crate::Moment;
 
-/// Wait before a slot whose draw failed is drawn again.
-const REDRAW_DELAY: Duration = Duration::from_millis(50);
+/// Delay before a slot is retried after a failed attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Number of one attempt to draw a sample, unique in its step and daemon.
+/// Identifies an attempt to generate a sample, unique within a [`StepCoordinator`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DrawId(pub u64);
+pub struct AttemptId(pub u64);
 
-/// The order in which waiting slots are drawn.
+/// Order in which waiting slots are generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DrawOrder {
-    /// In the order of the step.
+pub enum SamplingOrder {
+    /// In slot order.
     FirstInFirstOut,
-    /// One sample of each prompt first, then prompts by the longest sample seen of them.
+    /// One sample of each prompt first, then by the longest sample of the prompt so far,
+    /// descending.
     LongestExpectedFirst,
 }
 
-/// How a step is drawn.
+/// Parameters of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepPlan {
     /// Number of prompts.
     pub prompts: u32,
-    /// Samples of each prompt.
+    /// Number of samples per prompt.
     pub samples_per_prompt: u32,
-    /// Order of drawing.
-    pub order: DrawOrder,
-    /// Most copies of one sample that are drawn at once; 1 for no hedging.
+    /// Order in which slots are generated.
+    pub order: SamplingOrder,
+    /// Maximum number of concurrent attempts per slot; 1 disables hedging.
     pub max_copies: u32,
-    /// Share of the slots, in thousandths, that may be unfilled when hedging begins.
+    /// Hedging starts when the fraction of slots in flight is at most this, in thousandths.
     pub hedge_below_milli: u32,
 }
 
 impl StepPlan {
-    /// Number of slots.
+    /// Returns the number of slots.
     pub fn slots(&self) -> u32 {
         self.prompts * self.samples_per_prompt
     }
 
-    /// The prompt of a slot.
+    /// Returns the index of the prompt of a slot.
     pub fn prompt_of(&self, slot: SlotIndex) -> u32 {
         slot.0 / self.samples_per_prompt
     }
 }
 
-/// What the driver is to do.
+/// An action for the driver of a [`StepCoordinator`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Draw the sample of a slot.
-    Draw {
-        /// The attempt.
-        draw: DrawId,
-        /// The slot.
+    /// Start an attempt to generate the sample of a slot.
+    Start {
+        /// Identifier of the attempt.
+        attempt: AttemptId,
+        /// Slot to fill.
         slot: SlotIndex,
     },
-    /// Give an attempt up: another copy was faster.
+    /// Cancel an attempt because its slot has been filled.
     Cancel {
-        /// The attempt.
-        draw: DrawId,
+        /// Identifier of the attempt.
+        attempt: AttemptId,
     },
 }
 
-/// What can be handed over now.
+/// Result of [`StepCoordinator::compose_batch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Composition {
-    /// These samples make a batch.
+pub enum NextBatch {
+    /// Samples of the next batch.
     Ready(Vec<Sample>),
-    /// More samples have to be drawn first.
-    NotYet,
+    /// More samples must be generated first.
+    Pending,
     /// Every slot has been delivered.
     Exhausted,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Draw {
+struct Attempt {
     slot: SlotIndex,
     started: Moment,
 }
 
-/// Draws one step.
+/// Schedules the samples of one step.
 ///
-/// Invariant: each slot is in exactly one state: waiting, being drawn, ready or delivered.
+/// Invariant: each slot is in exactly one state: waiting, in flight, ready or delivered.
 #[derive(Debug, Clone)]
 pub struct StepCoordinator {
     plan: StepPlan,
     delivered: SlotSet,
     ready: VecDeque<Sample>,
     waiting: WaitingQueue,
-    drawing: BTreeMap<DrawId, Draw>,
-    longest_seen: BTreeMap<u32, u32>,
-    next_draw: u64,
+    in_flight: BTreeMap<AttemptId, Attempt>,
+    longest_by_prompt: BTreeMap<u32, u32>,
+    next_attempt: u64,
     wasted_tokens: u64,
 }
 
 impl StepCoordinator {
-    /// A coordinator for the slots that are not yet delivered.
+    /// Creates a coordinator for the slots that are not in `delivered`.
     pub fn new(plan: StepPlan, delivered: SlotSet) -> Self {
         let mut coordinator = Self {
             plan,
             delivered,
             ready: VecDeque::new(),
             waiting: WaitingQueue::default(),
-            drawing: BTreeMap::new(),
-            longest_seen: BTreeMap::new(),
-            next_draw: 0,
+            in_flight: BTreeMap::new(),
+            longest_by_prompt: BTreeMap::new(),
+            next_attempt: 0,
             wasted_tokens: 0,
         };
         for slot in (0..plan.slots()).map(SlotIndex) {
             if !coordinator.delivered.contains(slot) {
-                coordinator.waiting.push_back(slot, coordinator.expected(slot));
+                coordinator.waiting.push_back(slot, coordinator.expected_length(slot));
             }
         }
         coordinator
     }
 
-    /// States the length that a waiting slot's sample is expected to have, in tokens, where something
-    /// better is known than what the coordinator learns by itself.
-    pub fn expect_length(&mut self, slot: SlotIndex, tokens: u32) {
-        self.waiting.expect(slot, tokens);
+    /// Overrides the expected length, in tokens, of the sample of a waiting slot.
+    pub fn set_expected_length(&mut self, slot: SlotIndex, tokens: u32) {
+        self.waiting.set_expected_length(slot, tokens);
     }
 
-    /// Draws to start now, given how many more the engines can take.
-    pub fn schedule(&mut self, now: Moment, places: usize) -> Vec<Effect> {
+    /// Returns up to `capacity` attempts to start now.
+    pub fn schedule(&mut self, now: Moment, capacity: usize) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for slot in self.waiting.take_due(now) {
-            self.waiting.push_back(slot, self.expected(slot));
+        for slot in self.waiting.take_ready(now) {
+            self.waiting.push_back(slot, self.expected_length(slot));
         }
-        while effects.len() < places {
+        while effects.len() < capacity {
             let Some(slot) = self.waiting.pop().or_else(|| self.next_hedge()) else {
                 break;
             };
-            effects.push(self.start(now, slot));
+            effects.push(self.start_attempt(now, slot));
         }
         effects
     }
 
-    /// A draw has produced its sample.
-    pub fn on_drawn(&mut self, draw: DrawId, sample: Sample) -> Vec<Effect> {
-        let Some(Draw { slot, .. }) = self.drawing.remove(&draw) else {
+    /// Records the sample of a completed attempt. Cancels other attempts for its slot.
+    pub fn on_completed(&mut self, attempt: AttemptId, sample: Sample) -> Vec<Effect> {
+        let Some(Attempt { slot, .. }) = self.in_flight.remove(&attempt) else {
             self.wasted_tokens += u64::from(sample.tokens());
             return Vec::new();
         };
-        self.learn_length(slot, sample.tokens());
+        self.record_length(slot, sample.tokens());
         self.ready.push_back(sample);
-        self.cancel_copies(slot)
+        self.cancel_attempts(slot)
     }
 
-    /// A draw has failed; its slot is drawn again unless another copy is under way.
-    pub fn on_failed(&mut self, now: Moment, draw: DrawId) {
-        if let Some(Draw { slot, .. }) = self.drawing.remove(&draw) {
-            if !self.drawing.values().any(|other| other.slot == slot) {
-                self.waiting.push_delayed(now + REDRAW_DELAY, slot);
+    /// Records a failed attempt. Its slot is retried unless another attempt is in flight.
+    pub fn on_failed(&mut self, now: Moment, attempt: AttemptId) {
+        if let Some(Attempt { slot, .. }) = self.in_flight.remove(&attempt) {
+            if !self.in_flight.values().any(|other| other.slot == slot) {
+                self.waiting.push_delayed(now + RETRY_DELAY, slot);
             }
         }
     }
 
-    /// The samples for the next batch, none older than `floor`. They stay ready until
-    /// [`StepCoordinator::on_sealed`]; samples that are too old are put up for drawing again.
-    pub fn compose(&mut self, floor: u64, batch_size: usize) -> Composition {
+    /// Returns the samples of the next batch, none older than version `floor`. They stay ready
+    /// until [`StepCoordinator::on_sealed`]. Slots of stale samples are queued for regeneration.
+    pub fn compose_batch(&mut self, floor: u64, batch_size: usize) -> NextBatch {
         let (fresh, stale): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.ready).into_iter().partition(|sample| sample.is_within(floor));
+            std::mem::take(&mut self.ready).into_iter().partition(|sample| sample.is_fresh(floor));
         self.ready = fresh;
         for sample in stale {
             self.wasted_tokens += u64::from(sample.tokens());
-            self.waiting.push_front(sample.slot, self.expected(sample.slot));
+            self.waiting.push_front(sample.slot, self.expected_length(sample.slot));
         }
         let undelivered = (self.plan.slots() - self.delivered.len()) as usize;
         if undelivered == 0 {
-            return Composition::Exhausted;
+            return NextBatch::Exhausted;
         }
-        let wanted = batch_size.min(undelivered);
-        if self.ready.len() < wanted {
-            return Composition::NotYet;
+        let target_size = batch_size.min(undelivered);
+        if self.ready.len() < target_size {
+            return NextBatch::Pending;
         }
-        Composition::Ready(self.ready.iter().take(wanted).cloned().collect())
+        NextBatch::Ready(self.ready.iter().take(target_size).cloned().collect())
     }
 
-    /// A batch was sealed; its slots are delivered, whoever drew them.
+    /// Marks the slots of a sealed batch as delivered, including those filled by other
+    /// coordinators.
     pub fn on_sealed(&mut self, samples: &[Sample]) -> Vec<Effect> {
         let mut effects = Vec::new();
         for sample in samples {
             self.delivered.insert(sample.slot);
             self.waiting.remove(sample.slot);
-            effects.extend(self.cancel_copies(sample.slot));
+            effects.extend(self.cancel_attempts(sample.slot));
         }
         let delivered = &self.delivered;
         self.ready.retain(|sample| !delivered.contains(sample.slot));
         effects
     }
 
-    /// Samples were taken out of the open batch; their slots are drawn again.
-    pub fn on_withheld(&mut self, slots: impl Iterator<Item = SlotIndex>) {
+    /// Queues the slots of samples that were evicted from the open batch for regeneration.
+    pub fn on_evicted(&mut self, slots: impl Iterator<Item = SlotIndex>) {
         for slot in slots {
             self.delivered.remove(slot);
-            self.waiting.push_front(slot, self.expected(slot));
+            self.waiting.push_front(slot, self.expected_length(slot));
         }
     }
 
-    /// Whether every slot is delivered.
-    pub fn is_exhausted(&self) -> bool {
+    /// Returns whether every slot is delivered.
+    pub fn is_fully_delivered(&self) -> bool {
         self.delivered.len() == self.plan.slots()
     }
 
-    /// Samples that are drawn and not yet sealed.
-    pub fn ready(&self) -> usize {
+    /// Returns the number of generated samples that are not yet sealed.
+    pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// Draws under way.
-    pub fn drawing(&self) -> usize {
-        self.drawing.len()
+    /// Returns the number of attempts in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Tokens of whole samples that were drawn in vain.
+    /// Returns the number of tokens of completed samples that were discarded.
     pub fn wasted_tokens(&self) -> u64 {
         self.wasted_tokens
     }
 
-    fn start(&mut self, now: Moment, slot: SlotIndex) -> Effect {
-        let draw = DrawId(self.next_draw);
-        self.next_draw += 1;
-        self.drawing.insert(draw, Draw { slot, started: now });
-        Effect::Draw { draw, slot }
+    fn start_attempt(&mut self, now: Moment, slot: SlotIndex) -> Effect {
+        let attempt = AttemptId(self.next_attempt);
+        self.next_attempt += 1;
+        self.in_flight.insert(attempt, Attempt { slot, started: now });
+        Effect::Start { attempt, slot }
     }
 
-    /// A finished sample tells how long the others of its prompt may run.
-    fn learn_length(&mut self, slot: SlotIndex, tokens: u32) {
+    /// Updates the expected lengths of the waiting samples of the same prompt.
+    fn record_length(&mut self, slot: SlotIndex, tokens: u32) {
         let prompt = self.plan.prompt_of(slot);
-        let longest = self.longest_seen.entry(prompt).or_default();
+        let longest = self.longest_by_prompt.entry(prompt).or_default();
         if tokens <= *longest {
             return;
         }
         *longest = tokens;
         let first = prompt * self.plan.samples_per_prompt;
         for sibling in (first..first + self.plan.samples_per_prompt).map(SlotIndex) {
-            self.waiting.expect(sibling, self.expected(sibling));
+            self.waiting.set_expected_length(sibling, self.expected_length(sibling));
         }
     }
 
-    /// Expected length of a slot's sample; a prompt of which nothing is known comes first, since its
-    /// first sample is what tells the length of the others.
-    fn expected(&self, slot: SlotIndex) -> u32 {
-        if self.plan.order == DrawOrder::FirstInFirstOut {
+    /// Returns the expected length of a slot's sample. The first sample of a prompt without a
+    /// completed sample gets the highest priority, as its length predicts that of the others.
+    fn expected_length(&self, slot: SlotIndex) -> u32 {
+        if self.plan.order == SamplingOrder::FirstInFirstOut {
             return 0;
         }
         let prompt = self.plan.prompt_of(slot);
         let is_first_of_prompt = slot.0.is_multiple_of(self.plan.samples_per_prompt);
-        match self.longest_seen.get(&prompt) {
+        match self.longest_by_prompt.get(&prompt) {
             Some(longest) => *longest,
             None if is_first_of_prompt => u32::MAX,
             None => 0,
         }
     }
 
-    /// The slot that has been drawn for longest with copies to spare, once few are unfilled.
+    /// Returns the slot to hedge next, once few slots are in flight: the one with the fewest
+    /// attempts, then the longest in flight.
     fn next_hedge(&self) -> Option<SlotIndex> {
         if self.plan.max_copies < 2 || !self.waiting.is_empty() {
             return None;
         }
-        let mut copies: BTreeMap<SlotIndex, (u32, Moment)> = BTreeMap::new();
-        for draw in self.drawing.values() {
-            let entry = copies.entry(draw.slot).or_insert((0, draw.started));
+        let mut attempts: BTreeMap<SlotIndex, (u32, Moment)> = BTreeMap::new();
+        for attempt in self.in_flight.values() {
+            let entry = attempts.entry(attempt.slot).or_insert((0, attempt.started));
             entry.0 += 1;
-            entry.1 = entry.1.min(draw.started);
+            entry.1 = entry.1.min(attempt.started);
         }
         let threshold = u64::from(self.plan.slots()) * u64::from(self.plan.hedge_below_milli);
-        if copies.len() as u64 * 1000 > threshold {
+        if attempts.len() as u64 * 1000 > threshold {
             return None;
         }
-        copies
+        attempts
             .into_iter()
             .filter(|(_, (count, _))| *count < self.plan.max_copies)
             .min_by_key(|(slot, (count, started))| (*count, *started, *slot))
             .map(|(slot, _)| slot)
     }
 
-    fn cancel_copies(&mut self, slot: SlotIndex) -> Vec<Effect> {
-        let copies: Vec<DrawId> = self
-            .drawing
+    fn cancel_attempts(&mut self, slot: SlotIndex) -> Vec<Effect> {
+        let attempts: Vec<AttemptId> = self
+            .in_flight
             .iter()
-            .filter(|(_, draw)| draw.slot == slot)
-            .map(|(draw, _)| *draw)
+            .filter(|(_, attempt)| attempt.slot == slot)
+            .map(|(attempt, _)| *attempt)
             .collect();
-        for draw in &copies {
-            self.drawing.remove(draw);
+        for attempt in &attempts {
+            self.in_flight.remove(attempt);
         }
-        copies.into_iter().map(|draw| Effect::Cancel { draw }).collect()
+        attempts.into_iter().map(|attempt| Effect::Cancel { attempt }).collect()
     }
 }
