--- a/crates/heronbend-daemon/src/admin.rs
+++ b/crates/heronbend-daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, on a listener of its own.
+//! Operators' HTTP interface, on a separate listener.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -15,96 +15,96 @@
 use serde::{Deserialize, Serialize};
 use smol::net::TcpListener;
 
-use crate::duties::register::RegisterCall;
-use crate::duties::settings::{edit_settings, EditError};
-use crate::duties::shards::needs_placing;
-use crate::duties::Executor;
 use crate::failpoints::Faults;
 use crate::front::readiness;
 use crate::shared::{shard_epochs, BackendsInput, Shared, StepStatus};
+use crate::tasks::register::RegisterCall;
+use crate::tasks::settings::{edit_settings, EditError};
+use crate::tasks::shards::needs_placement;
+use crate::tasks::Executor;
 
 const MAX_BODY_BYTES: u64 = 4 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answer of `GET /admin/status`.
+/// Response of `GET /admin/status`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The daemon and its run.
+    /// Name and incarnation of the daemon.
     pub node: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Whether it is stopping.
+    /// Whether the daemon is draining.
     pub draining: bool,
-    /// Whether it serves: settings known and confirmed.
+    /// Whether the daemon can serve: settings are loaded and confirmed.
     pub serves: bool,
-    /// Revision of the settings in force.
+    /// Revision of the active settings.
     pub settings_revision: u64,
     /// Sum of the shards' epochs.
     pub shard_epochs: u64,
-    /// Whether a shard waits for a member to be replaced.
+    /// Whether a shard has a missing member that can be replaced.
     pub shards_need_placing: bool,
-    /// Steps that this daemon coordinates.
+    /// Steps that the daemon coordinates.
     pub steps: Vec<StepStatus>,
-    /// Requests under way.
+    /// Requests in flight.
     pub exchanges: u64,
     /// Other daemons.
     pub members: Vec<Member>,
-    /// Back ends.
+    /// Known backends.
     pub backends: Vec<BackendStatus>,
-    /// Replica sets.
+    /// Replica sets of the shards.
     pub shard_map: ShardMap,
 }
 
-/// A back end in [`Status`].
+/// A backend in [`Status`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct BackendStatus {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its pool.
+    /// Pool.
     pub pool: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Its phase.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Its weight version.
+    /// Loaded weight version.
     pub version: Option<u64>,
 }
 
 /// Body of `POST /admin/drain`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DrainRequest {
-    /// Name of the back end, or of this daemon.
+    /// Name of a backend, or of this daemon.
     pub node: String,
 }
 
 /// Body of `POST /admin/shards/rebuild`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RebuildRequest {
-    /// The operator accepts that what the shards held may be lost.
+    /// Must be `true`: the operator accepts that data of the shards may be lost.
     pub accept_loss: bool,
 }
 
-/// Answer of `POST /admin/shards/rebuild`.
+/// Response of `POST /admin/shards/rebuild`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Rebuilt {
-    /// Shards that were opened again.
+    /// Number of reopened shards.
     pub shards: usize,
 }
 
-/// Answer of `POST /admin/settings`.
+/// Response of `POST /admin/settings`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EditAccepted {
-    /// The revision that the edit made.
+    /// Revision created by the edit.
     pub revision: u64,
 }
 
-/// Runs until the process ends.
+/// Serves the interface until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor, listener: TcpListener) {
     let handler = move |request| handle(shared.clone(), request);
     let limits = ServerLimits { max_body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
@@ -119,36 +119,36 @@
         (Method::Get, "/readyz") => readiness(&shared),
         (Method::Get, "/metrics") => {
             let mut response = Response::new(StatusCode::Ok);
-            response.set_body(shared.metrics.render());
+            response.set_body(shared.metrics.encode());
             response.insert_header("content-type", "application/openmetrics-text; version=1.0.0");
             response
         }
         (Method::Get, "/admin/status") => json_response(StatusCode::Ok, &status(&shared)),
         (Method::Get, "/admin/settings") => match shared.settings.load_full() {
-            Some(known) => json_response(StatusCode::Ok, &known.object),
+            Some(active) => json_response(StatusCode::Ok, &active.object),
             None => json_response(StatusCode::Ok, &heronbend::settings::SettingsObject::default()),
         },
         (Method::Post, "/admin/settings") => match read_json(&mut request).await {
-            Ok(edit) => answer_edit(edit_settings(&shared, edit).await),
+            Ok(edit) => edit_response(edit_settings(&shared, edit).await),
             Err(response) => response,
         },
         (Method::Post, "/admin/drain") => match read_json(&mut request).await {
-            Ok(order) => drain(&shared, &order),
+            Ok(body) => drain(&shared, &body),
             Err(response) => response,
         },
         (Method::Post, "/admin/shards/rebuild") => match read_json(&mut request).await {
-            Ok(order) => rebuild(&shared, &order).await,
+            Ok(body) => rebuild(&shared, &body).await,
             Err(response) => response,
         },
         (Method::Post, "/admin/failpoints") => match read_json::<Faults>(&mut request).await {
             Ok(faults) => set_failpoints(&shared, faults),
             Err(response) => response,
         },
-        _ => refuse(StatusCode::NotFound, "not_found"),
+        _ => reject(StatusCode::NotFound, "not_found"),
     }
 }
 
-fn refuse(status: StatusCode, code: &str) -> Response {
+fn reject(status: StatusCode, code: &str) -> Response {
     error_response(status, code, code.replace('_', " "), Outcome::NotRun)
 }
 
@@ -165,11 +165,11 @@
     if shared.failpoints.set(faults) {
         Response::new(StatusCode::NoContent)
     } else {
-        refuse(StatusCode::Forbidden, "failpoints_not_allowed")
+        reject(StatusCode::Forbidden, "failpoints_not_allowed")
     }
 }
 
-fn answer_edit(result: Result<u64, EditError>) -> Response {
+fn edit_response(result: Result<u64, EditError>) -> Response {
     match result {
         Ok(revision) => json_response(StatusCode::Ok, &EditAccepted { revision }),
         Err(error) => {
@@ -183,45 +183,45 @@
     }
 }
 
-/// Opens shards that have lost a majority; only for an operator who accepts the loss.
-async fn rebuild(shared: &Shared, order: &RebuildRequest) -> Response {
-    if !order.accept_loss {
-        return refuse(StatusCode::BadRequest, "loss_not_accepted");
+/// Reopens shards that have lost a majority of their replicas, if the operator accepts data loss.
+async fn rebuild(shared: &Shared, body: &RebuildRequest) -> Response {
+    if !body.accept_loss {
+        return reject(StatusCode::BadRequest, "loss_not_accepted");
     }
     let (reply, result) = smol::channel::bounded(1);
     if shared.register.sender.try_send(RegisterCall::Rebuild { reply }).is_err() {
-        return refuse(StatusCode::ServiceUnavailable, "busy");
+        return reject(StatusCode::ServiceUnavailable, "busy");
     }
     match result.recv().await {
         Ok(Ok(shards)) => json_response(StatusCode::Ok, &Rebuilt { shards }),
         Ok(Err(error)) => {
             log::warn!("event=rebuild_failed error={error}");
-            refuse(StatusCode::ServiceUnavailable, "platform_failed")
+            reject(StatusCode::ServiceUnavailable, "platform_failed")
         }
-        Err(_) => refuse(StatusCode::ServiceUnavailable, "busy"),
+        Err(_) => reject(StatusCode::ServiceUnavailable, "busy"),
     }
 }
 
-/// Drains this daemon, or tells everybody that a back end leaves.
-fn drain(shared: &Shared, order: &DrainRequest) -> Response {
-    if order.node == shared.identity.node.name.0 {
+/// Drains this daemon, or marks a backend as leaving on all daemons.
+fn drain(shared: &Shared, body: &DrainRequest) -> Response {
+    if body.node == shared.identity.node.name.0 {
         shared.draining.store(true, Ordering::Release);
         return Response::new(StatusCode::Accepted);
     }
     let table = shared.backends.load();
-    let known = table.backends.iter().find(|known| known.backend.name.0 == order.node);
-    let Some(known) = known else {
-        return refuse(StatusCode::NotFound, "unknown_node");
+    let entry = table.backends.iter().find(|entry| entry.backend.name.0 == body.node);
+    let Some(entry) = entry else {
+        return reject(StatusCode::NotFound, "unknown_node");
     };
     let stated = BackendPhase {
-        name: BackendName(order.node.clone()),
-        incarnation: known.backend.incarnation,
+        name: BackendName(body.node.clone()),
+        incarnation: entry.backend.incarnation,
         phase: Phase::Leaving,
     };
     let signal = Signal { source: SignalSource::Operator, stated };
-    match shared.backends_ring.sender.try_send(BackendsInput::Signal(signal)) {
+    match shared.backends_channel.sender.try_send(BackendsInput::Signal(signal)) {
         Ok(()) => Response::new(StatusCode::Accepted),
-        Err(_) => refuse(StatusCode::ServiceUnavailable, "busy"),
+        Err(_) => reject(StatusCode::ServiceUnavailable, "busy"),
     }
 }
 
@@ -233,24 +233,24 @@
         zone: shared.identity.zone.clone(),
         region: shared.identity.region.clone(),
         draining: shared.is_draining(),
-        serves: shared.serves(),
-        settings_revision: shared.head().settings_revision,
+        serves: shared.can_serve(),
+        settings_revision: shared.control_versions().settings_revision,
         shard_epochs: shard_epochs(&shard_map),
-        shards_need_placing: needs_placing(shared),
+        shards_need_placing: needs_placement(shared),
         steps: shared.steps.load_full().as_ref().clone(),
-        exchanges: shared.exchanges.load(Ordering::Relaxed),
+        exchanges: shared.in_flight.load(Ordering::Relaxed),
         members: shared.members.load_full().as_ref().clone(),
         backends: table
             .backends
             .iter()
-            .map(|known| BackendStatus {
-                name: known.backend.name.0.clone(),
-                pool: known.backend.pool.clone(),
-                zone: known.backend.zone.clone(),
-                phase: known.phase,
-                running: known.report.running,
-                waiting: known.report.waiting,
-                version: known.report.version,
+            .map(|entry| BackendStatus {
+                name: entry.backend.name.0.clone(),
+                pool: entry.backend.pool.clone(),
+                zone: entry.backend.zone.clone(),
+                phase: entry.phase,
+                running: entry.report.running,
+                waiting: entry.report.waiting,
+                version: entry.report.version,
             })
             .collect(),
         shard_map: shard_map.as_ref().clone(),
--- a/crates/heronbend-daemon/src/duties/rollout/mod.rs
+++ b/crates/heronbend-daemon/src/tasks/rollout/mod.rs
@@ -1,11 +1,11 @@
-//! Drives steps: draws their samples, has them scored, and hands sealed batches over.
+//! Rollout coordination: generates and scores the samples of steps and delivers sealed batches.
 //!
-//! - [`messages`]: what callers ask.
-//! - [`step`]: a step that this daemon coordinates.
-//! - [`drawing`]: its samples.
+//! - [`messages`]: calls from other threads.
+//! - [`step`]: state of a coordinated step.
+//! - [`sampling`]: generation and scoring of samples.
 
-mod drawing;
 mod messages;
+mod sampling;
 mod step;
 
 pub use messages::{call_rollout, RolloutCall, RolloutError, StepName};
@@ -26,41 +26,42 @@
 use smol::lock::Mutex;
 use smol::Timer;
 
-use self::step::{plan_of, Step, StepPolicy, StepState};
+use self::step::{plan_for, Step, StepPolicy, StepState};
 use super::register::{change_register, RegisterError};
 use super::Executor;
 use crate::dispatch::Dispatcher;
 use crate::shared::{epoch_seconds, Shared};
 
-/// Longest time that a fetch waits for its batch.
-const FETCH_WAIT: Duration = Duration::from_secs(5);
-const FETCH_POLL: Duration = Duration::from_millis(2);
+/// Long-poll timeout of a fetch.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(5);
+const FETCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
+/// State of the rollout task. Clones share it within the task's thread.
 #[derive(Clone)]
-struct RolloutDuty {
+struct RolloutManager {
     shared: Arc<Shared>,
     executor: Executor,
     dispatcher: Dispatcher,
     steps: Rc<RefCell<BTreeMap<StepName, Rc<Step>>>>,
 }
 
-/// Runs until the process ends.
+/// Runs the task until the process exits.
 pub async fn run(shared: Arc<Shared>, executor: Executor) {
-    let duty = RolloutDuty {
+    let manager = RolloutManager {
         dispatcher: Dispatcher::new(shared.clone()),
         shared: shared.clone(),
         executor: executor.clone(),
         steps: Rc::default(),
     };
-    executor.spawn(duty.clone().keep_pumping()).detach();
+    executor.spawn(manager.clone().schedule_steps()).detach();
     while let Ok(call) = shared.rollout.receiver.recv().await {
-        let duty = duty.clone();
-        executor.spawn(async move { duty.serve(call).await }).detach();
+        let manager = manager.clone();
+        executor.spawn(async move { manager.handle_call(call).await }).detach();
     }
 }
 
-impl RolloutDuty {
-    async fn serve(self, call: RolloutCall) {
+impl RolloutManager {
+    async fn handle_call(self, call: RolloutCall) {
         match call {
             RolloutCall::Post { name, request, reply } => {
                 drop(reply.try_send(self.post(name, request).await));
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Makes this daemon the step's coordinator and starts sampling.
     async fn post(
         &self,
         name: StepName,
@@ -83,10 +85,10 @@
             return Err(RolloutError::Draining);
         }
         let settings = self.shared.settings.load_full();
-        let policy = settings.as_ref().map(|known| &known.policy);
+        let policy = settings.as_ref().map(|active| &active.policy);
         let policy = policy.and_then(|policy| StepPolicy::find(policy, &name.trainer));
         let policy = policy.ok_or(RolloutError::UnknownTrainer)?;
-        let plan = plan_of(&request).ok_or(RolloutError::BadStep)?;
+        let plan = plan_for(&request).ok_or(RolloutError::BadStep)?;
         let change = StepChange::Begin {
             coordinator: self.shared.identity.node.clone(),
             slots: plan.slots(),
@@ -101,12 +103,12 @@
             delivered: record.delivered.len(),
             next_batch: record.next_batch,
         };
-        self.adopt(name, request, plan, policy, record);
+        self.start_step(name, request, plan, policy, record);
         Ok(accepted)
     }
 
-    /// Begins to draw a step, unless it is being drawn in the same term already.
-    fn adopt(
+    /// Starts sampling a step unless it is already active in the same term.
+    fn start_step(
         &self,
         name: StepName,
         request: StepRequest,
@@ -115,8 +117,8 @@
         record: OpenStep,
     ) {
         let mut steps = self.steps.borrow_mut();
-        let known_term = steps.get(&name).map(|step| step.state.borrow().record.term);
-        if known_term == Some(record.term) {
+        let active_term = steps.get(&name).map(|step| step.state.borrow().record.term);
+        if active_term == Some(record.term) {
             return;
         }
         log::info!(
@@ -131,7 +133,7 @@
         let state = StepState {
             record,
             coordinator,
-            draws: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             floor,
             last_fetch: Instant::now(),
         };
@@ -141,11 +143,12 @@
             plan,
             policy,
             state: RefCell::new(state),
-            sealing: Mutex::new(()),
+            seal_lock: Mutex::new(()),
         };
         steps.insert(name, Rc::new(step));
     }
 
+    /// Waits for a batch, up to [`FETCH_TIMEOUT`].
     async fn fetch(
         &self,
         name: &StepName,
@@ -159,18 +162,19 @@
             state.floor = state.floor.max(floor);
             state.last_fetch = Instant::now();
         }
-        let deadline = Instant::now() + FETCH_WAIT;
-        let _sealing = step.sealing.lock().await;
+        let deadline = Instant::now() + FETCH_TIMEOUT;
+        let _seal_guard = step.seal_lock.lock().await;
         loop {
             match self.try_fetch(&step, number, floor).await? {
                 Some(batch) => return Ok(Some(batch)),
                 None if self.shared.is_draining() => return Err(RolloutError::Draining),
                 None if Instant::now() >= deadline => return Ok(None),
-                None => drop(Timer::after(FETCH_POLL).await),
+                None => drop(Timer::after(FETCH_POLL_INTERVAL).await),
             }
         }
     }
 
+    /// Returns the open batch, or seals the next one if enough samples are ready.
     async fn try_fetch(
         &self,
         step: &Rc<Step>,
@@ -182,7 +186,7 @@
             (state.record.open.clone(), state.record.next_batch, state.record.term)
         };
         if let Some(open) = open.filter(|open| open.number == number) {
-            return self.show_open(step, open, term, floor).await.map(Some);
+            return self.serve_open_batch(step, open, term, floor).await.map(Some);
         }
         if number < next {
             return Err(RolloutError::Acknowledged);
@@ -190,17 +194,17 @@
         if number > next {
             return Err(StepRefusal::OutOfOrder { next }.into());
         }
-        let composition = {
+        let next_batch = {
             let mut state = step.state.borrow_mut();
             state.coordinator.compose_batch(floor, step.policy.batch_size)
         };
-        let samples = match composition {
+        let samples = match next_batch {
             NextBatch::Ready(samples) => samples,
             NextBatch::Pending => return Ok(None),
             NextBatch::Exhausted => return Err(RolloutError::Acknowledged),
         };
         let batch = SealedBatch { number, samples };
-        let sealed = self.seal(step, StepChange::Seal { term, batch }).await?;
+        let sealed = self.change_batch(step, StepChange::Seal { term, batch }).await?;
         self.shared.metrics.samples_sealed.inc_by(sealed.samples.len() as u64);
         let effects = {
             let mut state = step.state.borrow_mut();
@@ -212,12 +216,12 @@
             state.coordinator.on_sealed(&sealed.samples)
         };
         self.apply(step, effects);
-        // Another daemon may have sealed this batch before, with a lower floor.
-        self.show_open(step, sealed, term, floor).await.map(Some)
+        // The batch may have been sealed earlier by another daemon with a lower floor.
+        self.serve_open_batch(step, sealed, term, floor).await.map(Some)
     }
 
-    /// Shows the open batch, less the samples that are older than the floor.
-    async fn show_open(
+    /// Returns the open batch, after evicting samples older than the floor.
+    async fn serve_open_batch(
         &self,
         step: &Rc<Step>,
         mut open: SealedBatch,
@@ -228,15 +232,15 @@
         let is_stale = |sample: &Sample| !sample.is_fresh(floor);
         if open.samples.iter().any(is_stale) {
             let change = StepChange::Withhold { term, number, floor };
-            let kept = self.seal(step, change).await?;
-            let withheld = open.samples.iter().filter(|sample| is_stale(sample));
-            let withheld: Vec<SlotIndex> = withheld.map(|sample| sample.slot).collect();
+            let kept = self.change_batch(step, change).await?;
+            let evicted = open.samples.iter().filter(|sample| is_stale(sample));
+            let evicted: Vec<SlotIndex> = evicted.map(|sample| sample.slot).collect();
             let mut state = step.state.borrow_mut();
-            for slot in &withheld {
+            for slot in &evicted {
                 state.record.delivered.remove(*slot);
             }
             state.record.open = Some(kept.clone());
-            state.coordinator.on_evicted(withheld.into_iter());
+            state.coordinator.on_evicted(evicted.into_iter());
             open = kept;
         }
         Ok(Batch {
@@ -246,12 +250,18 @@
         })
     }
 
-    async fn seal(&self, step: &Step, change: StepChange) -> Result<SealedBatch, RolloutError> {
+    /// Applies a change of the open batch to the step's record; stops the step if it is fenced or
+    /// complete.
+    async fn change_batch(
+        &self,
+        step: &Step,
+        change: StepChange,
+    ) -> Result<SealedBatch, RolloutError> {
         match self.change(&step.name, change).await? {
             StepResponse::Sealed(batch) => Ok(batch),
             StepResponse::Refused(refusal) => {
                 if matches!(refusal, StepRefusal::Fenced { .. } | StepRefusal::Complete) {
-                    self.abandon(&step.name, "fenced");
+                    self.stop_step(&step.name, "fenced");
                 }
                 Err(refusal.into())
             }
@@ -259,13 +269,14 @@
         }
     }
 
+    /// Acknowledges the last batch and stops the step.
     async fn complete(&self, name: &StepName, number: u32) -> Result<(), RolloutError> {
         let settings = self.shared.settings.load_full();
-        let retention = settings.map_or(Duration::ZERO, |known| known.policy.claim_retention);
+        let retention = settings.map_or(Duration::ZERO, |active| active.policy.claim_retention);
         let expires = epoch_seconds() + retention.as_secs();
         match self.change(name, StepChange::Complete { number, expires }).await? {
             StepResponse::Completed => {
-                self.abandon(name, "complete");
+                self.stop_step(name, "complete");
                 Ok(())
             }
             StepResponse::Refused(refusal) => Err(refusal.into()),
@@ -281,16 +292,16 @@
         let key = step_key(&name.trainer, name.step);
         match change_register(&self.shared, key, RecordChange::Step(change)).await? {
             RecordResponse::Step(response) => Ok(response),
-            _ => Err(RolloutError::Register(RegisterError::NotDone)),
+            _ => Err(RolloutError::Register(RegisterError::NotApplied)),
         }
     }
 
-    /// Stops drawing a step; its draws are cancelled.
-    fn abandon(&self, name: &StepName, reason: &str) {
+    /// Stops a step and cancels its attempts.
+    fn stop_step(&self, name: &StepName, reason: &str) {
         let mut steps = self.steps.borrow_mut();
         if let Some(step) = steps.remove(name) {
             let mut state = step.state.borrow_mut();
-            state.draws.clear();
+            state.attempts.clear();
             let wasted = state.coordinator.wasted_tokens();
             log::info!(
                 "event=step_ended trainer={} step={} reason={reason} wasted_tokens={wasted}",
--- a/crates/heronbend-gateway/src/batch/reward.rs
+++ b/crates/heronbend-gateway/src/batch/reward.rs
@@ -1,4 +1,4 @@
-//! The call that scores a whole text.
+//! Calls that score completed texts.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -8,48 +8,49 @@
 use smol::Timer;
 
 use super::registry::Job;
-use super::reward_turn;
+use super::reward_limit;
 use super::specification::RewardCall;
 use crate::access;
-use crate::exchange::Outgoing;
-use crate::forward::{forward, Allowance, ForwardError};
+use crate::attempt::OutgoingRequest;
+use crate::forward::{forward, ForwardError, RequestLimits};
 use crate::gateway::Gateway;
-use crate::homes;
-use crate::http::client::WholeAnswer;
+use crate::http::client::FullResponse;
+use crate::region_policy;
 
-/// Servers that one round of a call may be sent to.
-const ATTEMPTS_A_ROUND: u32 = 2;
-/// Shortest time that a round is given.
-const MIN_ROUND: Duration = Duration::from_millis(600);
-/// A round is given this many times the route's target latency.
-const ROUND_TARGETS: u32 = 4;
-const REST: Duration = Duration::from_millis(40);
-/// Longest rest until it is looked again whether a call that is held back may be made.
-const HELD_REST: Duration = Duration::from_secs(1);
+/// Maximum number of servers tried in one round.
+const ATTEMPTS_PER_ROUND: u32 = 2;
+/// Minimum timeout of a round.
+const MIN_ROUND_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a round as a multiple of the route's target latency.
+const ROUND_TARGET_MULTIPLE: u32 = 4;
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Longest delay before a quarantined call is tried again.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How a reward call ended.
+/// Outcome of a reward call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Score {
-    /// The signature of a good answer.
+    /// Signature in the successful response.
     Signed(String),
-    /// It failed too often.
+    /// The call failed as often as the route allows.
     Failed,
 }
 
-/// Calls until there is a score, or the call has failed as often as its route allows.
+/// Repeats a reward call until it succeeds or reaches the failure limit of its route.
 pub async fn score(gateway: &Rc<Gateway>, job: &Job, item: &str, call: &RewardCall) -> Score {
     let mut failures = 0;
     loop {
-        let Some((outgoing, service, mut allowance, most)) = prepare(gateway, job, call) else {
-            Timer::after(REST).await;
+        let Some((outgoing, service, mut limits, max_failures)) = prepare_call(gateway, job, call)
+        else {
+            Timer::after(RETRY_DELAY).await;
             continue;
         };
-        let _pass = reward_turn::enter(gateway, &service).await;
-        let round = (allowance.target_latency * ROUND_TARGETS).max(MIN_ROUND);
-        allowance.deadline = gateway.now() + round;
-        allowance.is_repeatable = true;
-        allowance.max_attempts = ATTEMPTS_A_ROUND;
-        let answer = forward(gateway, &service, outgoing, allowance).await;
+        let _permit = reward_limit::acquire(gateway, &service).await;
+        let round_timeout = (limits.target_latency * ROUND_TARGET_MULTIPLE).max(MIN_ROUND_TIMEOUT);
+        limits.deadline = gateway.now() + round_timeout;
+        limits.is_idempotent = true;
+        limits.max_attempts = ATTEMPTS_PER_ROUND;
+        let answer = forward(gateway, &service, outgoing, limits).await;
         if let Ok(answer) = &answer {
             let signature = gateway.dialect.headers().signature.clone();
             let signature = answer.headers.get(signature).and_then(|value| value.to_str().ok());
@@ -60,53 +61,55 @@
                 _ => failures += 1,
             }
         }
-        let rest = rest(&answer);
+        let retry_delay = retry_delay(&answer);
         log::info!(
             "event=reward_failed job={} item={item} reward={} failures={failures} status={}",
             job.id,
             call.id,
             answer.map_or_else(|error| format!("{error:?}"), |answer| answer.status.to_string())
         );
-        if failures >= most {
+        if failures >= max_failures {
             return Score::Failed;
         }
-        Timer::after(rest).await;
+        Timer::after(retry_delay).await;
     }
 }
 
-/// Rest before the next round: longer where the call is kept from servers.
-fn rest(answer: &Result<WholeAnswer, ForwardError>) -> Duration {
+/// Delay before the next round, longer for a quarantined call.
+fn retry_delay(answer: &Result<FullResponse, ForwardError>) -> Duration {
     match answer {
-        Err(ForwardError::Quarantined(refused)) => refused.retry_after.clamp(REST, HELD_REST),
-        _ => REST,
+        Err(ForwardError::Quarantined(refused)) => {
+            refused.retry_after.clamp(RETRY_DELAY, MAX_RETRY_DELAY)
+        }
+        _ => RETRY_DELAY,
     }
 }
 
-fn prepare(
+fn prepare_call(
     gateway: &Gateway,
     job: &Job,
     call: &RewardCall,
-) -> Option<(Outgoing, String, Allowance, u32)> {
+) -> Option<(OutgoingRequest, String, RequestLimits, u32)> {
     let configuration = gateway.configuration()?;
     let path = call.path.split('?').next().unwrap_or_default();
-    let route = configuration.route(&call.host, path)?;
-    let service = gateway.splitter.borrow_mut().next(route)?.to_owned();
+    let route = configuration.match_route(&call.host, path)?;
+    let service = gateway.splitter.borrow_mut().pick(route)?.to_owned();
     let names = gateway.dialect.headers();
     let mut headers = HeaderMap::new();
     headers.insert(names.request_id.clone(), HeaderValue::from_str(&call.id).ok()?);
     headers.insert(http::header::HOST, HeaderValue::from_str(&call.host).ok()?);
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         id: call.id.clone(),
         method: Method::POST,
         target: call.path.parse().ok()?,
         headers,
         body: call.decoded_body(),
-        hold: None,
+        reservation: None,
         billing: None,
         fingerprint: OnceCell::new(),
     };
-    let owner = access::owner_of_job(&configuration, job.ownership.borrow().0.tenant.as_deref());
-    let homes = homes::of(&configuration, route, &owner);
-    let allowance = Allowance::of_route(route, gateway.now(), None, homes);
-    Some((outgoing, service, allowance, route.max_attempts.max(1)))
+    let owner = access::job_caller(&configuration, job.ownership.borrow().0.tenant.as_deref());
+    let allowed_regions = region_policy::allowed_regions(&configuration, route, &owner);
+    let limits = RequestLimits::for_route(route, gateway.now(), None, allowed_regions);
+    Some((outgoing, service, limits, route.max_attempts.max(1)))
 }
--- a/crates/heronbend-gateway/src/evacuations.rs
+++ b/crates/heronbend-gateway/src/evacuations.rs
@@ -1,30 +1,30 @@
-//! Zones that the operator has taken out of service for a while.
+//! Evacuation of zones by the operator.
 //!
-//! The operator keeps one object for each such zone in the store. Daemons follow the kind in the way
-//! of all news, so that also one that the store refuses hears of it from its peers. From then on
-//! nothing new goes to the zone's servers, neither requests nor orders; kept connections are closed,
-//! and texts that run there go on elsewhere as soon as a place is free.
+//! The store holds one object for each evacuated zone. Daemons follow this kind like all others, so
+//! that a daemon without access to the store learns of an evacuation from its peers. From then on
+//! no requests or commands are sent to the zone's servers, idle connections to them are closed, and
+//! batch items that run there move to other zones as slots become free.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 
 use crate::gateway::Gateway;
-use crate::mirror;
-use crate::mirror::MirrorSink;
-use crate::mirror::Source;
 use crate::ports::Object;
+use crate::reflector;
+use crate::reflector::ObjectHandler;
+use crate::reflector::Source;
 
-/// Evacuations that come within this time cost one call. The whole bound is seconds.
-const GATHERING: Duration = Duration::from_millis(100);
+/// Evacuations that arrive within this time are read in one call.
+const BATCHING_DELAY: Duration = Duration::from_millis(100);
 
 struct EvacuationSink(Rc<Gateway>);
 
-/// Follows the evacuations until the daemon ends.
+/// Applies evacuations until the daemon exits.
 pub async fn follow(gateway: Rc<Gateway>) {
     let kind = gateway.dialect.kinds().evacuations;
     let sink = EvacuationSink(gateway.clone());
-    mirror::follow(gateway, kind, Source::Watchers, GATHERING, sink).await;
+    reflector::run(gateway, kind, Source::Peers, BATCHING_DELAY, sink).await;
 }
 
 impl EvacuationSink {
@@ -38,11 +38,11 @@
             let mut directory = gateway.directory.borrow_mut();
             directory.placer.evacuate(zone);
             for server in directory.all().filter(|server| server.zone == zone) {
-                closed += gateway.servers.close_idle(server.address);
+                closed += gateway.server_connections.close_idle(server.address);
             }
         }
         log::info!("event=zone_evacuated zone={zone} connections_closed={closed}");
-        gateway.metrics.zone_evacuated(zone, true);
+        gateway.metrics.set_zone_evacuated(zone, true);
     }
 
     fn end(&self, zone: &str) {
@@ -52,17 +52,17 @@
         }
         gateway.directory.borrow_mut().placer.end_evacuation(gateway.now(), zone);
         log::info!("event=zone_readmitted zone={zone}");
-        gateway.metrics.zone_evacuated(zone, false);
+        gateway.metrics.set_zone_evacuated(zone, false);
     }
 }
 
-impl MirrorSink for EvacuationSink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for EvacuationSink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let before = self.0.evacuated.borrow().clone();
         before.difference(names).for_each(|zone| self.end(zone));
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         self.begin(&object.name);
     }
 
@@ -70,12 +70,12 @@
         self.end(zone);
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         self.0.directory.borrow_mut().placer.mark_evacuations_loaded();
     }
 
-    fn applied(&self) {
-        self.0.places.changed.notify(usize::MAX);
+    fn on_batch(&self) {
+        self.0.slot_queue.changed.notify(usize::MAX);
         self.0.versions.changed.notify(usize::MAX);
     }
 }
--- a/crates/heronbend-gateway/src/memory.rs
+++ b/crates/heronbend-gateway/src/memory.rs
@@ -1,57 +1,57 @@
-//! A bound on the bytes of requests that a daemon holds at once.
+//! Memory budget for client request bodies.
 //!
-//! Each client may send a body as large as the configuration allows, and many may do so at the same
-//! time. What does not fit is refused at once as not run, with a time to come back.
+//! A body that does not fit into the budget is rejected at once with a retry delay, without being
+//! run.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that may be held, and those that are.
+/// Limit and current use of the budget.
 #[derive(Debug)]
-pub struct Budget {
+pub struct MemoryBudget {
     limit: usize,
-    held: Cell<usize>,
+    reserved: Cell<usize>,
 }
 
-/// Bytes held; given back when dropped.
+/// Reserved bytes, which are released on drop.
 #[derive(Debug)]
-pub struct Hold {
-    budget: Rc<Budget>,
+pub struct Reservation {
+    budget: Rc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Budget {
-    /// A budget of so many bytes.
+impl MemoryBudget {
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Self { limit, held: Cell::new(0) })
+        Rc::new(Self { limit, reserved: Cell::new(0) })
     }
 
-    /// Bytes that are held now.
-    pub fn held(&self) -> usize {
-        self.held.get()
+    /// Number of bytes reserved.
+    pub fn reserved(&self) -> usize {
+        self.reserved.get()
     }
 
-    /// A hold of nothing yet.
-    pub fn hold(self: &Rc<Self>) -> Hold {
-        Hold { budget: self.clone(), bytes: 0 }
+    /// Creates an empty reservation.
+    pub fn reserve(self: &Rc<Self>) -> Reservation {
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-impl Hold {
-    /// Holds more bytes; false, and nothing more, where they do not fit.
+impl Reservation {
+    /// Reserves more bytes; returns `false` and reserves nothing if they don't fit.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let held = self.budget.held.get();
-        if bytes > self.budget.limit.saturating_sub(held) {
+        let reserved = self.budget.reserved.get();
+        if bytes > self.budget.limit.saturating_sub(reserved) {
             return false;
         }
-        self.budget.held.set(held + bytes);
+        self.budget.reserved.set(reserved + bytes);
         self.bytes += bytes;
         true
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held.get() - self.bytes);
+        self.budget.reserved.set(self.budget.reserved.get() - self.bytes);
     }
 }
--- a/crates/heronbend-gateway/src/permits.rs
+++ b/crates/heronbend-gateway/src/permits.rs
@@ -1,7 +1,8 @@
-//! Permits to send requests to cold servers: borrowed from whoever lends them, and lent to others.
+//! Permits to send requests to cold servers.
 //!
-//! What a cold server bears is bounded for all daemons together. [`heronbend::rate_limit`] decides who lends
-//! and how much; this module passes the messages.
+//! The total request rate to a cold server is limited across all daemons. One daemon issues the
+//! permits for a server and the others request them. [`heronbend::rate_limit`] decides which daemon
+//! issues permits and how many; this module exchanges the messages.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,106 +24,107 @@
 use crate::peers::PeerReply;
 use crate::peers::PeerRequest;
 
-/// Rest before a lender is asked again that did not answer, or that lends no more.
-const UNANSWERED_REST: Duration = Duration::from_millis(200);
+/// Delay before permits are requested again from an issuer that did not answer or does not know the
+/// server.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What servers bear beyond what they say, in short.
+/// How far the request rate of a cold server may exceed its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ColdMargin {
-    /// A cold server gets no more in a second than this many times what it bears...
+pub struct ColdStartMargin {
+    /// Factor by which the rate limit is multiplied.
     pub overshoot: f64,
-    /// ...and so many requests more.
+    /// Requests per second added to the product.
     pub slack: f64,
 }
 
-impl ColdMargin {
-    /// What may be lent for a server that bears so much.
-    fn terms(self, cold: ColdStartLimit) -> rate_limit::RateLimit {
+impl ColdStartMargin {
+    /// Rate limit for a server with the given cold start limit.
+    fn rate_limit(self, limit: ColdStartLimit) -> rate_limit::RateLimit {
         rate_limit::RateLimit::bounded(
-            cold.per_second,
-            cold.per_second * self.overshoot + self.slack,
+            limit.per_second,
+            limit.per_second * self.overshoot + self.slack,
         )
     }
 }
 
-/// The lender's part, and who lends.
+/// Permits issued by this daemon, and the membership that determines the issuers.
 pub struct Permits {
     view: RefCell<MembershipView>,
-    lender: RefCell<PermitIssuer>,
+    issuer: RefCell<PermitIssuer>,
 }
 
 impl Permits {
-    /// A daemon that has just started.
-    pub fn new(me: NodeName) -> Self {
+    /// Creates the state of a daemon that has just started.
+    pub fn new(local: NodeName) -> Self {
         Self {
-            view: RefCell::new(MembershipView::new(me, Moment::ZERO)),
-            lender: RefCell::default(),
+            view: RefCell::new(MembershipView::new(local, Moment::ZERO)),
+            issuer: RefCell::default(),
         }
     }
 
-    /// The daemon that lends for a key, as far as is known here.
-    pub fn lender(&self, key: &str) -> NodeName {
+    /// Daemon that issues the permits for a key, according to the local membership view.
+    pub fn issuer(&self, key: &str) -> NodeName {
         self.view.borrow().issuer(key).clone()
     }
 }
 
-/// Takes in which daemons are alive.
-pub fn note_members(gateway: &Gateway) {
+/// Updates the membership view from the live and departed members.
+pub fn update_members(gateway: &Gateway) {
     let members = gateway.members.all();
-    let names = |is_wanted: &dyn Fn(Liveness) -> bool| -> Vec<NodeName> {
-        let wanted = members.iter().filter(|member| is_wanted(member.liveness));
-        wanted.map(|member| member.id.name.clone()).collect()
+    let names = |predicate: &dyn Fn(Liveness) -> bool| -> Vec<NodeName> {
+        let selected = members.iter().filter(|member| predicate(member.liveness));
+        selected.map(|member| member.id.name.clone()).collect()
     };
     let alive = names(&|liveness| liveness <= Liveness::Suspect);
     let left = names(&|liveness| liveness == Liveness::Left);
     gateway.permits.view.borrow_mut().update(gateway.now(), alive, &left);
 }
 
-/// Asks for permits for the cold servers that requests wait for.
-pub fn ask(gateway: &Rc<Gateway>) {
+/// Requests permits for the cold servers that requests are waiting for.
+pub fn request_permits(gateway: &Rc<Gateway>) {
     let now = gateway.now();
-    let shortages = gateway.directory.borrow_mut().placer.take_permit_demand(now);
-    for shortage in shortages {
+    let demands = gateway.directory.borrow_mut().placer.take_permit_demand(now);
+    for demand in demands {
         let gateway = gateway.clone();
         let executor = gateway.executor.clone();
-        executor.spawn(async move { borrow(&gateway, shortage).await }).detach();
+        executor.spawn(async move { request_for_server(&gateway, demand).await }).detach();
     }
 }
 
-async fn borrow(gateway: &Rc<Gateway>, shortage: PermitDemand) {
-    let asked = gateway.now();
-    let server = gateway.directory.borrow().placer.id(shortage.server).map(str::to_owned);
-    let loan = match &server {
-        Some(server) => loan(gateway, server, shortage.permits).await,
+async fn request_for_server(gateway: &Rc<Gateway>, demand: PermitDemand) {
+    let requested_at = gateway.now();
+    let server = gateway.directory.borrow().placer.id(demand.server).map(str::to_owned);
+    let grant = match &server {
+        Some(server) => request_grant(gateway, server, demand.permits).await,
         None => None,
     };
-    let until = asked + rate_limit::PERMIT_VALIDITY;
+    let valid_until = requested_at + rate_limit::PERMIT_VALIDITY;
     let now = gateway.now();
-    let (permits, again) = match loan {
-        // Answers that come late are of no use: what they lend is over.
-        Some(loan) if loan.permits > 0 && now < until => (loan.permits, None),
-        Some(loan) => (0, Some(loan.retry_after)),
-        None => (0, Some(UNANSWERED_REST)),
+    let (permits, retry_after) = match grant {
+        // A grant that arrives late has expired.
+        Some(grant) if grant.permits > 0 && now < valid_until => (grant.permits, None),
+        Some(grant) => (0, Some(grant.retry_after)),
+        None => (0, Some(RETRY_DELAY)),
     };
-    gateway.metrics.permits_borrowed.inc_by(u64::from(permits));
+    gateway.metrics.permits_received.inc_by(u64::from(permits));
     {
         let placer = &mut gateway.directory.borrow_mut().placer;
-        placer.record_permit_grant(now, shortage.server, permits, until, again);
+        placer.record_permit_grant(now, demand.server, permits, valid_until, retry_after);
     }
     if permits > 0 {
-        gateway.places.changed.notify(usize::MAX);
+        gateway.slot_queue.changed.notify(usize::MAX);
     }
 }
 
-/// What the lender for a server lends; nothing where it does not answer.
-async fn loan(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
-    let lender = gateway.permits.lender(server);
-    if lender == gateway.identity.node.name {
-        return lend(gateway, server, permits).ok();
+/// Requests permits from the issuer for a server; `None` if it does not answer.
+async fn request_grant(gateway: &Rc<Gateway>, server: &str, permits: u32) -> Option<PermitGrant> {
+    let issuer = gateway.permits.issuer(server);
+    if issuer == gateway.identity.node.name {
+        return issue(gateway, server, permits).ok();
     }
-    let lender = gateway.members.named(&lender)?;
+    let issuer = gateway.members.find_by_name(&issuer)?;
     let request = PeerRequest::Borrow { server: server.to_owned(), permits };
-    match client::call(gateway, &lender, &request, Duration::ZERO).await? {
+    match client::call(gateway, &issuer, &request, Duration::ZERO).await? {
         PeerReply::Lent { permits, again_millis } => {
             Some(PermitGrant { permits, retry_after: Duration::from_millis(again_millis) })
         }
@@ -130,12 +132,12 @@
     }
 }
 
-/// Answers a daemon that wants permits.
-pub fn answer(gateway: &Gateway, server: &str, permits: u32) -> PeerReply {
-    match lend(gateway, server, permits) {
-        Ok(loan) => PeerReply::Lent {
-            permits: loan.permits,
-            again_millis: u64::try_from(loan.retry_after.as_millis()).unwrap_or(u64::MAX),
+/// Handles a permit request of a peer.
+pub fn handle_request(gateway: &Gateway, server: &str, permits: u32) -> PeerReply {
+    match issue(gateway, server, permits) {
+        Ok(grant) => PeerReply::Lent {
+            permits: grant.permits,
+            again_millis: u64::try_from(grant.retry_after.as_millis()).unwrap_or(u64::MAX),
         },
         Err(refusal) => {
             log::info!("event=permits_not_lent server={server} reason={refusal:?}");
@@ -144,29 +146,29 @@
     }
 }
 
-/// Lends permits for a server, where that falls to this daemon.
-fn lend(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
+/// Issues permits for a server if this daemon is its issuer.
+fn issue(gateway: &Gateway, server: &str, permits: u32) -> Result<PermitGrant, Refusal> {
     let now = gateway.now();
-    if gateway.is_alone_of_several() {
+    if gateway.has_lost_all_peers() {
         return Err(Refusal::Minority);
     }
     match gateway.permits.view.borrow().may_issue(now, server) {
         Ok(()) => {}
-        Err(Refusal::TakeoverPending(left)) => {
-            return Ok(PermitGrant { permits: 0, retry_after: left })
+        Err(Refusal::TakeoverPending(remaining)) => {
+            return Ok(PermitGrant { permits: 0, retry_after: remaining })
         }
         Err(refusal) => return Err(refusal),
     }
-    let cold = {
+    let cold_limit = {
         let placer = &gateway.directory.borrow().placer;
         placer.key(server).and_then(|key| placer.cold_start_limit(key))
     };
-    // A server that is not known here bears nothing yet.
-    let Some(cold) = cold else {
-        return Ok(PermitGrant { permits: 0, retry_after: UNANSWERED_REST });
+    // An unknown server gets no requests yet.
+    let Some(cold_limit) = cold_limit else {
+        return Ok(PermitGrant { permits: 0, retry_after: RETRY_DELAY });
     };
-    let terms = gateway.tuning().cold_margin.terms(cold);
-    let loan = gateway.permits.lender.borrow_mut().issue(now, server, permits, terms);
-    gateway.metrics.permits_lent.inc_by(u64::from(loan.permits));
-    Ok(loan)
+    let limit = gateway.tuning().cold_margin.rate_limit(cold_limit);
+    let grant = gateway.permits.issuer.borrow_mut().issue(now, server, permits, limit);
+    gateway.metrics.permits_issued.inc_by(u64::from(grant.permits));
+    Ok(grant)
 }
--- a/crates/heronbend-gateway/src/service.rs
+++ b/crates/heronbend-gateway/src/service.rs
@@ -1,4 +1,4 @@
-//! The daemon that callers reach: starts the parts, answers calls, and stops without a loss.
+//! The gateway daemon: startup, listeners, background tasks and graceful shutdown.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -13,101 +13,107 @@
 use smol::{LocalExecutor, Timer};
 use thiserror::Error;
 
-use crate::batch::ownership_duty;
+use crate::batch::ownership_manager;
 use crate::configuration::Configuration;
 use crate::configuration::Finding;
-use crate::directory::Run;
+use crate::directory::RunOrder;
 use crate::directory::Server;
 use crate::directory::ServerState;
 use crate::duties;
 use crate::evacuations;
 use crate::gateway::Gateway;
 use crate::http::server::{Listener, ListenerLimits};
-use crate::http::{bytes_answer, text_answer, Answer};
-use crate::lease_keeper::LeaseKeeper;
-use crate::lease_news::LeaseName;
-use crate::mirror::{self, MirrorSink, Source};
+use crate::http::{bytes_response, text_response, HttpResponse};
+use crate::lease_manager::LeaseManager;
+use crate::lease_state::LeaseName;
 use crate::peers;
 use crate::ports::{DialectError, Object, Ports};
 use crate::quarantine;
-use crate::quarantine::evidence;
+use crate::quarantine::crash_detection;
+use crate::reflector::{self, ObjectHandler, Source};
 use crate::reload;
 use crate::versions;
 use crate::wait;
 
-/// Share of the time for a change of servers in which further ones are gathered into one call. The
-/// rest is for the store's answer, and for a call that has to be repeated.
-const DIRECTORY_GATHERING: f64 = 0.5;
-/// The same for the configuration, of which a storm of changes is to be in force soon.
-const CONFIGURATION_GATHERING: f64 = 0.15;
-/// Added to the idle timeout of clients before a kept connection is closed.
+/// Fraction of the drain propagation limit during which server updates are batched. The rest is
+/// left for the store's response and a retry.
+const DIRECTORY_BATCHING_RATIO: f64 = 0.5;
+/// Fraction of the configuration propagation limit during which configuration updates are batched.
+const CONFIGURATION_BATCHING_RATIO: f64 = 0.15;
+/// Added to the idle timeout of clients before an idle connection is closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Time for the entry to stop sending new connections, after the daemon says it is not ready.
-const STOP_NOTICE: Duration = Duration::from_millis(3500);
-/// Kept back of the time to stop, for the process to end.
+/// Time for the load balancer to stop sending new connections after the daemon reports that it is
+/// not ready.
+const READINESS_DELAY: Duration = Duration::from_millis(3500);
+/// Part of the shutdown limit that is reserved for the exit of the process.
 const STOP_MARGIN: Duration = Duration::from_millis(1200);
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// Time between two lines with what was counted.
-const COUNTS_PERIOD: Duration = Duration::from_secs(5);
-/// Longest time to tell the others that this daemon stops.
-const LEAVE_LIMIT: Duration = Duration::from_millis(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of the log lines with counters.
+const COUNTER_LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Timeout for announcing the departure to the other members.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Addresses that a daemon serves on.
+/// Listening addresses of a daemon.
 #[derive(Debug, Clone)]
 pub struct Addresses {
-    /// Callers.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// The entry's question whether the daemon is ready; may be the callers' address.
+    /// Readiness checks of the load balancer; may equal `callers`.
     pub ready: SocketAddr,
-    /// Peers, by TCP and UDP.
+    /// Peers, over TCP and UDP.
     pub peers: SocketAddr,
-    /// Counters.
+    /// Metrics page.
     pub metrics: Option<SocketAddr>,
-    /// Peer addresses of some other daemons; may be out of date.
+    /// Peer addresses of other daemons; may be outdated.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Path at which the entry asks whether a daemon is ready.
+/// Path of the readiness check.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadyPath(pub &'static str);
 
-/// Why a daemon could not start.
+/// Why a daemon failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address cannot be served on.
+    /// Listening on an address failed.
     #[error("listening on {address} for {purpose}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What it is for.
+        /// Purpose of the listener.
         purpose: &'static str,
-        /// The system's error.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// Signals cannot be taken.
+    /// Registering signal handlers failed.
     #[error("taking signals: {0}")]
     Signals(std::io::Error),
 }
 
-/// Runs a daemon until it is told to stop and has drained.
+/// Runs a daemon until a stop signal arrives and the daemon has drained.
 pub fn run(
     ready_path: ReadyPath,
-    source: reload::Source,
+    source: reload::SettingsSource,
     ports: impl FnOnce(Rc<LocalExecutor<'static>>) -> Ports,
 ) -> Result<(), StartError> {
     let executor = Rc::new(LocalExecutor::new());
     let ports = ports(executor.clone());
-    let stop = crate::keeper::stop_signal(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
-    let hang_up = crate::keeper::stop_signal(&[SIGHUP]).map_err(StartError::Signals)?;
+    let stop =
+        crate::retirement::listen_for_signals(&[SIGTERM, SIGINT]).map_err(StartError::Signals)?;
+    let reload_signal =
+        crate::retirement::listen_for_signals(&[SIGHUP]).map_err(StartError::Signals)?;
     let (identity, tuning) = (source.settings.identity(), source.settings.tuning());
     let addresses = source.settings.addresses();
     let first_start = source.settings.first_start;
     let gateway = Gateway::new(identity, ports, executor.clone(), tuning);
-    gateway.know_zones(&source.settings.zones);
+    gateway.set_zone_regions(&source.settings.zones);
     smol::block_on(executor.run(async move {
-        gateway.members.introduction.begin(first_start);
+        gateway.members.bootstrap.begin(first_start);
         let callers = start(&gateway, &addresses, ready_path)?;
-        gateway.executor.spawn(reload::follow(gateway.clone(), source, hang_up)).detach();
+        gateway
+            .executor
+            .spawn(reload::watch_settings(gateway.clone(), source, reload_signal))
+            .detach();
         stop.wait().await;
         drain(&gateway, &callers).await;
         Ok(())
@@ -133,21 +139,21 @@
     {
         let served = gateway.clone();
         listen(gateway, addresses.peers, "peers", move |request| {
-            peers::duty::answer_peer(served.clone(), request)
+            peers::membership::handle_request(served.clone(), request)
         })?;
     }
     if let Some(address) = addresses.metrics {
-        let told = gateway.clone();
+        let served = gateway.clone();
         let page = move |_| {
-            let page = told.metrics.page();
-            async move { bytes_answer(http::StatusCode::OK, "text/plain", page.into()) }
+            let page = served.metrics.encode();
+            async move { bytes_response(http::StatusCode::OK, "text/plain", page.into()) }
         };
         if let Err(error) = listen(gateway, address, "metrics", page) {
             log::warn!("event=metrics_not_served error=\"{error}\"");
         }
     }
     start_membership(gateway, addresses)?;
-    start_duties(gateway, &callers);
+    start_background_tasks(gateway, &callers);
     log::info!(
         "event=started node={} zone={} callers={} peers={}",
         gateway.identity.node,
@@ -166,7 +172,7 @@
 ) -> Result<Rc<Listener>, StartError>
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: std::future::Future<Output = Answer> + 'static,
+    F: std::future::Future<Output = HttpResponse> + 'static,
 {
     let failed = |error| StartError::Listen { address, purpose, error };
     let socket = TcpListener::bind(address).map_err(failed)?;
@@ -182,7 +188,7 @@
     let failed = |error| StartError::Listen { address, purpose: "peers' datagrams", error };
     let socket = UdpSocket::bind(address).map_err(failed)?;
     let socket = smol::Async::new(socket).map_err(failed)?;
-    let me = Member {
+    let local = Member {
         id: gateway.identity.node.clone(),
         address,
         http_address: addresses.callers,
@@ -194,28 +200,30 @@
     };
     let others = addresses.seeds.iter().copied().filter(|seed| *seed != address);
     *gateway.seeds.borrow_mut() = others.collect();
-    let membership = peers::duty::run_membership(gateway.clone(), socket.into(), me);
+    let membership = peers::membership::run_membership(gateway.clone(), socket.into(), local);
     gateway.executor.spawn(membership).detach();
     Ok(())
 }
 
-fn start_duties(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
+fn start_background_tasks(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
     let spawn = |task| gateway.executor.spawn::<()>(task).detach();
     let kinds = gateway.dialect.kinds();
     let configuration = ConfigurationSink { gateway: gateway.clone(), callers: callers.clone() };
     let (configurations, servers) = (kinds.configuration, kinds.servers);
     let followed = gateway.clone();
     spawn(Box::pin(async move {
-        let gathering = followed.tuning().configuration_notice.mul_f64(CONFIGURATION_GATHERING);
-        mirror::follow(followed, configurations, Source::Watchers, gathering, configuration).await;
+        let batching_delay =
+            followed.tuning().configuration_notice.mul_f64(CONFIGURATION_BATCHING_RATIO);
+        reflector::run(followed, configurations, Source::Peers, batching_delay, configuration)
+            .await;
     }) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
     let directory = DirectorySink::new(gateway.clone());
-    let gathering = gateway.tuning().drain_notice.mul_f64(DIRECTORY_GATHERING);
-    spawn(Box::pin(mirror::follow(
+    let batching_delay = gateway.tuning().drain_notice.mul_f64(DIRECTORY_BATCHING_RATIO);
+    spawn(Box::pin(reflector::run(
         gateway.clone(),
         servers,
-        Source::Watchers,
-        gathering,
+        Source::Peers,
+        batching_delay,
         directory,
     )));
     if gateway.tuning().evacuation_notice.is_some() {
@@ -223,14 +231,14 @@
         spawn(Box::pin(evacuations::follow(gateway.clone())));
     }
     spawn(Box::pin(quarantine::record::follow(gateway.clone())));
-    spawn(Box::pin(quarantine::keep_up(gateway.clone())));
-    spawn(Box::pin(peers::introduction::run(gateway.clone())));
-    spawn(Box::pin(mirror::probe_store(gateway.clone())));
-    spawn(Box::pin(log_counts(gateway.clone())));
-    spawn(Box::pin(ownership_duty::follow(gateway.clone())));
-    spawn(Box::pin(ownership_duty::adopt_orphans(gateway.clone())));
-    spawn(Box::pin(versions::named::follow_versions(gateway.clone())));
-    spawn(Box::pin(versions::duty::run(gateway.clone())));
+    spawn(Box::pin(quarantine::run_maintenance(gateway.clone())));
+    spawn(Box::pin(peers::bootstrap::run(gateway.clone())));
+    spawn(Box::pin(reflector::probe_store(gateway.clone())));
+    spawn(Box::pin(log_counters_periodically(gateway.clone())));
+    spawn(Box::pin(ownership_manager::refresh_ownerships(gateway.clone())));
+    spawn(Box::pin(ownership_manager::adopt_orphans(gateway.clone())));
+    spawn(Box::pin(versions::watch::watch_versions(gateway.clone())));
+    spawn(Box::pin(versions::dispatcher::run(gateway.clone())));
     start_provider_duties(gateway);
 }
 
@@ -238,16 +246,16 @@
     let Some(provider) = gateway.provider.clone() else {
         return;
     };
-    let lease = Rc::new(LeaseKeeper::new(gateway.clone(), LeaseName::Duties));
-    if gateway.tuning().scales {
+    let lease = Rc::new(LeaseManager::new(gateway.clone(), LeaseName::Duties));
+    if gateway.tuning().scaling_enabled {
         let scaling = duties::scaling::run(gateway.clone(), provider.clone(), lease.clone());
         gateway.executor.spawn(scaling).detach();
     }
-    if let Some(book) = gateway.usage.clone() {
+    if let Some(usage) = gateway.usage.clone() {
         let spawn = |task| gateway.executor.spawn::<()>(task).detach();
-        let telling = duties::telling::run(gateway.clone(), book.clone());
-        spawn(Box::pin(telling) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
-        spawn(Box::pin(duties::reporting::run(gateway.clone(), book, provider, lease)));
+        let broadcast = duties::usage_broadcast::run(gateway.clone(), usage.clone());
+        spawn(Box::pin(broadcast) as std::pin::Pin<Box<dyn std::future::Future<Output = ()>>>);
+        spawn(Box::pin(duties::reporting::run(gateway.clone(), usage, provider, lease)));
     }
 }
 
@@ -255,29 +263,29 @@
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() == ready_path.0 {
         return ready(&gateway);
     }
-    crate::calls::answer(gateway, request).await
+    crate::calls::handle(gateway, request).await
 }
 
 async fn answer_ready(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
     ready_path: ReadyPath,
-) -> Answer {
+) -> HttpResponse {
     if request.uri().path() != ready_path.0 {
-        return text_answer(http::StatusCode::NOT_FOUND, "no such call");
+        return text_response(http::StatusCode::NOT_FOUND, "no such call");
     }
     ready(&gateway)
 }
 
-fn ready(gateway: &Gateway) -> Answer {
+fn ready(gateway: &Gateway) -> HttpResponse {
     if gateway.is_ready() {
-        text_answer(http::StatusCode::OK, "ready")
+        text_response(http::StatusCode::OK, "ready")
     } else {
-        text_answer(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        text_response(http::StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
@@ -287,7 +295,7 @@
 }
 
 impl ConfigurationSink {
-    fn adopt(&self, configuration: Configuration) {
+    fn apply(&self, configuration: Configuration) {
         let known = self.gateway.configuration().map_or(0, |known| known.version);
         if configuration.version <= known && known > 0 {
             return;
@@ -304,7 +312,7 @@
             configuration.services.len(),
             configuration.access.as_ref().map_or(0, |access| access.len())
         );
-        for finding in configuration.findings.iter().chain(&self.homeless(&configuration)) {
+        for finding in configuration.findings.iter().chain(&self.unknown_regions(&configuration)) {
             log::warn!(
                 "event=configuration_finding version={} place={} problem=\"{}\"",
                 configuration.version,
@@ -316,14 +324,14 @@
             configuration.routes.iter().map(|route| route.name.as_str()).collect();
         self.gateway.splitter.borrow_mut().retain(|name| names.contains(name));
         *self.gateway.configuration.borrow_mut() = Some(Rc::new(configuration));
-        self.gateway.share_servers();
-        self.gateway.places.changed.notify(usize::MAX);
+        self.gateway.update_service_limits();
+        self.gateway.slot_queue.changed.notify(usize::MAX);
     }
 }
 
 impl ConfigurationSink {
-    /// Routes and tenants whose homes name a region that no zone of the settings is in.
-    fn homeless(&self, configuration: &Configuration) -> Vec<Finding> {
+    /// Finds routes and tenants that are restricted to a region that has no zone.
+    fn unknown_regions(&self, configuration: &Configuration) -> Vec<Finding> {
         let placer = &self.gateway.directory.borrow().placer;
         let unknown = |place: String, homes: &BTreeSet<String>| {
             let missing = homes.iter().find(|region| !placer.is_known_region(region))?;
@@ -339,29 +347,29 @@
     }
 }
 
-impl MirrorSink for ConfigurationSink {
-    fn keep(&self, _names: &BTreeSet<String>) {
-        // A configuration stays in force until there is a later one.
+impl ObjectHandler for ConfigurationSink {
+    fn retain(&self, _names: &BTreeSet<String>) {
+        // A deleted configuration stays active until it is replaced.
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         if object.name != self.gateway.dialect.kinds().configuration_name {
             return;
         }
         match self.gateway.dialect.configuration(&object.content, &self.gateway.key_hasher) {
-            Ok(configuration) => self.adopt(configuration),
+            Ok(configuration) => self.apply(configuration),
             Err(error) => log::error!("event=configuration_malformed error=\"{error}\""),
         }
     }
 
     fn remove(&self, _name: &str) {
-        // The configuration in force stays until there is another one.
+        // A deleted configuration stays active until it is replaced.
     }
 }
 
 struct DirectorySink {
     gateway: Rc<Gateway>,
-    /// Names of entries that cannot be understood: each is logged once.
+    /// Names of malformed registrations, each of which is logged once.
     malformed: RefCell<BTreeSet<String>>,
 }
 
@@ -370,16 +378,16 @@
         Self { gateway, malformed: RefCell::default() }
     }
 
-    /// An entry that cannot be understood names no server to use, whatever it said before.
+    /// Removes the server of a malformed registration.
     fn drop_malformed(&self, name: &str, error: &DialectError) {
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
         if self.malformed.borrow_mut().insert(name.to_owned()) {
-            self.gateway.metrics.server_entries_malformed.inc();
+            self.gateway.metrics.malformed_registrations.inc();
             log::warn!("event=server_malformed error=\"{error}\"");
         }
     }
 
-    fn note_draining(&self, server: &Server) {
+    fn log_draining(&self, server: &Server) {
         let directory = self.gateway.directory.borrow();
         let known = directory.get(&server.id).map(|known| known.state);
         if server.state == ServerState::Draining && known != Some(server.state) {
@@ -387,10 +395,9 @@
         }
     }
 
-    /// A server that has started again under the id that it had: its former run has ended, with what ran
-    /// there and the connections to it.
-    fn note_restart(&self, server: &Server) {
-        if self.gateway.directory.borrow().run(server) != Run::Later {
+    /// Handles a restarted server: its previous run has exited, with all requests and connections.
+    fn record_restart(&self, server: &Server) {
+        if self.gateway.directory.borrow().compare_run(server) != RunOrder::Newer {
             return;
         }
         let Some(known) = self.gateway.directory.borrow().get(&server.id).cloned() else {
@@ -403,43 +410,43 @@
             known.incarnation
         );
         self.gateway.metrics.servers_restarted.inc();
-        self.note_gone(&server.id);
-        self.gateway.servers.close_idle(known.address);
+        self.record_exit(&server.id);
+        self.gateway.server_connections.close_idle(known.address);
     }
 
-    /// A server whose entry went, and that had not said that it would leave: where connections to it
-    /// broke a moment ago, it has ended.
-    fn note_gone(&self, id: &str) {
+    /// Reports the exit of a server that had not announced that it was draining. Recently broken
+    /// connections to it are then counted as crashes.
+    fn record_exit(&self, id: &str) {
         let state = self.gateway.directory.borrow().get(id).map(|server| server.state);
         if state == Some(ServerState::Ready) {
-            evidence::note_gone(&self.gateway, id);
+            crash_detection::note_server_gone(&self.gateway, id);
         }
     }
 }
 
-impl MirrorSink for DirectorySink {
-    fn keep(&self, names: &BTreeSet<String>) {
+impl ObjectHandler for DirectorySink {
+    fn retain(&self, names: &BTreeSet<String>) {
         let gateway = &self.gateway;
         let known: Vec<String> =
             gateway.directory.borrow().all().map(|server| server.id.clone()).collect();
-        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.note_gone(id));
+        known.iter().filter(|id| !names.contains(*id)).for_each(|id| self.record_exit(id));
         gateway.directory.borrow_mut().retain(gateway.now(), names);
         self.malformed.borrow_mut().retain(|name| names.contains(name));
     }
 
-    fn listed(&self) {
+    fn on_list(&self) {
         let servers = self.gateway.directory.borrow().all().count();
         log::info!("event=servers_listed servers={servers}");
-        self.gateway.directory_known.set(true);
+        self.gateway.servers_loaded.set(true);
     }
 
-    fn put(&self, object: &Object) {
+    fn upsert(&self, object: &Object) {
         match self.gateway.dialect.server(&object.name, &object.content) {
             Ok(mut server) => {
                 server.revision = object.revision;
                 self.malformed.borrow_mut().remove(&object.name);
-                self.note_draining(&server);
-                self.note_restart(&server);
+                self.log_draining(&server);
+                self.record_restart(&server);
                 self.gateway.directory.borrow_mut().insert(self.gateway.now(), server);
             }
             Err(error) => self.drop_malformed(&object.name, &error),
@@ -448,23 +455,23 @@
 
     fn remove(&self, name: &str) {
         log::info!("event=server_gone server={name}");
-        self.note_gone(name);
+        self.record_exit(name);
         self.malformed.borrow_mut().remove(name);
         self.gateway.directory.borrow_mut().remove(self.gateway.now(), name);
     }
 
-    fn applied(&self) {
-        self.gateway.places.changed.notify(usize::MAX);
+    fn on_batch(&self) {
+        self.gateway.slot_queue.changed.notify(usize::MAX);
         self.gateway.versions.changed.notify(usize::MAX);
     }
 }
 
-/// Logs what was counted, now and then: on-call engineers may have nothing but logs.
-async fn log_counts(gateway: Rc<Gateway>) {
+/// Logs the metrics periodically, for operators that have only logs.
+async fn log_counters_periodically(gateway: Rc<Gateway>) {
     loop {
-        Timer::after(COUNTS_PERIOD).await;
+        Timer::after(COUNTER_LOG_INTERVAL).await;
         count_cold_servers(&gateway);
-        log_count(&gateway);
+        log_counters(&gateway);
     }
 }
 
@@ -474,34 +481,35 @@
     let zones: BTreeSet<String> = directory.all().map(|server| server.zone.clone()).collect();
     for zone in zones {
         let key = directory.placer.zone(&zone);
-        gateway.metrics.servers_cold(&zone, directory.placer.count_cold_servers(now, key));
+        gateway.metrics.set_cold_servers(&zone, directory.placer.count_cold_servers(now, key));
     }
 }
 
-fn log_count(gateway: &Gateway) {
-    if let Some(line) = gateway.metrics.line() {
+fn log_counters(gateway: &Gateway) {
+    if let Some(line) = gateway.metrics.take_log_line() {
         log::info!("{line}");
     }
 }
 
-/// Stops: says so at the entry, serves what still comes, and ends once nothing is under way.
+/// Drains the daemon: reports that it is not ready, serves the remaining requests, and returns once
+/// nothing is in flight or the shutdown limit is reached.
 async fn drain(gateway: &Rc<Gateway>, callers: &Rc<Listener>) {
-    let begun = gateway.now();
+    let started_at = gateway.now();
     gateway.draining.set(true);
     callers.start_draining();
     log::info!("event=draining exchanges={}", callers.exchanges());
-    Timer::after(STOP_NOTICE).await;
+    Timer::after(READINESS_DELAY).await;
     callers.close();
-    let limit = begun + gateway.tuning().stop_limit.saturating_sub(STOP_MARGIN);
-    while gateway.now() < limit && (callers.connections() > 0 || runs_jobs(gateway)) {
-        Timer::after(STOP_POLL).await;
+    let limit = started_at + gateway.tuning().stop_limit.saturating_sub(STOP_MARGIN);
+    while gateway.now() < limit && (callers.connections() > 0 || has_running_jobs(gateway)) {
+        Timer::after(STOP_POLL_INTERVAL).await;
     }
-    if let Some(book) = &gateway.usage {
-        duties::telling::tell_last(gateway, book);
+    if let Some(usage) = &gateway.usage {
+        duties::usage_broadcast::send_final(gateway, usage);
     }
-    // The others need not find out by probes, and take its jobs over at once.
-    wait::at_most(LEAVE_LIMIT, gateway.members.leave()).await;
-    log_count(gateway);
+    // The other members take over its jobs at once instead of waiting for failed probes.
+    wait::at_most(LEAVE_TIMEOUT, gateway.members.leave()).await;
+    log_counters(gateway);
     log::info!(
         "event=stopped exchanges_cut={} connections_cut={}",
         callers.exchanges(),
@@ -510,6 +518,6 @@
     log::logger().flush();
 }
 
-fn runs_jobs(gateway: &Gateway) -> bool {
+fn has_running_jobs(gateway: &Gateway) -> bool {
     gateway.jobs.all().iter().any(|job| job.running.get())
 }
--- a/crates/heronbend-gateway/src/versions/plan.rs
+++ b/crates/heronbend-gateway/src/versions/plan.rs
@@ -1,19 +1,16 @@
-//! Which servers load which version now.
+//! Plans which servers load which version.
 //!
-//! A step allows the version before the one it is numbered by, so a server need not load every
-//! version: half of a model's servers take the odd ones and half the even ones. One half serves
-//! while the other loads, and a load is spent only every second version. A model whose steps take
-//! long gets every version on all its servers.
+//! A step may run on the version before its own number, so a server need not load every version:
+//! half of a model's servers load the odd versions and half the even ones. One half serves while
+//! the other loads. If a model has slow steps, all its servers load every version.
 //!
-//! A step of a pressed model begins at the very moment at which its version is named, and its texts
-//! need all places then. A server takes nothing new while it loads, but what runs there goes on at the
-//! same pace. So servers that can run the step load a little later, once its texts have begun: half of
-//! them loading at once had a tenth of a step's texts wait for most of a second.
+//! A slow step starts when its version is published, and needs all slots then. Servers accept no
+//! new requests while they load, but running requests continue at full speed. Servers that can run
+//! the step therefore load only after its items have started.
 //!
-//! A fleet may have many more servers than the steps of all trainers can use. Each order costs its server
-//! a pause and its holder some calls, so only as many servers follow a model as its owed texts need:
-//! twice those that have places for the texts of two steps, since one half may be loading. The others
-//! keep what they have until one that follows the model is lost.
+//! Each load pauses its server and costs the lease holder several calls, so a model is assigned
+//! only as many servers as its pending items need. The other servers keep their versions until an
+//! assigned server is lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,38 +21,38 @@
 
 use crate::directory::Server;
 
-/// Of so many servers one may load at a time without slowing another one's load.
-const SERVERS_FOR_A_LOAD: usize = 5;
-/// Loads at a time with however few servers.
-const MIN_LOADS_AT_ONCE: usize = 2;
-/// Steps of one trainer whose texts may be owed at the same time: the next one is handed in when the
-/// version of the one before it is named, while late texts of that one still run.
-const STEPS_AT_ONCE: usize = 2;
-/// Servers that follow a model for each one that its owed texts fill: one half may be loading, or a
-/// zone be lost, and the other half still has places for all of them.
-const RESERVE: usize = 2;
+/// Number of servers per concurrent load. With more loads they would slow each other down.
+const SERVERS_PER_LOAD: usize = 5;
+/// Minimum number of concurrent loads in fleets of any size.
+const MIN_CONCURRENT_LOADS: usize = 2;
+/// Steps of one trainer that may be in flight: the next step is submitted when the version of the
+/// previous one is published, while late items of that one still run.
+const CONCURRENT_STEPS: usize = 2;
+/// Capacity assigned to a model, as a multiple of what its pending items need. Leaves enough slots
+/// while half of the servers load, or after the loss of a zone.
+const CAPACITY_FACTOR: usize = 2;
 
-/// Time from a version's naming after which the texts of a pressed model's step have begun: most take
-/// less than a second, and those that found no place at first have one by then.
-pub const STEP_BEGUN: Duration = Duration::from_millis(1500);
+/// Time after the publication of a version until the items of a slow step have started.
+pub const STEP_START_DELAY: Duration = Duration::from_millis(1500);
 
-/// Loads that may be under way at the same time.
-pub fn loads_at_once(servers: usize) -> usize {
-    (servers / SERVERS_FOR_A_LOAD).max(MIN_LOADS_AT_ONCE)
+/// Maximum number of concurrent loads in a fleet of `servers`.
+pub fn max_concurrent_loads(servers: usize) -> usize {
+    (servers / SERVERS_PER_LOAD).max(MIN_CONCURRENT_LOADS)
 }
 
-/// A server as the plan sees it.
+/// State of a server for planning.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// What it says of itself.
+    /// The server's registration.
     pub server: Rc<Server>,
-    /// Whether an order is under way at it, or was a moment ago.
+    /// Whether a command is in progress, or its retry delay has not ended.
     pub is_loading: bool,
-    /// The model and version that it is loading, or has loaded without its entry showing it.
+    /// The model and version that the server is loading, or has loaded while its registration is
+    /// out of date.
     pub loading: Option<(String, u64)>,
-    /// Whether the load may take a part of what loads share.
-    pub is_under_way: bool,
-    /// Requests that are known to run there.
+    /// Whether the load may use the bandwidth that loads share.
+    pub is_transferring: bool,
+    /// Number of requests known to run on the server.
     pub in_flight: u32,
 }
 
@@ -64,93 +61,98 @@
         &self.server.id
     }
 
-    /// The version of a model that its entry shows; 0 where it does not hold the model.
-    fn held(&self, model: &str) -> u64 {
+    /// The registered version of a model, or 0 if the server does not have it.
+    fn loaded(&self, model: &str) -> u64 {
         self.server.models.get(model).copied().unwrap_or(0)
     }
 
-    /// The version of a model that it is loading, or has loaded without its entry showing it.
+    /// The version of a model that the server is loading, or has loaded while its registration is
+    /// out of date.
     fn loading(&self, model: &str) -> Option<u64> {
         let loading = self.loading.as_ref().filter(|(loading, _)| loading == model);
         loading.map(|(_, version)| *version)
     }
 }
 
-/// What is known of a model's trainer.
+/// State of a model for planning.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelState {
-    /// Newest named version.
+    /// Newest published version.
     pub version: u64,
-    /// Tokens that its last step was expected to make; servers are shared out by this.
+    /// Expected number of tokens of the last step. Servers are divided in proportion to it.
     pub demand: u64,
-    /// Texts of its last step; 0 where none is known.
-    pub texts: usize,
-    /// Whether its steps take so long that half of its servers are not enough.
-    pub is_pressed: bool,
-    /// How long ago the newest version was named.
-    pub named_for: Duration,
-    /// Whether a text that runs through a load is of no use: all of it must come from one version.
-    pub is_cut_by_loads: bool,
+    /// Number of items in the last step, or 0 if unknown.
+    pub step_items: usize,
+    /// Whether the model's steps are so slow that they need more than half of its servers.
+    pub has_slow_steps: bool,
+    /// Time since the newest version was published.
+    pub published_for: Duration,
+    /// Whether each item must be generated by one version, so that items interrupted by a load are
+    /// lost.
+    pub requires_single_version: bool,
 }
 
 impl ModelState {
-    /// Servers of so many places that its trainer's texts need; all there are where no step is known.
-    fn servers_needed(&self, places: usize) -> usize {
-        if self.texts == 0 {
+    /// Number of servers with `slots` slots each that the model needs; unlimited if its step size
+    /// is unknown.
+    fn servers_needed(&self, slots: usize) -> usize {
+        if self.step_items == 0 {
             return usize::MAX;
         }
-        (self.texts * STEPS_AT_ONCE).div_ceil(places.max(1)) * RESERVE
+        (self.step_items * CONCURRENT_STEPS).div_ceil(slots.max(1)) * CAPACITY_FACTOR
     }
 }
 
-/// When a load is to be ordered.
+/// When a load should be commanded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// At once: the server cannot run the step of the newest version, or half of the model's servers
-    /// lack it.
+    /// Immediately: the server cannot run the step of the newest version, or fewer than half of the
+    /// model's servers have the version.
     Now,
-    /// At once, after those that cannot run the step.
+    /// Immediately, after all `Now` loads.
     Soon,
-    /// Once the server has nothing to run.
+    /// Once the server has no requests.
     WhenIdle,
 }
 
 /// A load that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Load {
-    /// The server.
+    /// Id of the server.
     pub server: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version.
+    /// Version to load.
     pub version: u64,
-    /// When to order it.
+    /// When to command it.
     pub urgency: Urgency,
 }
 
-/// The loads of one model that are due, and how far its servers are.
+/// The due loads of one model, and the progress of its servers.
 struct Queue {
-    /// The most urgent last.
+    /// Sorted by urgency, the most urgent last.
     due: Vec<Load>,
-    /// Servers that can run a step of the newest version, or will once they have loaded.
+    /// Number of servers that can run a step of the newest version, or will after their current
+    /// load.
     ready: usize,
-    /// Servers that follow the model.
+    /// Number of servers assigned to the model.
     hosts: usize,
 }
 
 impl Queue {
-    /// What is taken first: urgent loads, and among them those of the model whose servers lag most.
-    fn rank(&self) -> Option<(Urgency, usize)> {
+    /// Sort key of the next load, lowest first: its urgency, then the share of the model's servers
+    /// that are ready.
+    fn priority(&self) -> Option<(Urgency, usize)> {
         let next = self.due.last()?;
-        Some((next.urgency, self.ready * RANK_SCALE / self.hosts.max(1)))
+        Some((next.urgency, self.ready * READY_SHARE_SCALE / self.hosts.max(1)))
     }
 }
 
-/// Steps in which the share of servers that are ready is told apart.
-const RANK_SCALE: usize = 1000;
+/// Resolution of the share of ready servers in [`Queue::priority`].
+const READY_SHARE_SCALE: usize = 1000;
 
-/// The loads that are to be ordered now, or when their servers are idle; the most urgent first. As
-/// many as may be under way at once, shared out so that no model's servers lag behind the others'.
+/// Returns the loads to command now or when their servers are idle, the most urgent first. Limited
+/// by the number of concurrent loads, and balanced so that all models progress equally.
 pub fn loads_due(models: &BTreeMap<String, ModelState>, engines: &[EngineState]) -> Vec<Load> {
     let mut hosts = assign(models, engines);
     let mut queues: Vec<Queue> = models
@@ -159,15 +161,15 @@
             queue(model, state, &hosts.remove(model.as_str()).unwrap_or_default())
         })
         .collect();
-    let under_way = engines.iter().filter(|engine| engine.is_under_way).count();
-    let free = loads_at_once(engines.len()).saturating_sub(under_way);
+    let transferring = engines.iter().filter(|engine| engine.is_transferring).count();
+    let free = max_concurrent_loads(engines.len()).saturating_sub(transferring);
     let mut due = Vec::new();
     while due.len() < free {
-        let neediest = queues
+        let next = queues
             .iter_mut()
-            .filter_map(|queue| Some((queue.rank()?, queue)))
-            .min_by_key(|(rank, _)| *rank);
-        let Some((_, queue)) = neediest else {
+            .filter_map(|queue| Some((queue.priority()?, queue)))
+            .min_by_key(|(priority, _)| *priority);
+        let Some((_, queue)) = next else {
             break;
         };
         queue.ready += 1;
@@ -181,32 +183,33 @@
     due.sort_by_key(|load| load.urgency);
     due.reverse();
     let is_ready = |engine: &&&EngineState| {
-        let held = engine.held(model).max(engine.loading(model).unwrap_or(0));
-        held + 1 >= state.version
+        let loaded = engine.loaded(model).max(engine.loading(model).unwrap_or(0));
+        loaded + 1 >= state.version
     };
     Queue { due, ready: hosts.iter().filter(is_ready).count(), hosts: hosts.len() }
 }
 
-/// The loads of a model's newest version, those of the oldest versions first.
+/// The due loads of a model's newest version. Servers with the oldest versions come first.
 fn due_for_model(model: &str, state: &ModelState, hosts: &[&EngineState]) -> Vec<Load> {
     let version = state.version;
-    let held = |engine: &EngineState| engine.held(model);
-    let is_loading_it =
+    let loaded = |engine: &EngineState| engine.loaded(model);
+    let is_loading_version =
         |engine: &EngineState| engine.loading(model).is_some_and(|loading| loading >= version);
-    let at_version = hosts.iter().filter(|engine| held(engine) >= version || is_loading_it(engine));
-    let mut missing_in_half = hosts.len().div_ceil(2).saturating_sub(at_version.count());
+    let current =
+        hosts.iter().filter(|engine| loaded(engine) >= version || is_loading_version(engine));
+    let mut missing_in_half = hosts.len().div_ceil(2).saturating_sub(current.count());
     let mut candidates: Vec<&&EngineState> =
-        hosts.iter().filter(|engine| !engine.is_loading && held(engine) < version).collect();
-    candidates.sort_by_key(|engine| (held(engine), engine.in_flight, engine.id()));
+        hosts.iter().filter(|engine| !engine.is_loading && loaded(engine) < version).collect();
+    candidates.sort_by_key(|engine| (loaded(engine), engine.in_flight, engine.id()));
     let mut due = Vec::new();
     for engine in candidates {
-        let cannot_serve = held(engine) + 1 < version;
-        let fills_half = missing_in_half > 0;
+        let is_too_old = loaded(engine) + 1 < version;
+        let completes_half = missing_in_half > 0;
         missing_in_half = missing_in_half.saturating_sub(1);
-        let urgency = if cannot_serve || (fills_half && !state.is_pressed) {
+        let urgency = if is_too_old || (completes_half && !state.has_slow_steps) {
             Urgency::Now
-        } else if state.is_pressed && state.named_for >= STEP_BEGUN {
-            if state.is_cut_by_loads && !fills_half {
+        } else if state.has_slow_steps && state.published_for >= STEP_START_DELAY {
+            if state.requires_single_version && !completes_half {
                 Urgency::WhenIdle
             } else {
                 Urgency::Soon
@@ -220,19 +223,19 @@
     due
 }
 
-/// How well a server suits a model: the least comes first.
+/// A possible assignment of a server to a model. Lower values are better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Bid {
-    /// Versions that the server lags behind the newest one.
+struct Candidate {
+    /// Number of versions that the server is behind.
     lag: u64,
-    /// Spreads models over servers that lag alike.
-    tie: u64,
+    /// Hash that spreads models over servers with the same lag.
+    tie_breaker: u64,
     engine: usize,
     model: usize,
 }
 
-/// Divides the servers among the models, in proportion to their demand and no more than each needs: a
-/// server follows one of them, the one it lags behind least. Some follow none.
+/// Assigns servers to models in proportion to demand, but no more than each model needs. Each
+/// server is assigned to at most one model, preferably the one it lags behind least.
 fn assign<'a>(
     models: &BTreeMap<String, ModelState>,
     engines: &'a [EngineState],
@@ -240,54 +243,59 @@
     let names: BTreeSet<&str> =
         engines.iter().flat_map(|engine| engine.server.models.keys().map(String::as_str)).collect();
     let names: Vec<&str> = names.into_iter().collect();
-    let mut left = shares(models, &names, engines);
-    let wanted = left.iter().sum();
-    let mut bids: Vec<Bid> = Vec::new();
+    let mut remaining = shares(models, &names, engines);
+    let total = remaining.iter().sum();
+    let mut candidates: Vec<Candidate> = Vec::new();
     for (model, name) in names.iter().enumerate() {
         let newest = models.get(*name).map_or(1, |state| state.version);
-        bids.extend(best_bids(model, name, newest, engines, wanted));
+        candidates.extend(best_candidates(model, name, newest, engines, total));
     }
-    bids.sort_unstable();
-    let mut is_taken = vec![false; engines.len()];
+    candidates.sort_unstable();
+    let mut is_assigned = vec![false; engines.len()];
     let mut hosts: BTreeMap<&str, Vec<&EngineState>> = BTreeMap::new();
-    for bid in bids {
-        if !is_taken[bid.engine] && left[bid.model] > 0 {
-            left[bid.model] -= 1;
-            is_taken[bid.engine] = true;
-            hosts.entry(names[bid.model]).or_default().push(&engines[bid.engine]);
+    for candidate in candidates {
+        if !is_assigned[candidate.engine] && remaining[candidate.model] > 0 {
+            remaining[candidate.model] -= 1;
+            is_assigned[candidate.engine] = true;
+            hosts.entry(names[candidate.model]).or_default().push(&engines[candidate.engine]);
         }
     }
     hosts
 }
 
-/// The best bids for a model. All models together take `wanted` servers, so no model's further ones can
-/// matter, and thousands of servers need not be put in order.
-fn best_bids(
+/// The best candidates for a model. All models together use `total` servers, so only that many
+/// candidates are kept, which avoids sorting the whole fleet.
+fn best_candidates(
     model: usize,
     name: &str,
     newest: u64,
     engines: &[EngineState],
-    wanted: usize,
-) -> Vec<Bid> {
+    total: usize,
+) -> Vec<Candidate> {
     let key = rapidhash_v3(name.as_bytes());
-    let mut bids: Vec<Bid> = Vec::new();
+    let mut candidates: Vec<Candidate> = Vec::new();
     for (index, engine) in engines.iter().enumerate() {
-        let Some(held) = engine.server.models.get(name) else {
+        let Some(loaded) = engine.server.models.get(name) else {
             continue;
         };
-        let held = engine.loading(name).unwrap_or(*held);
+        let loaded = engine.loading(name).unwrap_or(*loaded);
         let server = rapidhash_v3(engine.id().as_bytes());
-        let tie = rapidhash_v3(&(key ^ server).to_le_bytes());
-        bids.push(Bid { lag: newest.saturating_sub(held), tie, engine: index, model });
+        let tie_breaker = rapidhash_v3(&(key ^ server).to_le_bytes());
+        candidates.push(Candidate {
+            lag: newest.saturating_sub(loaded),
+            tie_breaker,
+            engine: index,
+            model,
+        });
     }
-    if wanted < bids.len() {
-        bids.select_nth_unstable(wanted);
-        bids.truncate(wanted);
+    if total < candidates.len() {
+        candidates.select_nth_unstable(total);
+        candidates.truncate(total);
     }
-    bids
+    candidates
 }
 
-/// How many servers each model gets: its part by demand, and no more than it needs.
+/// Number of servers for each model: its share by demand, limited to what it needs.
 fn shares(
     models: &BTreeMap<String, ModelState>,
     names: &[&str],
@@ -296,15 +304,15 @@
     let state = |name: &&str| models.get(*name);
     let demands: Vec<u64> =
         names.iter().map(|name| state(name).map_or(0, |state| state.demand)).collect();
-    let places: usize = engines.iter().map(|engine| engine.server.slots as usize).sum();
-    let places = places / engines.len().max(1);
+    let slots: usize = engines.iter().map(|engine| engine.server.slots as usize).sum();
+    let slots = slots / engines.len().max(1);
     let parts = divide(engines.len(), &demands);
-    let needed = |name| state(name).map_or(usize::MAX, |state| state.servers_needed(places));
+    let needed = |name| state(name).map_or(usize::MAX, |state| state.servers_needed(slots));
     parts.into_iter().zip(names).map(|(part, name)| part.min(needed(name))).collect()
 }
 
-/// Divides `total` by largest remainders, at least one for each part while they last. Parts whose
-/// demand is not known get a mean share.
+/// Divides `total` by the largest remainder method, with at least one per share if possible. Shares
+/// with unknown demand get the mean.
 fn divide(total: usize, demands: &[u64]) -> Vec<usize> {
     if demands.is_empty() {
         return Vec::new();
@@ -321,8 +329,8 @@
     let mut shares: Vec<usize> = vec![at_least_one; demands.len()];
     for _ in 0..spread {
         let missing = |index: &usize| exact[*index] - shares[*index] as f64;
-        let neediest = (0..shares.len()).max_by(|a, b| missing(a).total_cmp(&missing(b)));
-        if let Some(index) = neediest {
+        let next = (0..shares.len()).max_by(|a, b| missing(a).total_cmp(&missing(b)));
+        if let Some(index) = next {
             shares[index] += 1;
         }
     }
--- a/crates/heronbend-gateway/tests/builds_side_by_side.rs
+++ b/crates/heronbend-gateway/tests/builds_side_by_side.rs
@@ -1,5 +1,5 @@
-//! What neighbours of another build send and have stored. `samples` holds messages and records as the
-//! build before wrote them.
+//! Compatibility of messages and stored records with other builds. `samples` holds messages and
+//! records encoded by the previous build.
 
 mod support;
 
@@ -8,29 +8,29 @@
 
 use heronbend::identity::Incarnation;
 use heronbend::identity::NodeName;
-use heronbend::membership::Gossip;
-use heronbend::membership::Head;
+use heronbend::membership::ControlVersions;
+use heronbend::membership::GossipMessage;
+use heronbend::membership::GossipUpdate;
 use heronbend::membership::Liveness;
 use heronbend::membership::Probe;
-use heronbend::membership::Rumour;
 use heronbend::usage::Window;
 use heronbend_gateway::batch::ownership::Ownership;
 use heronbend_gateway::batch::segment::Segment;
 use heronbend_gateway::batch::JobSpecification;
+use heronbend_gateway::compressed_update;
 use heronbend_gateway::encoded_object::EncodedObject;
-use heronbend_gateway::lease_news::LeaseName;
-use heronbend_gateway::packed_news;
+use heronbend_gateway::lease_state::LeaseName;
 use heronbend_gateway::peers::messages::Datagram;
 use heronbend_gateway::peers::messages::JobEntry;
-use heronbend_gateway::peers::messages::KindState;
+use heronbend_gateway::peers::messages::KindSnapshot;
 use heronbend_gateway::peers::messages::LeaseRenewal;
-use heronbend_gateway::peers::relayed::StoreCall;
-use heronbend_gateway::peers::relayed::StoreReply;
+use heronbend_gateway::peers::store_messages::StoreCall;
+use heronbend_gateway::peers::store_messages::StoreReply;
 use heronbend_gateway::peers::Hint;
 use heronbend_gateway::peers::PeerReply;
 use heronbend_gateway::peers::PeerRequest;
 use heronbend_gateway::ports::Object;
-use heronbend_gateway::replica::News;
+use heronbend_gateway::replica::Update;
 use heronbend_gateway::versions::lease::LeaseRecord;
 use musli::Decode;
 use musli::Encode;
@@ -71,13 +71,13 @@
 }
 
 fn datagrams() -> Vec<(&'static str, Datagram)> {
-    let gossip = Gossip {
+    let gossip = GossipMessage {
         from: member(node("front-1"), Liveness::Alive),
         probe: Probe::PingRequest { sequence: 5, target: NodeName("front-3".to_owned()) },
-        head: Head { settings_revision: 11, shard_epochs: 0 },
-        rumours: vec![Rumour::Member(member(node("front-2"), Liveness::Suspect))],
+        head: ControlVersions { settings_revision: 11, shard_epochs: 0 },
+        rumours: vec![GossipUpdate::Member(member(node("front-2"), Liveness::Suspect))],
     };
-    let order = Hint::OrderTaken {
+    let command = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
         server: "i-7".to_owned(),
         model: "m".to_owned(),
@@ -94,7 +94,7 @@
     };
     vec![
         ("gossip", Datagram::Gossip(gossip)),
-        ("order_taken", Datagram::Hint(order)),
+        ("order_taken", Datagram::Hint(command)),
         ("lease_renewed", Datagram::Hint(renewed)),
         ("job_owned", Datagram::Hint(owned)),
         ("usage_counted", Datagram::Hint(counted)),
@@ -138,7 +138,7 @@
 }
 
 fn replies() -> Vec<(&'static str, PeerReply)> {
-    let state = KindState {
+    let state = KindSnapshot {
         kind: "servers".to_owned(),
         objects: vec![EncodedObject::from(&object())],
         at: 44,
@@ -171,9 +171,9 @@
     ]
 }
 
-fn news() -> News {
-    News {
-        is_whole: false,
+fn update() -> Update {
+    Update {
+        is_snapshot: false,
         objects: vec![Rc::new(EncodedObject::from(&object()))],
         removed: vec!["i-6".to_owned()],
         at: 44,
@@ -182,31 +182,31 @@
 }
 
 #[test]
-fn messages_of_the_build_before_are_understood() {
+fn decodes_messages_of_the_previous_build() {
     for (name, datagram) in datagrams() {
-        let told: Datagram = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, datagram, "{name}");
+        let decoded: Datagram = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, datagram, "{name}");
     }
     for (name, request) in requests() {
-        let told: PeerRequest = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, request, "{name}");
+        let decoded: PeerRequest = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, request, "{name}");
     }
     for (name, reply) in replies() {
-        let told: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
-        assert_eq!(told, reply, "{name}");
+        let decoded: PeerReply = musli::wire::from_slice(&sample(name)).expect(name);
+        assert_eq!(decoded, reply, "{name}");
     }
-    assert_eq!(packed_news::unpack(&sample("packed_news")).unwrap(), news());
+    assert_eq!(compressed_update::decode(&sample("packed_news")).unwrap(), update());
 }
 
 #[test]
-fn records_of_the_build_before_are_understood() {
-    let told: Ownership = serde_json::from_slice(&sample("ownership")).unwrap();
-    assert_eq!(told, ownership());
-    let told: LeaseRecord = serde_json::from_slice(&sample("lease")).unwrap();
-    assert_eq!(told, lease());
-    let told: JobSpecification = serde_json::from_slice(&sample("specification")).unwrap();
-    assert_eq!(told, job("j1", 2));
-    let told: Segment = serde_json::from_slice(&sample("segment")).unwrap();
+fn decodes_records_of_the_previous_build() {
+    let decoded: Ownership = serde_json::from_slice(&sample("ownership")).unwrap();
+    assert_eq!(decoded, ownership());
+    let decoded: LeaseRecord = serde_json::from_slice(&sample("lease")).unwrap();
+    assert_eq!(decoded, lease());
+    let decoded: JobSpecification = serde_json::from_slice(&sample("specification")).unwrap();
+    assert_eq!(decoded, job("j1", 2));
+    let decoded: Segment = serde_json::from_slice(&sample("segment")).unwrap();
     let segment = Segment {
         item: 1,
         after: 0,
@@ -214,11 +214,11 @@
         events: vec!["a".to_owned()],
         versions: vec![3],
     };
-    assert_eq!(told, segment);
+    assert_eq!(decoded, segment);
 }
 
-/// The shapes of the build before, where fields were added since. Their order is that of the messages.
-mod before {
+/// Types of the previous build to which fields were added since, with variants in encoding order.
+mod previous {
     use super::*;
 
     #[derive(Debug, PartialEq, Decode)]
@@ -230,41 +230,41 @@
     }
 
     #[derive(Debug, PartialEq, Decode)]
-    pub enum Told {
+    pub enum PreviousHint {
         OrderTaken { holder: NodeName, server: String, model: String, version: u64 },
     }
 }
 
 #[test]
-fn the_build_before_passes_over_fields_that_were_added() {
-    let news_reply = PeerReply::News { packed: vec![1, 2, 3], age_millis: 700 };
-    let bytes = musli::wire::to_vec(&news_reply).unwrap();
-    let told: before::Reply = musli::wire::from_slice(&bytes).unwrap();
-    assert_eq!(told, before::Reply::News { packed: vec![1, 2, 3] });
-    let order = Hint::OrderTaken {
+fn the_previous_build_ignores_added_fields() {
+    let reply = PeerReply::News { packed: vec![1, 2, 3], age_millis: 700 };
+    let bytes = musli::wire::to_vec(&reply).unwrap();
+    let decoded: previous::Reply = musli::wire::from_slice(&bytes).unwrap();
+    assert_eq!(decoded, previous::Reply::News { packed: vec![1, 2, 3] });
+    let command = Hint::OrderTaken {
         holder: NodeName("front-2".to_owned()),
         server: "i-7".to_owned(),
         model: "m".to_owned(),
         version: 3,
         incarnation: Incarnation(1_796_000_000_000),
     };
-    let told: before::Told =
-        musli::wire::from_slice(&musli::wire::to_vec(&order).unwrap()).unwrap();
-    let before::Told::OrderTaken { version, .. } = told;
+    let decoded: previous::PreviousHint =
+        musli::wire::from_slice(&musli::wire::to_vec(&command).unwrap()).unwrap();
+    let previous::PreviousHint::OrderTaken { version, .. } = decoded;
     assert_eq!(version, 3);
 }
 
-/// A variant that a build does not know is an error of that one message.
+/// An unknown variant must fail the decoding of that message, without a panic.
 #[test]
-fn an_unknown_variant_is_an_error_and_nothing_else() {
+fn an_unknown_variant_is_a_decoding_error() {
     #[derive(Encode)]
     #[allow(dead_code, reason = "the place of the last one counts")]
     #[rustfmt::skip]
-    enum Later {
+    enum Newer {
         A, B, C, D, E, F, G, H, I, J, K, L, M, N, O, P,
         Unheard { of: String },
     }
-    let bytes = musli::wire::to_vec(&Later::Unheard { of: "x".to_owned() }).unwrap();
+    let bytes = musli::wire::to_vec(&Newer::Unheard { of: "x".to_owned() }).unwrap();
     assert!(musli::wire::from_slice::<PeerRequest>(&bytes).is_err());
     assert!(musli::wire::from_slice::<Datagram>(&bytes).is_err());
 }
--- a/crates/heronbend-gateway/tests/support/own_dialect.rs
+++ b/crates/heronbend-gateway/tests/support/json_dialect.rs
@@ -1,4 +1,4 @@
-//! The service's own spelling: its types as they serialize.
+//! A [`Dialect`] that uses the serde representation of the gateway's own types.
 
 use bytes::Bytes;
 use heronbend::access::KeyHasher;
@@ -7,17 +7,18 @@
 use heronbend_gateway::directory::Server;
 use heronbend_gateway::ports::dialect::ServerCall;
 use heronbend_gateway::ports::{Call, Dialect, DialectError, HeaderNames, OperatorKinds};
-use heronbend_gateway::versions::{EngineReport, NamedVersion, VersionOrder};
+use heronbend_gateway::versions::{EngineReport, PublishedVersion, VersionCommand};
 use http::{HeaderName, Method};
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
-pub struct OwnDialect {
+/// Encodes and decodes calls and objects as JSON.
+pub struct JsonDialect {
     headers: HeaderNames,
     kinds: OperatorKinds,
 }
 
-impl Default for OwnDialect {
+impl Default for JsonDialect {
     fn default() -> Self {
         let name = HeaderName::from_static;
         Self {
@@ -47,11 +48,11 @@
     }
 }
 
-fn from_value<T: DeserializeOwned>(place: &str, content: &Value) -> Result<T, DialectError> {
-    T::deserialize(content).map_err(|error| DialectError::new(place, error))
+fn from_value<T: DeserializeOwned>(subject: &str, content: &Value) -> Result<T, DialectError> {
+    T::deserialize(content).map_err(|error| DialectError::new(subject, error))
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for JsonDialect {
     fn headers(&self) -> &HeaderNames {
         &self.headers
     }
@@ -76,7 +77,7 @@
         from_value("server", content)
     }
 
-    fn named_version(&self, content: &Value) -> Result<NamedVersion, DialectError> {
+    fn published_version(&self, content: &Value) -> Result<PublishedVersion, DialectError> {
         from_value("version", content)
     }
 
@@ -97,7 +98,7 @@
         serde_json::from_slice(body).map_err(|error| DialectError::new("report", error))
     }
 
-    fn order_call(&self, order: &VersionOrder) -> ServerCall {
+    fn command_call(&self, order: &VersionCommand) -> ServerCall {
         let body = json!(order).to_string().into();
         ServerCall { method: Method::POST, path: "/orders".to_owned(), body }
     }
